--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -17,10 +17,10 @@
 	"balsamsail/internal/wire"
 )
 
-// peerMemory is for how long an agent's word that another gateway is connected to it counts.
-const peerMemory = 2 * time.Second
+// peerTTL is how long an agent's list of connected gateways, and the demand that a gateway has sent, stay valid.
+const peerTTL = 2 * time.Second
 
-// Agents keeps a gateway's links to the agents beside engines.
+// Agents maintains a gateway's links to the engine agents.
 type Agents struct {
 	options Options
 	port    int
@@ -31,28 +31,29 @@
 	ctx   context.Context
 	links map[string]*agentLink
 	byID  map[string]*agentLink
-	// firstHeard is when the first agent spoke; zero before.
-	firstHeard time.Time
-	running    sync.WaitGroup
+	// firstMessageAt is when the first message of any agent arrived; zero before that.
+	firstMessageAt time.Time
+	running        sync.WaitGroup
 }
 
-// agentLink is the link to the agent beside one engine.
+// agentLink is the link to the agent of one engine.
 type agentLink struct {
 	link   *link
 	cancel context.CancelFunc
 
 	// Guarded by Agents.mu.
-	endpoint catalog.Endpoint
-	command  *controlpb.Command
-	peers    []string
-	heardAt  time.Time
+	endpoint      catalog.Endpoint
+	command       *controlpb.Command
+	peers         []string
+	lastMessageAt time.Time
 
-	// sentClass is the configuration version of the engine class that the agent has; of the writer only.
-	sentClass int64
-	sender    *sender
+	// sentClassVersion is the configuration version of the engine class last sent to the agent, and sender the connection it
+	// was sent on. Used by the link's writer only.
+	sentClassVersion int64
+	sender           *sender
 }
 
-// NewAgents returns the links of a gateway; agents listen at the given port of their engines' hosts.
+// NewAgents returns the agent links of a gateway. Agents listen on the given port of their engine's host.
 func NewAgents(options Options, port int, f *fleet.Fleet, logger *slog.Logger) *Agents {
 	a := &Agents{
 		options: options,
@@ -66,7 +67,7 @@
 	return a
 }
 
-// Run keeps the links until ctx ends.
+// Run maintains the links until ctx is done.
 func (a *Agents) Run(ctx context.Context) {
 	a.mu.Lock()
 	a.ctx = ctx
@@ -75,8 +76,8 @@
 	a.running.Wait()
 }
 
-// SetEndpoints makes links to the agents beside the listed engines and ends the others. A restarted engine at the same
-// address keeps its link.
+// SetEndpoints starts links to the agents of newly listed engines and stops those of engines that are no longer listed. An
+// engine that restarted at the same address keeps its link.
 func (a *Agents) SetEndpoints(list []catalog.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -97,7 +98,7 @@
 	for address, e := range newest {
 		l := a.links[address]
 		if l == nil {
-			l = a.start(address)
+			l = a.startLink(address)
 		}
 		l.endpoint = e
 		a.byID[e.ID] = l
@@ -113,43 +114,43 @@
 func (a *Agents) agentAddress(endpoint string) (string, bool) {
 	host, _, err := net.SplitHostPort(endpoint)
 	if err != nil {
-		a.logger.Warn("address of an endpoint is not one", "event", "bad_address", "address", endpoint, "error", err)
+		a.logger.Warn("endpoint address is not host:port", "event", "bad_address", "address", endpoint, "error", err)
 		return "", false
 	}
 	return net.JoinHostPort(host, strconv.Itoa(a.port)), true
 }
 
-// start begins a link. The lock is held.
-func (a *Agents) start(address string) *agentLink {
+// startLink starts a link to an agent. The caller holds mu.
+func (a *Agents) startLink(address string) *agentLink {
 	ctx, cancel := context.WithCancel(a.ctx)
-	al := &agentLink{cancel: cancel}
-	al.link = &link{
-		address: address,
-		options: a.options,
-		logger:  a.logger,
-		kick:    make(chan struct{}, 1),
-		tick:    func(now time.Time, s *sender) error { return a.tick(al, now, s) },
-		receive: func(stream *wire.Stream) error { return a.receive(al, stream) },
-		ended:   func(err error) { a.ended(al, err) },
+	l := &agentLink{cancel: cancel}
+	l.link = &link{
+		address:      address,
+		options:      a.options,
+		logger:       a.logger,
+		wakeup:       make(chan struct{}, 1),
+		sendUpdate:   func(now time.Time, s *sender) error { return a.sendUpdate(l, now, s) },
+		receive:      func(stream *wire.Stream) error { return a.receive(l, stream) },
+		onDisconnect: func(err error) { a.handleDisconnect(l, err) },
 	}
-	a.links[address] = al
-	a.running.Go(func() { al.link.run(ctx) })
-	return al
+	a.links[address] = l
+	a.running.Go(func() { l.link.run(ctx) })
+	return l
 }
 
-// wakeLink sends what an endpoint's agent should know without waiting for the interval.
+// wakeLink makes the link to an endpoint's agent send an update without waiting for the interval.
 func (a *Agents) wakeLink(endpointID string) {
-	// The fleet holds its lock here; taking ours could deadlock with SetEndpoints.
+	// The fleet calls this with its lock held, and SetEndpoints takes the two locks in the other order.
 	go func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if l := a.byID[endpointID]; l != nil {
-			wake(l.link.kick)
+			wake(l.link.wakeup)
 		}
 	}()
 }
 
-// Command sends a command to the agent beside an engine.
+// Command sends a command to the agent of an engine. It replaces one that has not been sent yet.
 func (a *Agents) Command(c *controlpb.Command) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -158,13 +159,13 @@
 		return
 	}
 	l.command = c
-	wake(l.link.kick)
+	wake(l.link.wakeup)
 }
 
-// tick sends an agent what is new.
-func (a *Agents) tick(l *agentLink, now time.Time, s *sender) error {
+// sendUpdate sends an agent the state that it does not have yet, or a heartbeat if one is due.
+func (a *Agents) sendUpdate(l *agentLink, now time.Time, s *sender) error {
 	if l.sender != s {
-		l.sender, l.sentClass = s, 0
+		l.sender, l.sentClassVersion = s, 0
 	}
 	a.mu.Lock()
 	id, service, command := l.endpoint.ID, l.endpoint.Service, l.command
@@ -175,21 +176,21 @@
 		message = &controlpb.ToAgent{}
 	}
 	message.Command = command
-	message.EngineClass = a.engineClass(service, l.sentClass)
+	message.EngineClass = a.engineClass(service, l.sentClassVersion)
 	if err := s.send(now, message, a.options.Heartbeat); err != nil {
 		return err
 	}
 	if message.EngineClass != nil {
-		l.sentClass = message.EngineClass.ConfigVersion
+		l.sentClassVersion = message.EngineClass.ConfigVersion
 	}
 	return nil
 }
 
-// engineClass returns the class of a service's engines, or nil where the agent has it.
-func (a *Agents) engineClass(service string, sent int64) *controlpb.EngineClass {
+// engineClass returns the class of a service's engines, or nil if the agent already has the current version.
+func (a *Agents) engineClass(service string, sentVersion int64) *controlpb.EngineClass {
 	config := a.fleet.Config()
 	engine := config.EngineClass(service)
-	if engine == nil || config.Version == sent {
+	if engine == nil || config.Version == sentVersion {
 		return nil
 	}
 	class := &controlpb.EngineClass{
@@ -203,7 +204,7 @@
 	return class
 }
 
-// receive takes in an agent's message.
+// receive reads and handles one message of an agent.
 func (a *Agents) receive(l *agentLink, stream *wire.Stream) error {
 	message := &controlpb.FromAgent{}
 	if err := stream.Read(message); err != nil {
@@ -211,9 +212,9 @@
 	}
 	now := time.Now()
 	a.mu.Lock()
-	l.heardAt = now
-	if a.firstHeard.IsZero() {
-		a.firstHeard = now
+	l.lastMessageAt = now
+	if a.firstMessageAt.IsZero() {
+		a.firstMessageAt = now
 	}
 	if message.Gateways != nil {
 		l.peers = message.Gateways.Addresses
@@ -224,33 +225,33 @@
 	return nil
 }
 
-// ended notes how a link ended. An agent that was killed resets its connections, and its engine is well; one that falls
-// silent stands on a host that is frozen or cut off, and the engine on that host with it.
-func (a *Agents) ended(l *agentLink, err error) {
+// handleDisconnect records whether a link failed by timeout. When an agent is killed, its connections are reset and its
+// engine still works; a timeout means that the host is frozen or unreachable, and with it the engine.
+func (a *Agents) handleDisconnect(l *agentLink, err error) {
 	a.mu.Lock()
 	id := l.endpoint.ID
 	a.mu.Unlock()
 	a.fleet.SetSilent(id, errors.Is(err, wire.ErrTimeout))
 }
 
-// HeardFor returns how long ago the first agent spoke, or zero before.
-func (a *Agents) HeardFor(now time.Time) time.Duration {
+// SinceFirstMessage returns the time since the first message of any agent, or zero if none has arrived.
+func (a *Agents) SinceFirstMessage(now time.Time) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.firstHeard.IsZero() {
+	if a.firstMessageAt.IsZero() {
 		return 0
 	}
-	return now.Sub(a.firstHeard)
+	return now.Sub(a.firstMessageAt)
 }
 
-// Peers returns the gateways that agents have lately named, this one included.
+// Peers returns this gateway and those that agents have reported as connected within peerTTL.
 func (a *Agents) Peers(now time.Time) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	seen := map[string]bool{a.options.Self: true}
 	peers := []string{a.options.Self}
 	for _, l := range a.links {
-		if now.Sub(l.heardAt) > peerMemory {
+		if now.Sub(l.lastMessageAt) > peerTTL {
 			continue
 		}
 		for _, p := range l.peers {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,6 @@
-// Package control keeps the links over which a site's processes tell each other what they know: each gateway has one to
-// every agent beside an engine, and one to the gateway that coordinates. All of it is soft state; a lost link costs
-// knowledge, never a request.
+// Package control maintains the long-lived control connections (links) of a site: each gateway has one to every engine
+// agent and one to the gateway that is the coordinator. They carry soft state only; losing a link makes that state stale
+// but never fails a request.
 package control
 
 import (
@@ -17,31 +17,31 @@
 )
 
 const (
-	// maxMessageBytes bounds a message; an engine's class with 2,700 models takes some 100 kB.
+	// maxMessageBytes bounds a message; an engine class with 2,700 models takes about 100 kB.
 	maxMessageBytes = 1 << 20
-	// redialMin and redialMax bound the jittered pause before a link is made anew. An agent that is restarted is back within
-	// half a second.
+	// redialMin and redialMax bound the jittered delay before a reconnect. A restarted agent is reachable again within half
+	// a second.
 	redialMin = 100 * time.Millisecond
 	redialMax = 600 * time.Millisecond
 )
 
 // Options are the settings of links.
 type Options struct {
-	// Self is the address at which this process listens for links; it names the process to others.
+	// Self is the address at which this process accepts links; peers identify the process by it.
 	Self string
-	// Interval is the least time between two messages of the same kind, Heartbeat the longest between any two, and
-	// SilenceLimit the silence after which a link is made anew.
+	// Interval is the time between two checks for something new to send, Heartbeat the longest time between two messages,
+	// and SilenceLimit the time without a message after which a link is closed and reconnected.
 	Interval, Heartbeat, SilenceLimit time.Duration
 }
 
-// sender is one direction of a link: it sends a message when it differs from the last one, and at each heartbeat.
+// sender is the sending side of a link. It suppresses a message that equals the last one until the heartbeat is due.
 type sender struct {
 	stream *wire.Stream
 	last   proto.Message
 	sentAt time.Time
 }
 
-// send sends a message if it says something new or the heartbeat is due.
+// send sends a message if it differs from the last one or the heartbeat is due.
 func (s *sender) send(now time.Time, m proto.Message, heartbeat time.Duration) error {
 	if s.last != nil && now.Sub(s.sentAt) < heartbeat && proto.Equal(m, s.last) {
 		return nil
@@ -53,39 +53,39 @@
 	return nil
 }
 
-// link is one connection that this process keeps open to another.
+// link is a connection to another process that is reconnected whenever it fails.
 type link struct {
 	address string
 	options Options
 	logger  *slog.Logger
-	// kick wakes the writer before its interval has passed.
-	kick chan struct{}
-	// tick sends what there is to say.
-	tick func(now time.Time, s *sender) error
-	// receive reads one message and takes it in.
+	// wakeup makes the writer send an update before the interval has passed.
+	wakeup chan struct{}
+	// sendUpdate sends the current state; it is called at each interval and wakeup.
+	sendUpdate func(now time.Time, s *sender) error
+	// receive reads and handles one message.
 	receive func(stream *wire.Stream) error
-	// ended is told why the link could not be made, or was lost; nil where nobody asks.
-	ended func(err error)
+	// onDisconnect, if set, is called with the error when a connection attempt fails or the connection is lost.
+	onDisconnect func(err error)
 }
 
-// run keeps the link until ctx ends.
+// run keeps the link connected until ctx is done.
 func (l *link) run(ctx context.Context) {
-	up := false
+	connected := false
 	for ctx.Err() == nil {
-		err := l.once(ctx, &up)
-		if l.ended != nil && ctx.Err() == nil {
-			l.ended(err)
+		err := l.runConnection(ctx, &connected)
+		if l.onDisconnect != nil && ctx.Err() == nil {
+			l.onDisconnect(err)
 		}
-		if up {
-			l.logger.Info("link lost", "event", "link_lost", "peer", l.address, "error", err)
-			up = false
+		if connected {
+			l.logger.Info("connection to peer lost", "event", "link_lost", "peer", l.address, "error", err)
+			connected = false
 		}
 		clock.Pause(ctx, redialMin+rand.N(redialMax-redialMin))
 	}
 }
 
-// once makes the connection and uses it until it fails.
-func (l *link) once(ctx context.Context, up *bool) error {
+// runConnection connects and exchanges messages until the connection fails. It sets *connected once the stream is open.
+func (l *link) runConnection(ctx context.Context, connected *bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	session, err := wire.Dial(ctx, l.address, WireOptions(l.options.SilenceLimit), l.logger)
@@ -98,8 +98,8 @@
 		return err
 	}
 	defer stream.Close()
-	*up = true
-	l.logger.Info("link made", "event", "link_made", "peer", l.address)
+	*connected = true
+	l.logger.Info("connected to peer", "event", "link_made", "peer", l.address)
 	failed := make(chan error, 1)
 	go func() { failed <- l.read(stream) }()
 	return l.write(ctx, stream, failed)
@@ -121,7 +121,7 @@
 	ticker := time.NewTicker(l.options.Interval)
 	defer ticker.Stop()
 	for {
-		if err := l.tick(time.Now(), s); err != nil {
+		if err := l.sendUpdate(time.Now(), s); err != nil {
 			return err
 		}
 		select {
@@ -130,21 +130,21 @@
 		case err := <-failed:
 			return err
 		case <-ticker.C:
-		case <-l.kick:
+		case <-l.wakeup:
 		}
 	}
 }
 
-// wake wakes a link's writer.
-func wake(kick chan struct{}) {
+// wake sends on a wakeup channel of capacity 1 without blocking.
+func wake(wakeup chan struct{}) {
 	select {
-	case kick <- struct{}{}:
+	case wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// WireOptions are the settings of the connections below links that are made anew after a silence. Their own probes are
-// slower than the links' heartbeats, which find a silent peer first.
+// WireOptions returns the options of the wire connections that carry links. Their keep-alive probes are slower than the
+// links' heartbeats, so that the heartbeats detect an unresponsive peer first.
 func WireOptions(silenceLimit time.Duration) wire.Options {
 	w := wire.DefaultOptions()
 	w.KeepAlive = 10 * silenceLimit
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -6,16 +6,16 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Register registers what a gateway's links know: how many agents it hears, how old the oldest of their words is, how many
-// gateways there are, and whether this one coordinates.
+// Register registers the metrics of a gateway's links: the number of listed and of active agents, the age of the oldest
+// last message among the active ones, the number of gateways, and whether this gateway is the coordinator.
 func Register(r prometheus.Registerer, a *Agents, p *Peers) error {
 	gauge := func(name, help string, read func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "balsamsail_control_" + name, Help: help}, read)
 	}
 	for _, c := range []prometheus.Collector{
-		gauge("agents_listed", "Agents to which there should be a link.", func() float64 { listed, _, _ := a.heard(time.Now()); return float64(listed) }),
-		gauge("agents_heard", "Agents that were heard within the silence limit.", func() float64 { _, heard, _ := a.heard(time.Now()); return float64(heard) }),
-		gauge("oldest_word_seconds", "Age of the oldest last word among the agents that are heard.", func() float64 { _, _, oldest := a.heard(time.Now()); return oldest.Seconds() }),
+		gauge("agents_listed", "Agents to which there should be a link.", func() float64 { listed, _, _ := a.linkStats(time.Now()); return float64(listed) }),
+		gauge("agents_heard", "Agents that were heard within the silence limit.", func() float64 { _, active, _ := a.linkStats(time.Now()); return float64(active) }),
+		gauge("oldest_word_seconds", "Age of the oldest last word among the agents that are heard.", func() float64 { _, _, oldest := a.linkStats(time.Now()); return oldest.Seconds() }),
 		gauge("gateways", "Gateways that are known, this one included.", func() float64 { return float64(p.Known()) }),
 		gauge("coordinates", "1 while this gateway decides on placement.", func() float64 {
 			if p.Coordinates(time.Now()) {
@@ -31,17 +31,17 @@
 	return nil
 }
 
-// heard counts the links to agents, those whose agent was heard within the silence limit, and the age of the oldest word of
-// these.
-func (a *Agents) heard(now time.Time) (listed, heard int, oldest time.Duration) {
+// linkStats returns the number of agent links, how many of them received a message within the silence limit, and the age of
+// the oldest last message among the latter.
+func (a *Agents) linkStats(now time.Time) (listed, active int, oldest time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, l := range a.links {
 		listed++
-		if age := now.Sub(l.heardAt); age <= a.options.SilenceLimit {
-			heard++
+		if age := now.Sub(l.lastMessageAt); age <= a.options.SilenceLimit {
+			active++
 			oldest = max(oldest, age)
 		}
 	}
-	return listed, heard, oldest
+	return listed, active, oldest
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// demandInterval is the time between two messages about demand; a rising model is seen that much later.
+	// demandInterval is the time between two demand messages; the coordinator sees a change of demand with up to this delay.
 	demandInterval = 200 * time.Millisecond
-	// settle is for how long a gateway must see itself as the coordinator, and have heard from agents, before it acts as one in
-	// any case: when processes start together each sees itself alone until agents name the others, and the others' demand must
-	// have come. Without the second condition six gateways gave the first engine that was listed the same command.
-	settle = 600 * time.Millisecond
-	// leastSettle is that time for a coordinator that hears every listed agent and has the demand of every gateway that these
-	// name. After a loss of power all had come within 140 ms of its start, and models were loaded 0.45 s earlier.
-	leastSettle = 150 * time.Millisecond
+	// activationDelay is how long a gateway must have been elected, and have received messages from agents, before it acts
+	// as the coordinator even with incomplete state. When processes start together, each gateway sees only itself until
+	// agents report the others, and the others' demand has yet to arrive. Without waiting for agents, six gateways sent the
+	// same command to the first listed engine.
+	activationDelay = 600 * time.Millisecond
+	// minActivationDelay replaces activationDelay once every listed agent is active and the demand of every gateway that they
+	// report has arrived. After a power loss this takes 140 ms from startup, so models are loaded 0.45 s sooner.
+	minActivationDelay = 150 * time.Millisecond
 )
 
-// Peers elects the coordinator among the gateways and brings it their demand. The coordinator is the gateway with the lowest
-// address among those that agents name as connected. Two that both see themselves as it cost needless loads and no more:
-// agents alone give orders and check each one.
+// Peers elects the coordinator among the gateways and delivers every gateway's demand to it. The coordinator is the gateway
+// with the lowest address among those that agents report as connected. Two gateways that both consider themselves the
+// coordinator cause unnecessary model loads but no other harm: only agents send orders to engines, and they check each one.
 type Peers struct {
 	options Options
 	agents  *Agents
@@ -38,14 +39,14 @@
 
 	mu     sync.Mutex
 	demand map[string]peerDemand
-	// since is when this gateway became the coordinator; zero while it is not. settled is set once it acts as one.
-	since   time.Time
-	settled bool
-	// kick wakes the link to the coordinator; nil while this gateway is it.
-	kick chan struct{}
-	// known is how many gateways there are, as far as agents name them.
-	known atomic.Int64
-	// waiting is signalled when a request of any gateway begins to wait.
+	// electedAt is when this gateway was elected coordinator; zero while it is not. active is set once it acts as one.
+	electedAt time.Time
+	active    bool
+	// coordinatorWakeup wakes the link to the coordinator; nil while this gateway is the coordinator.
+	coordinatorWakeup chan struct{}
+	// gatewayCount is the number of gateways, this one included, that agents report.
+	gatewayCount atomic.Int64
+	// waiting is signaled when a request of any gateway starts to wait for a model.
 	waiting chan struct{}
 }
 
@@ -54,7 +55,7 @@
 	message *controlpb.Demand
 }
 
-// NewPeers returns a gateway's view of its peers.
+// NewPeers returns the peer state of a gateway.
 func NewPeers(options Options, agents *Agents, f *fleet.Fleet, logger *slog.Logger) *Peers {
 	p := &Peers{
 		options: options,
@@ -64,33 +65,33 @@
 		demand:  make(map[string]peerDemand),
 		waiting: make(chan struct{}, 1),
 	}
-	f.OnWaiting(p.someoneWaits)
+	f.OnWaiting(p.signalWaiting)
 	return p
 }
 
-// someoneWaits tells the coordinator without delay that a request of this gateway begins to wait: of the 3 s within which a
-// model that sleeps should answer, loading it from disk takes 1.3 s, and waiting for the next message and decision took 0.2 s
-// of the rest on average.
-func (p *Peers) someoneWaits() {
-	// The fleet holds its lock here.
+// signalWaiting notifies the coordinator at once that a request of this gateway has started to wait. A model that is not
+// loaded should answer within 3 s, and loading it from disk takes 1.3 s; waiting for the next periodic message and decision
+// would add 0.2 s on average.
+func (p *Peers) signalWaiting() {
+	// The fleet calls this with its lock held; taking p.mu here could deadlock.
 	go func() {
 		p.mu.Lock()
-		kick := p.kick
+		wakeup := p.coordinatorWakeup
 		p.mu.Unlock()
-		if kick == nil {
-			kick = p.waiting
+		if wakeup == nil {
+			wakeup = p.waiting
 		}
-		wake(kick)
+		wake(wakeup)
 	}()
 }
 
-// Known is how many gateways there are, this one included, as far as agents have lately named them.
-func (p *Peers) Known() int { return max(1, int(p.known.Load())) }
+// Known returns the number of gateways, this one included, that agents have recently reported.
+func (p *Peers) Known() int { return max(1, int(p.gatewayCount.Load())) }
 
-// Waiting is signalled when a request of any gateway begins to wait for a model.
+// Waiting returns a channel that is signaled when a request of any gateway starts to wait for a model.
 func (p *Peers) Waiting() <-chan struct{} { return p.waiting }
 
-// Run follows the coordinator until ctx ends.
+// Run keeps track of the elected coordinator, and the link to it, until ctx is done.
 func (p *Peers) Run(ctx context.Context) {
 	current, stop := "", context.CancelFunc(func() {})
 	defer func() { stop() }()
@@ -98,9 +99,9 @@
 	defer ticker.Stop()
 	for {
 		peers := p.agents.Peers(time.Now())
-		p.known.Store(int64(len(peers)))
+		p.gatewayCount.Store(int64(len(peers)))
 		if next := slices.Min(peers); next != current {
-			p.logger.Info("coordinator chosen", "event", "coordinator", "before", current, "now", next)
+			p.logger.Info("coordinator elected", "event", "coordinator", "before", current, "now", next)
 			stop()
 			current = next
 			stop = p.follow(ctx, next)
@@ -113,12 +114,13 @@
 	}
 }
 
-// follow becomes the coordinator, or keeps a link to it.
+// follow starts a link to the coordinator, or records the election if this gateway is the coordinator. The returned function
+// stops the link.
 func (p *Peers) follow(ctx context.Context, coordinator string) context.CancelFunc {
 	p.mu.Lock()
-	p.since, p.settled, p.kick = time.Time{}, false, nil
+	p.electedAt, p.active, p.coordinatorWakeup = time.Time{}, false, nil
 	if coordinator == p.options.Self {
-		p.since = time.Now()
+		p.electedAt = time.Now()
 	}
 	p.mu.Unlock()
 	if coordinator == p.options.Self {
@@ -131,20 +133,20 @@
 		address: coordinator,
 		options: options,
 		logger:  p.logger,
-		kick:    make(chan struct{}, 1),
-		tick: func(now time.Time, s *sender) error {
+		wakeup:  make(chan struct{}, 1),
+		sendUpdate: func(now time.Time, s *sender) error {
 			return s.send(now, p.fleet.Demand(now), options.Heartbeat)
 		},
 		receive: func(stream *wire.Stream) error { return stream.Read(&controlpb.Demand{}) },
 	}
 	p.mu.Lock()
-	p.kick = l.kick
+	p.coordinatorWakeup = l.wakeup
 	p.mu.Unlock()
 	go l.run(ctx)
 	return cancel
 }
 
-// Serve takes the demand of other gateways until ctx ends.
+// Serve accepts links of other gateways and receives their demand until ctx is done.
 func (p *Peers) Serve(ctx context.Context, listener net.Listener) error {
 	return wire.Serve(ctx, listener, WireOptions(p.options.SilenceLimit), p.logger, p.serveStream)
 }
@@ -157,26 +159,26 @@
 			return
 		}
 		if err := stream.Read(message); err != nil {
-			p.logger.Debug("demand of a peer ends", "peer", header.Entry, "error", err)
+			p.logger.Debug("demand stream of peer closed", "peer", header.Entry, "error", err)
 			return
 		}
 		now := time.Now()
 		p.mu.Lock()
-		more := waitingIn(message) > waitingIn(p.demand[header.Entry].message)
+		increased := waitingModels(message) > waitingModels(p.demand[header.Entry].message)
 		p.demand[header.Entry] = peerDemand{at: now, message: message}
 		p.mu.Unlock()
-		if more {
+		if increased {
 			wake(p.waiting)
 		}
-		// The answer keeps the peer from taking the link for silent.
+		// The reply keeps the peer's silence limit from expiring.
 		if err := s.send(now, &controlpb.Demand{}, p.options.Heartbeat); err != nil {
 			return
 		}
 	}
 }
 
-// waitingIn counts the models that requests of a gateway wait for.
-func waitingIn(d *controlpb.Demand) int {
+// waitingModels returns the number of models that requests of a gateway are waiting for.
+func waitingModels(d *controlpb.Demand) int {
 	n := 0
 	for _, m := range d.GetModels() {
 		if m.Waiting > 0 {
@@ -186,40 +188,40 @@
 	return n
 }
 
-// Coordinates reports whether this gateway is the coordinator and has had time to hear from the others.
+// Coordinates reports whether this gateway is the coordinator and has passed its activation delay.
 func (p *Peers) Coordinates(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.since.IsZero() || p.settled {
-		return p.settled
+	if p.electedAt.IsZero() || p.active {
+		return p.active
 	}
-	passed := min(now.Sub(p.since), p.agents.HeardFor(now))
-	p.settled = passed >= settle || passed >= leastSettle && p.hearsAll(now)
-	return p.settled
+	elapsed := min(now.Sub(p.electedAt), p.agents.SinceFirstMessage(now))
+	p.active = elapsed >= activationDelay || elapsed >= minActivationDelay && p.hasFullState(now)
+	return p.active
 }
 
-// hearsAll reports whether every listed agent is heard, and the demand of every gateway that they name has come. The lock is
-// held.
-func (p *Peers) hearsAll(now time.Time) bool {
-	listed, heard, _ := p.agents.heard(now)
-	if heard < listed {
+// hasFullState reports whether every listed agent is active and the demand of every gateway that they report is recent. The
+// caller holds mu.
+func (p *Peers) hasFullState(now time.Time) bool {
+	listed, active, _ := p.agents.linkStats(now)
+	if active < listed {
 		return false
 	}
 	for _, peer := range p.agents.Peers(now) {
-		if d, ok := p.demand[peer]; peer != p.options.Self && (!ok || now.Sub(d.at) > peerMemory) {
+		if d, ok := p.demand[peer]; peer != p.options.Self && (!ok || now.Sub(d.at) > peerTTL) {
 			return false
 		}
 	}
 	return true
 }
 
-// Demand returns what the gateways' requests ask for, this one's included, by gateway.
+// Demand returns the demand of all gateways, this one included, by gateway address.
 func (p *Peers) Demand(now time.Time) map[string]*controlpb.Demand {
 	all := map[string]*controlpb.Demand{p.options.Self: p.fleet.Demand(now)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for peer, d := range p.demand {
-		if now.Sub(d.at) > peerMemory {
+		if now.Sub(d.at) > peerTTL {
 			delete(p.demand, peer)
 			continue
 		}
