--- a/internal/engineagent/adapters.go
+++ b/internal/engineagent/adapters.go
@@ -6,33 +6,33 @@
 	"balsamsail/internal/nameset"
 )
 
-// adaptersHeld counts the engine's adapters, those on their way included.
-func (c *Core) adaptersHeld() int {
-	held := 0
+// adapterCount returns the number of the engine's adapters, including those being fetched.
+func (c *Core) adapterCount() int {
+	count := 0
 	for _, adapters := range c.report.Models {
-		held += len(adapters)
+		count += len(adapters)
 	}
 	for a := range c.report.Fetching {
 		if !c.report.Models[a.Model][a.Name] {
-			held++
+			count++
 		}
 	}
-	return held
+	return count
 }
 
-// adapterOrder returns the order that brings the next adapter that requests wait for, or makes room for it. An engine that
-// carries out an order on a model refuses all others until it is done.
+// adapterOrder returns an order that loads an adapter that requests wait for, or that unloads another one to make room. It
+// returns nil while the engine carries out a model order, because the engine refuses all other orders until that is done.
 func (c *Core) adapterOrder(now time.Time) *Order {
 	if c.report.Busy {
 		return nil
 	}
 	for a, at := range c.wanted {
-		if now.Sub(at) > wishLife {
+		if now.Sub(at) > wantedTTL {
 			delete(c.wanted, a)
 			continue
 		}
-		adapters, held := c.report.Models[a.Model]
-		if !held || c.unloads(a.Model) || c.report.Fetching[a] {
+		adapters, loaded := c.report.Models[a.Model]
+		if !loaded || c.commandUnloads(a.Model) || c.report.Fetching[a] {
 			continue
 		}
 		if adapters[a.Name] {
@@ -40,21 +40,21 @@
 			continue
 		}
 		c.lastUsed[a] = now
-		if c.adaptersHeld() < c.class.AdapterPlaces && c.memoryFree()-c.reservedByCommand() >= c.class.Models[a.Model].AdapterMB {
+		if c.adapterCount() < c.class.AdapterPlaces && c.memoryFree()-c.reservedByCommand() >= c.class.Models[a.Model].AdapterMB {
 			return &Order{Kind: Load, Model: a.Model, Adapter: a.Name}
 		}
-		if victim, ok := c.idlestAdapter(now); ok {
+		if victim, ok := c.leastRecentlyUsedAdapter(now); ok {
 			return &Order{Kind: Unload, Model: victim.Model, Adapter: victim.Name}
 		}
 	}
 	return nil
 }
 
-// reservedByCommand is the memory that the command's load will take.
+// reservedByCommand returns the memory that the current command's load will take.
 //
-// An engine that carries out a load does not show the model before it is complete. Memory that an adapter took in the
-// meantime would be missing then. An agent that was restarted meanwhile does not know which model it is, and reserves for
-// the largest.
+// An engine does not report a model until its load is complete; an adapter loaded in the meantime could take the memory
+// that the model needs. An agent that restarted during a load does not know which model is being loaded and reserves memory
+// for the largest one.
 func (c *Core) reservedByCommand() float64 {
 	if c.command == nil && c.report.Busy {
 		return c.largestModel()
@@ -79,8 +79,8 @@
 	return largest
 }
 
-// unloads reports whether the command takes a model away.
-func (c *Core) unloads(model string) bool {
+// commandUnloads reports whether the current command unloads a model.
+func (c *Core) commandUnloads(model string) bool {
 	if c.command == nil {
 		return false
 	}
@@ -92,14 +92,14 @@
 	return false
 }
 
-// idlestAdapter returns the adapter that no request uses and that was used longest ago.
-func (c *Core) idlestAdapter(now time.Time) (Adapter, bool) {
+// leastRecentlyUsedAdapter returns the least recently used adapter that no request uses or waits for.
+func (c *Core) leastRecentlyUsedAdapter(now time.Time) (Adapter, bool) {
 	inUse := make(map[Adapter]bool)
-	for _, e := range c.gateways {
-		if now.Sub(e.heard) >= gatewayLife {
+	for _, g := range c.gateways {
+		if now.Sub(g.lastMessageAt) >= gatewayTTL {
 			continue
 		}
-		for _, a := range e.used {
+		for _, a := range g.used {
 			inUse[a] = true
 		}
 	}
@@ -108,7 +108,7 @@
 	for model, adapters := range c.report.Models {
 		for name := range adapters {
 			a := Adapter{Model: model, Name: name}
-			if _, wished := c.wanted[a]; wished || inUse[a] || c.report.Fetching[a] {
+			if _, wanted := c.wanted[a]; wanted || inUse[a] || c.report.Fetching[a] {
 				continue
 			}
 			if !found || c.lastUsed[a].Before(c.lastUsed[victim]) {
--- a/internal/engineagent/agent.go
+++ b/internal/engineagent/agent.go
@@ -15,47 +15,47 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// Engine makes the calls of the engine.
+// Engine is a client of the engine's control API.
 type Engine interface {
-	// Report reads the engine's word on itself.
+	// Report reads the engine's report.
 	Report(ctx context.Context) (*Report, error)
-	// Order gives an order. The error says why the result is Unknown or Rejected.
+	// Order sends an order. The error says why the result is Unknown or Rejected.
 	Order(ctx context.Context, o Order) (Result, error)
 }
 
 // Options are the settings of an Agent.
 type Options struct {
 	ReportInterval time.Duration
-	// Timeout bounds one call of the engine.
+	// Timeout bounds one call to the engine.
 	Timeout time.Duration
-	// Heartbeat is the longest time between two messages to a gateway, and SilenceLimit the silence after which a gateway's
-	// stream ends.
+	// Heartbeat is the longest time between two messages to a gateway, and SilenceLimit the time without a message after
+	// which a gateway's stream is closed.
 	Heartbeat, SilenceLimit time.Duration
 	Wire                    wire.Options
 }
 
-// loadStep is the change of an engine's requests that is told before the next heartbeat.
-const loadStep = 2
+// loadChangeThreshold is the change in the engine's request counts that is sent without waiting for the next heartbeat.
+const loadChangeThreshold = 2
 
-// Agent drives a Core: it makes the calls and talks to the gateways.
+// Agent runs a Core: it makes the calls to the engine and exchanges messages with the gateways.
 type Agent struct {
 	options Options
 	engine  Engine
 	logger  *slog.Logger
 	metrics *Metrics
 
-	mu       sync.Mutex
-	core     *Core
-	state    *controlpb.EngineState
-	running  int
-	queued   int
-	gateways []string
-	changed  chan struct{}
-	wake     chan struct{}
-	dark     bool
+	mu         sync.Mutex
+	core       *Core
+	state      *controlpb.EngineState
+	running    int
+	queued     int
+	gateways   []string
+	changed    chan struct{}
+	wakeup     chan struct{}
+	engineLost bool
 }
 
-// New returns an agent beside an engine.
+// New returns the agent of an engine.
 func New(options Options, engine Engine, logger *slog.Logger, metrics *Metrics) *Agent {
 	return &Agent{
 		options: options,
@@ -64,11 +64,11 @@
 		metrics: metrics,
 		core:    NewCore(options.ReportInterval),
 		changed: make(chan struct{}),
-		wake:    make(chan struct{}, 1),
+		wakeup:  make(chan struct{}, 1),
 	}
 }
 
-// Run reads reports and gives orders until ctx ends.
+// Run reads reports and sends orders until ctx is done.
 func (a *Agent) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		a.mu.Lock()
@@ -76,9 +76,9 @@
 		a.mu.Unlock()
 		switch {
 		case action.Read:
-			a.read(ctx)
+			a.readReport(ctx)
 		case action.Order != nil:
-			a.order(ctx, *action.Order)
+			a.sendOrder(ctx, *action.Order)
 		default:
 			a.sleep(ctx, time.Until(action.At))
 		}
@@ -90,52 +90,52 @@
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-a.wake:
+	case <-a.wakeup:
 	case <-timer.C:
 	}
 }
 
-func (a *Agent) read(ctx context.Context) {
+func (a *Agent) readReport(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, a.options.Timeout)
 	defer cancel()
 	report, err := a.engine.Report(ctx)
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.metrics.reported(now, report, len(a.gateways))
+	a.metrics.observeReport(now, report, len(a.gateways))
 	if err != nil {
-		if !a.dark {
-			a.dark = true
-			a.logger.Warn("engine does not report", "event", "engine_lost", "error", err)
+		if !a.engineLost {
+			a.engineLost = true
+			a.logger.Warn("failed to read engine report", "event", "engine_lost", "error", err)
 		}
-		a.core.NoReport(now)
+		a.core.HandleReportFailure(now)
 		a.publish(now)
 		return
 	}
-	if a.dark {
-		a.dark = false
-		a.logger.Info("engine reports again", "event", "engine_back", "sequence", report.Sequence)
+	if a.engineLost {
+		a.engineLost = false
+		a.logger.Info("engine report available again", "event", "engine_back", "sequence", report.Sequence)
 	}
-	a.core.Reported(now, report)
+	a.core.HandleReport(now, report)
 	a.publish(now)
 }
 
-func (a *Agent) order(ctx context.Context, o Order) {
+func (a *Agent) sendOrder(ctx context.Context, o Order) {
 	ctx, cancel := context.WithTimeout(ctx, a.options.Timeout)
 	defer cancel()
-	began := time.Now()
+	started := time.Now()
 	result, err := a.engine.Order(ctx, o)
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.metrics.ordered(o, result, now.Sub(began))
-	a.logger.Info("order given", "event", "order", "unload", o.Kind == Unload, "model", o.Model, "adapter", o.Adapter,
+	a.metrics.observeOrder(o, result, now.Sub(started))
+	a.logger.Info("order sent to engine", "event", "order", "unload", o.Kind == Unload, "model", o.Model, "adapter", o.Adapter,
 		"endpoint", o.EndpointID, "sequence", o.Sequence, "result", result.String(), "error", err)
-	a.core.Answered(now, o, result)
+	a.core.HandleOrderResult(now, o, result)
 	a.publish(now)
 }
 
-// publish works out what the gateways should know and wakes their streams where it has changed. The lock is held.
+// publish updates the state that is sent to gateways and wakes the streams' writers if it has changed. The caller holds mu.
 func (a *Agent) publish(now time.Time) {
 	state := a.core.state(now)
 	if state == nil {
@@ -145,22 +145,22 @@
 	state.CommandAgeMs = 0
 	gateways := a.core.Gateways(now)
 	slices.Sort(gateways)
-	running, queued := a.core.load()
-	loadChanged := abs(running-a.running)+abs(queued-a.queued) >= loadStep
-	structureChanged := a.state == nil || !equalButAge(a.state, state) || !slices.Equal(gateways, a.gateways)
+	running, queued := a.core.requestCounts()
+	loadChanged := abs(running-a.running)+abs(queued-a.queued) >= loadChangeThreshold
+	stateChanged := a.state == nil || !equalExceptAge(a.state, state) || !slices.Equal(gateways, a.gateways)
 	state.CommandAgeMs = age
-	if !structureChanged && !loadChanged {
+	if !stateChanged && !loadChanged {
 		return
 	}
 	a.running, a.queued = running, queued
-	if structureChanged {
+	if stateChanged {
 		a.state, a.gateways = state, gateways
 	}
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-func equalButAge(a, b *controlpb.EngineState) bool {
+func equalExceptAge(a, b *controlpb.EngineState) bool {
 	age := a.CommandAgeMs
 	a.CommandAgeMs = b.CommandAgeMs
 	equal := proto.Equal(a, b)
@@ -170,7 +170,7 @@
 
 func abs(n int) int { return max(n, -n) }
 
-// Serve takes the links of gateways until ctx ends.
+// Serve accepts links of gateways until ctx is done.
 func (a *Agent) Serve(ctx context.Context, listener net.Listener) error {
 	return wire.Serve(ctx, listener, a.options.Wire, a.logger, a.serveStream)
 }
@@ -182,13 +182,13 @@
 	var writer sync.WaitGroup
 	writer.Go(func() { a.write(ctx, stream) })
 	err := a.receive(header.Entry, stream)
-	a.logger.Info("gateway gone", "event", "link_lost", "peer", header.Entry, "error", err)
+	a.logger.Info("gateway disconnected", "event", "link_lost", "peer", header.Entry, "error", err)
 	cancel()
 	_ = stream.Close()
 	writer.Wait()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.core.Forget(header.Entry)
+	a.core.RemoveGateway(header.Entry)
 }
 
 func (a *Agent) receive(name string, stream *wire.Stream) error {
@@ -201,16 +201,16 @@
 			return err
 		}
 		a.mu.Lock()
-		a.core.FromGateway(time.Now(), name, decode(message))
+		a.core.HandleGatewayMessage(time.Now(), name, decode(message))
 		a.mu.Unlock()
 		select {
-		case a.wake <- struct{}{}:
+		case a.wakeup <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// write tells a gateway what changes, and at each heartbeat.
+// write sends a gateway the state whenever it changes and at each heartbeat.
 func (a *Agent) write(ctx context.Context, stream *wire.Stream) {
 	var sentState *controlpb.EngineState
 	var sentGateways []string
--- a/internal/engineagent/core.go
+++ b/internal/engineagent/core.go
@@ -1,6 +1,6 @@
-// Package engineagent runs beside one engine and is the only one that gives it orders. It reads the engine's report where
-// that is fresh and free, tells the gateways what it sees, and carries out what they ask for as far as the engine's memory
-// and places allow.
+// Package engineagent implements the agent that runs on the host of one engine and is the only process that sends it orders.
+// The agent polls the engine's report locally, where it is up to date and cheap to read, publishes the engine's state to the
+// gateways, and carries out their requests as far as the engine's memory and adapter capacity allow.
 package engineagent
 
 import (
@@ -10,25 +10,25 @@
 )
 
 const (
-	// commandLife is for how long a command is pursued. A load from the weight store takes 6 to 13 s, several times as long
-	// when many run.
-	commandLife = 90 * time.Second
-	// orderPause is the pause after an order that the engine refused or did not answer.
-	orderPause = 60 * time.Millisecond
-	// busyReportInterval is the time between reports while the engine carries out an order, whose end requests wait for.
+	// commandTimeout is how long the agent tries to complete a command. A load from the weight store takes 6 to 13 s, and
+	// several times as long when many loads run at once.
+	commandTimeout = 90 * time.Second
+	// orderRetryDelay is the delay before the next order after one that the engine refused or did not answer.
+	orderRetryDelay = 60 * time.Millisecond
+	// busyReportInterval is the report interval while the engine carries out an order, since requests wait for its completion.
 	busyReportInterval = 40 * time.Millisecond
-	// wishLife is for how long a wish for an adapter counts. Requests that still wait repeat it.
-	wishLife = 400 * time.Millisecond
-	// gatewayLife is for how long a gateway's last message counts.
-	gatewayLife = 1500 * time.Millisecond
+	// wantedTTL is how long a request for an adapter stays valid. Gateways repeat it while requests wait for the adapter.
+	wantedTTL = 400 * time.Millisecond
+	// gatewayTTL is how long a gateway's last message stays valid.
+	gatewayTTL = 1500 * time.Millisecond
 )
 
-// Model is what an operator declares of a model.
+// Model is the operator's declaration of a model.
 type Model struct {
 	SizeMB, AdapterMB float64
 }
 
-// EngineClass is what an operator declares of the engine.
+// EngineClass is the operator's declaration of the engine.
 type EngineClass struct {
 	Version       int64
 	MemoryMB      float64
@@ -36,25 +36,25 @@
 	Models        map[string]Model
 }
 
-// Adapter names an adapter of a model.
+// Adapter identifies an adapter of a model.
 type Adapter struct{ Model, Name string }
 
-// Report is the engine's word on itself.
+// Report is the state that the engine reports.
 type Report struct {
-	// Models that it holds, with their adapters.
+	// Models holds the loaded models, each with its loaded adapters.
 	Models map[string]map[string]bool
-	// Fetching lists adapters that are on their way to it.
+	// Fetching holds the adapters that are being fetched.
 	Fetching map[Adapter]bool
-	// Busy is set while it carries out an order on a model.
+	// Busy is set while the engine carries out an order on a model.
 	Busy bool
-	// Sequence counts the orders that it has accepted.
+	// Sequence is the number of orders that the engine has accepted.
 	Sequence        int64
 	Running, Queued int
-	// InMemory and OnDisk are the models of which the host keeps copies.
+	// InMemory and OnDisk are the models whose weights the host has cached.
 	InMemory, OnDisk map[string]bool
 }
 
-// OrderKind is what an order asks for.
+// OrderKind is the operation that an order requests.
 type OrderKind int
 
 // The kinds of orders.
@@ -63,35 +63,35 @@
 	Unload
 )
 
-// Order is an order to the engine.
+// Order requests that the engine load or unload a model, or an adapter if Adapter is set.
 type Order struct {
 	Kind    OrderKind
 	Model   string
 	Adapter string
-	// EndpointID is the incarnation that may carry it out.
+	// EndpointID is the engine incarnation that the order is meant for; another one refuses it.
 	EndpointID string
-	// Sequence is how many orders the engine must have accepted before.
+	// Sequence is the number of accepted orders that the engine must be at.
 	//
-	// It guards against an order whose answer was lost and that reaches the engine seconds later, behind newer ones: its
-	// sequence has passed by then, and the engine drops it. Without it a late load would come on top of a newer one and
+	// It guards against an order whose response was lost and that reaches the engine seconds later, after newer ones: the
+	// engine has moved past its sequence and rejects it. Otherwise a delayed load would be added to a newer one and
 	// overcommit the engine's memory, which crashes it.
 	Sequence int64
 }
 
-// Result is the engine's answer to an order.
+// Result is the outcome of an order.
 type Result int
 
 // The results of an order.
 const (
-	// Accepted: the order is or will be carried out, or holds already.
+	// Accepted means that the engine has carried out the order, will do so, or is already in the requested state.
 	Accepted Result = iota
-	// Conflict: another order is in progress, or the sequence differs.
+	// Conflict means that another order is in progress or the sequence does not match.
 	Conflict
-	// WrongEndpoint: another incarnation answers at the address.
+	// WrongEndpoint means that a different incarnation is listening at the address.
 	WrongEndpoint
-	// Rejected: the engine will not carry it out.
+	// Rejected means that the engine will not carry out the order.
 	Rejected
-	// Unknown: no answer came; the order may have been accepted, or may be later.
+	// Unknown means that the outcome is unknown: the order may have been accepted or may still be accepted later.
 	Unknown
 )
 
@@ -99,7 +99,7 @@
 	return [...]string{"accepted", "conflict", "wrong_endpoint", "rejected", "unknown"}[r]
 }
 
-// Command asks for a change of the models that the engine holds.
+// Command requests a change of the loaded models: unload those in Unload, then load Load.
 type Command struct {
 	ID         uint64
 	EndpointID string
@@ -107,7 +107,7 @@
 	Load       string
 }
 
-// GatewayMessage is what a gateway tells.
+// GatewayMessage is a message from a gateway.
 type GatewayMessage struct {
 	EndpointID       string
 	EndpointRevision int64
@@ -116,13 +116,13 @@
 	Command          *Command
 }
 
-// gateway is what a gateway told last.
+// gateway is the state of a connected gateway, from its last message.
 type gateway struct {
-	heard time.Time
-	used  []Adapter
+	lastMessageAt time.Time
+	used          []Adapter
 }
 
-// Core decides what the agent does next. It has no I/O and no clock.
+// Core is the agent's state machine: it decides what the agent does next. It does no I/O and reads no clock.
 type Core struct {
 	reportInterval time.Duration
 
@@ -135,24 +135,24 @@
 
 	report   *Report
 	reportAt time.Time
-	// stale is set when an order has been sent since the report: no further one is decided on it.
+	// stale is set when an order has been sent since the report was read; no further order may be based on that report.
 	stale bool
-	// down is set while the engine does not answer.
+	// down is set while the engine does not respond.
 	down bool
-	// calling is set while a call of the engine is under way.
-	calling bool
-	// notBefore is when the next order may be sent.
+	// callInFlight is set while a call to the engine is in progress.
+	callInFlight bool
+	// notBefore is the earliest time for the next order.
 	notBefore time.Time
 
-	command   *Command
-	commandAt time.Time
+	command          *Command
+	commandStartedAt time.Time
 	// loading is set once the engine has accepted the command's load.
 	loading bool
-	// finished is the last command that was taken up.
-	finished uint64
+	// lastCommandID identifies the command that was accepted last.
+	lastCommandID uint64
 }
 
-// NewCore returns a core that reads the report at the given interval.
+// NewCore returns a Core that reads the engine's report at the given interval.
 func NewCore(reportInterval time.Duration) *Core {
 	return &Core{
 		reportInterval: reportInterval,
@@ -162,14 +162,14 @@
 	}
 }
 
-// FromGateway takes in a gateway's message.
-func (c *Core) FromGateway(now time.Time, name string, m GatewayMessage) {
-	e := c.gateways[name]
-	if e == nil {
-		e = &gateway{}
-		c.gateways[name] = e
+// HandleGatewayMessage handles a message from the named gateway.
+func (c *Core) HandleGatewayMessage(now time.Time, name string, m GatewayMessage) {
+	g := c.gateways[name]
+	if g == nil {
+		g = &gateway{}
+		c.gateways[name] = g
 	}
-	e.heard, e.used = now, m.Used
+	g.lastMessageAt, g.used = now, m.Used
 	for _, a := range m.Used {
 		c.lastUsed[a] = now
 	}
@@ -183,71 +183,72 @@
 	for _, a := range m.Wanted {
 		c.wanted[a] = now
 	}
-	c.takeCommand(now, m.Command)
+	c.acceptCommand(now, m.Command)
 }
 
-// takeCommand takes up a command unless one is being carried out.
-func (c *Core) takeCommand(now time.Time, command *Command) {
+// acceptCommand makes a command the current one. It ignores a command for another incarnation, and any command while one is
+// being carried out.
+func (c *Core) acceptCommand(now time.Time, command *Command) {
 	if command == nil || c.command != nil || command.EndpointID != c.endpointID {
 		return
 	}
-	c.command, c.commandAt, c.loading, c.finished = command, now, false, command.ID
+	c.command, c.commandStartedAt, c.loading, c.lastCommandID = command, now, false, command.ID
 }
 
-// Forget drops a gateway whose link has ended.
-func (c *Core) Forget(name string) { delete(c.gateways, name) }
+// RemoveGateway removes a gateway whose link was closed.
+func (c *Core) RemoveGateway(name string) { delete(c.gateways, name) }
 
-// Gateways returns the gateways that are connected.
+// Gateways returns the names of the connected gateways.
 func (c *Core) Gateways(now time.Time) []string {
 	var names []string
-	for name, e := range c.gateways {
-		if now.Sub(e.heard) < gatewayLife {
+	for name, g := range c.gateways {
+		if now.Sub(g.lastMessageAt) < gatewayTTL {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// Reported takes in the engine's report.
-func (c *Core) Reported(now time.Time, r *Report) {
+// HandleReport handles a report of the engine.
+func (c *Core) HandleReport(now time.Time, r *Report) {
 	if c.report != nil && r.Sequence < c.report.Sequence {
-		// The engine was restarted and has forgotten its orders.
+		// The engine has restarted, and its order count started over.
 		c.command = nil
 	}
-	c.report, c.reportAt, c.stale, c.calling, c.down = r, now, false, false, false
-	c.finishCommand(now)
+	c.report, c.reportAt, c.stale, c.callInFlight, c.down = r, now, false, false, false
+	c.clearFinishedCommand(now)
 }
 
-// NoReport notes that the engine did not answer.
-func (c *Core) NoReport(now time.Time) {
-	c.calling, c.down = false, true
+// HandleReportFailure marks the engine as down after a failed read of its report.
+func (c *Core) HandleReportFailure(now time.Time) {
+	c.callInFlight, c.down = false, true
 	c.reportAt = now
 }
 
-// load returns the engine's requests.
-func (c *Core) load() (running, queued int) {
+// requestCounts returns the engine's running and queued requests.
+func (c *Core) requestCounts() (running, queued int) {
 	if c.report == nil || c.down {
 		return 0, 0
 	}
 	return c.report.Running, c.report.Queued
 }
 
-// finishCommand ends a command that holds, or that can't be carried out in its time.
-func (c *Core) finishCommand(now time.Time) {
+// clearFinishedCommand clears the current command once it is complete, has failed or has timed out.
+func (c *Core) clearFinishedCommand(now time.Time) {
 	if c.command == nil {
 		return
 	}
 	_, loaded := c.report.Models[c.command.Load]
-	gone := !nameset.HoldsAny(c.report.Models, c.command.Unload)
+	unloaded := !nameset.HoldsAny(c.report.Models, c.command.Unload)
 	failed := c.loading && !c.report.Busy && !loaded
-	if (loaded || c.command.Load == "") && gone || failed || now.Sub(c.commandAt) > commandLife {
+	if (loaded || c.command.Load == "") && unloaded || failed || now.Sub(c.commandStartedAt) > commandTimeout {
 		c.command = nil
 	}
 }
 
-// Answered takes in the engine's answer to an order.
-func (c *Core) Answered(now time.Time, o Order, result Result) {
-	c.calling, c.stale = false, true
+// HandleOrderResult handles the result of an order.
+func (c *Core) HandleOrderResult(now time.Time, o Order, result Result) {
+	c.callInFlight, c.stale = false, true
 	c.reportAt = time.Time{}
 	switch result {
 	case Accepted:
@@ -261,32 +262,32 @@
 		if o.Adapter == "" {
 			c.command = nil
 		}
-		c.notBefore = now.Add(orderPause)
+		c.notBefore = now.Add(orderRetryDelay)
 	default:
-		c.notBefore = now.Add(orderPause)
+		c.notBefore = now.Add(orderRetryDelay)
 	}
 }
 
-// Action is what the shell does next.
+// Action is what the Agent has to do next.
 type Action struct {
-	// Read asks for the engine's report, Order gives it an order; at most one of them is set.
+	// Read requests a read of the engine's report, Order the sending of an order; at most one of them is set.
 	Read  bool
 	Order *Order
-	// At is when Next is to be called again if nothing happens before.
+	// At is when to call Next again, if no event occurs earlier.
 	At time.Time
 }
 
-// Next returns what to do now.
+// Next returns the next action.
 func (c *Core) Next(now time.Time) Action {
-	if c.calling {
+	if c.callInFlight {
 		return Action{At: now.Add(c.reportInterval)}
 	}
 	if !c.down && (c.report == nil || c.stale) || now.Sub(c.reportAt) >= c.interval() {
-		c.calling = true
+		c.callInFlight = true
 		return Action{Read: true}
 	}
 	if order := c.nextOrder(now); order != nil {
-		c.calling = true
+		c.callInFlight = true
 		return Action{Order: order}
 	}
 	return Action{At: c.reportAt.Add(c.interval())}
@@ -299,7 +300,7 @@
 	return c.reportInterval
 }
 
-// nextOrder returns the order to give now, if there is one.
+// nextOrder returns the next order to send, or nil.
 func (c *Core) nextOrder(now time.Time) *Order {
 	if c.endpointID == "" || c.class == nil || c.down || now.Before(c.notBefore) {
 		return nil
@@ -310,7 +311,7 @@
 	return c.stamp(c.commandOrder())
 }
 
-// stamp binds an order to the engine's incarnation and to the report that it was decided on.
+// stamp binds an order to the engine's incarnation and to the sequence of the report on which the order is based.
 func (c *Core) stamp(o *Order) *Order {
 	if o != nil {
 		o.EndpointID, o.Sequence = c.endpointID, c.report.Sequence
@@ -318,7 +319,7 @@
 	return o
 }
 
-// commandOrder returns the next order of the command.
+// commandOrder returns the next order of the current command, or nil. It drops a command whose load does not fit in memory.
 func (c *Core) commandOrder() *Order {
 	if c.command == nil || c.report.Busy {
 		return nil
@@ -339,7 +340,7 @@
 	return &Order{Kind: Load, Model: load}
 }
 
-// memoryFree is the memory that neither models nor adapters take, those on their way included.
+// memoryFree returns the memory not taken by models and adapters, including adapters being fetched.
 func (c *Core) memoryFree() float64 {
 	free := c.class.MemoryMB
 	for name, adapters := range c.report.Models {
--- a/internal/engineagent/core_test.go
+++ b/internal/engineagent/core_test.go
@@ -9,7 +9,7 @@
 
 var start = time.Unix(1000, 0)
 
-// testClass is that of an engine with three places for models and four for adapters.
+// testClass returns the class of an engine with memory for three models and capacity for four adapters.
 func testClass() *EngineClass {
 	class := &EngineClass{Version: 1, MemoryMB: 230_000, AdapterPlaces: 4, Models: make(map[string]Model)}
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
@@ -18,14 +18,15 @@
 	return class
 }
 
-// lateOrder is an order that reaches the engine long after it was sent.
-type lateOrder struct {
+// delayedOrder is an order that reaches the engine seconds after it was sent.
+type delayedOrder struct {
 	at    time.Time
 	order Order
 }
 
-// engine is a small model of an engine that carries out orders and breaks when its memory or places are overcommitted.
-type engine struct {
+// fakeEngine simulates an engine that carries out orders. It fails the test when its memory or adapter capacity is
+// overcommitted.
+type fakeEngine struct {
 	t        *testing.T
 	id       string
 	class    *EngineClass
@@ -33,21 +34,21 @@
 	sequence int64
 	busy     *Order
 	busyEnds time.Time
-	late     []lateOrder
-	// refusedBusy counts the orders that came while it carried out another.
-	refusedBusy int
+	delayed  []delayedOrder
+	// ordersWhileBusy counts the orders that arrived while the engine was carrying out another one.
+	ordersWhileBusy int
 }
 
-func newEngine(t *testing.T, models ...string) *engine {
-	e := &engine{t: t, id: "i1", class: testClass(), models: make(map[string]map[string]bool)}
+func newEngine(t *testing.T, models ...string) *fakeEngine {
+	e := &fakeEngine{t: t, id: "i1", class: testClass(), models: make(map[string]map[string]bool)}
 	for _, m := range models {
 		e.models[m] = make(map[string]bool)
 	}
 	return e
 }
 
-// advance finishes what is due and carries out orders that come late.
-func (e *engine) advance(now time.Time) {
+// advance completes the current order if it is due and handles the delayed orders that have arrived.
+func (e *fakeEngine) advance(now time.Time) {
 	if e.busy != nil && !now.Before(e.busyEnds) {
 		if e.busy.Kind == Load {
 			e.models[e.busy.Model] = make(map[string]bool)
@@ -56,24 +57,24 @@
 		}
 		e.busy = nil
 	}
-	rest := e.late[:0]
-	for _, l := range e.late {
-		if now.Before(l.at) {
-			rest = append(rest, l)
+	pending := e.delayed[:0]
+	for _, d := range e.delayed {
+		if now.Before(d.at) {
+			pending = append(pending, d)
 			continue
 		}
-		e.take(now, l.order)
+		e.handleOrder(now, d.order)
 	}
-	e.late = rest
+	e.delayed = pending
 }
 
-// take carries out an order and checks that it overcommits nothing.
-func (e *engine) take(now time.Time, o Order) Result {
+// handleOrder starts to carry out an order and checks that the engine's capacity suffices.
+func (e *fakeEngine) handleOrder(now time.Time, o Order) Result {
 	if o.EndpointID != e.id {
 		return WrongEndpoint
 	}
 	if e.busy != nil {
-		e.refusedBusy++
+		e.ordersWhileBusy++
 	}
 	if o.Sequence != e.sequence || e.busy != nil {
 		return Conflict
@@ -87,11 +88,11 @@
 	default:
 		e.busy, e.busyEnds = &o, now.Add(time.Second)
 	}
-	e.check(o)
+	e.checkCapacity(o)
 	return Accepted
 }
 
-func (e *engine) check(o Order) {
+func (e *fakeEngine) checkCapacity(o Order) {
 	used, adapters := 0.0, 0
 	for m, list := range e.models {
 		used += e.class.Models[m].SizeMB + float64(len(list))*e.class.Models[m].AdapterMB
@@ -105,7 +106,7 @@
 	}
 }
 
-func (e *engine) report() *Report {
+func (e *fakeEngine) report() *Report {
 	r := &Report{Models: make(map[string]map[string]bool), Busy: e.busy != nil, Sequence: e.sequence}
 	for m, list := range e.models {
 		r.Models[m] = make(map[string]bool)
@@ -116,86 +117,85 @@
 	return r
 }
 
-// drive runs a core against an engine for a time; answer says what becomes of each order.
-func drive(c *Core, e *engine, now time.Time, length time.Duration, answer func(now time.Time, o Order) Result) time.Time {
+// drive runs a core against an engine for the given length of simulated time; answer returns the result of each order.
+func drive(c *Core, e *fakeEngine, now time.Time, length time.Duration, answer func(now time.Time, o Order) Result) time.Time {
 	for end := now.Add(length); now.Before(end); now = now.Add(10 * time.Millisecond) {
 		e.advance(now)
 		action := c.Next(now)
 		switch {
 		case action.Read:
-			c.Reported(now, e.report())
+			c.HandleReport(now, e.report())
 		case action.Order != nil:
-			c.Answered(now, *action.Order, answer(now, *action.Order))
+			c.HandleOrderResult(now, *action.Order, answer(now, *action.Order))
 		}
 	}
 	return now
 }
 
-func tell(c *Core, now time.Time, m GatewayMessage) {
+func sendGatewayMessage(c *Core, now time.Time, m GatewayMessage) {
 	m.EndpointID, m.EndpointRevision, m.Class = "i1", 1, testClass()
-	c.FromGateway(now, "gateway", m)
+	c.HandleGatewayMessage(now, "gateway", m)
 }
 
 func TestCommandSwapsModels(t *testing.T) {
 	c, e := NewCore(100*time.Millisecond), newEngine(t, "a", "b", "c")
-	tell(c, start, GatewayMessage{Command: &Command{ID: 1, EndpointID: "i1", Unload: []string{"b"}, Load: "d"}})
-	drive(c, e, start, 4*time.Second, e.take)
+	sendGatewayMessage(c, start, GatewayMessage{Command: &Command{ID: 1, EndpointID: "i1", Unload: []string{"b"}, Load: "d"}})
+	drive(c, e, start, 4*time.Second, e.handleOrder)
 	if _, ok := e.models["d"]; !ok || len(e.models) != 3 {
-		t.Errorf("the engine holds %v, want a, c and d", e.models)
+		t.Errorf("loaded models %v, want a, c and d", e.models)
 	}
 	if c.command != nil {
-		t.Error("the command is still being carried out")
+		t.Error("the command is not cleared")
 	}
 }
 
-// A command that would overcommit memory is dropped, whatever its sender believed.
+// A command that would overcommit the engine's memory is dropped.
 func TestCommandWithoutRoomIsDropped(t *testing.T) {
 	c, e := NewCore(100*time.Millisecond), newEngine(t, "a", "b", "c")
-	tell(c, start, GatewayMessage{Command: &Command{ID: 1, EndpointID: "i1", Load: "d"}})
-	drive(c, e, start, 2*time.Second, e.take)
+	sendGatewayMessage(c, start, GatewayMessage{Command: &Command{ID: 1, EndpointID: "i1", Load: "d"}})
+	drive(c, e, start, 2*time.Second, e.handleOrder)
 	if e.sequence != 0 || c.command != nil {
 		t.Errorf("%d orders accepted, command %v, want none", e.sequence, c.command)
 	}
 }
 
-// Story: the answer to a load is lost, and the load reaches the engine seconds later, when the agent has long carried out
-// something else. The engine's memory would be overcommitted and the engine crash. The sequence in each order keeps the late one
-// from being carried out; an engine never takes both.
+// The response to a load order is lost, and the order reaches the engine seconds later, after newer orders. Carrying out both
+// would overcommit the engine's memory and crash it. The sequence in each order makes the engine reject the delayed one.
 func TestLateOrderIsHarmless(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		c, e := NewCore(100*time.Millisecond), newEngine(t, "a", "b", "c")
 		now := start
 		for i := range 12 {
-			held := make([]string, 0, 3)
+			loaded := make([]string, 0, 3)
 			for _, m := range []string{"a", "b", "c", "d", "e"} {
 				if _, ok := e.models[m]; ok {
-					held = append(held, m)
+					loaded = append(loaded, m)
 				}
 			}
 			load := []string{"a", "b", "c", "d", "e"}[random.IntN(5)]
 			command := &Command{ID: uint64(i + 1), EndpointID: "i1", Load: load}
-			if len(held) == 3 {
-				command.Unload = []string{held[random.IntN(3)]}
+			if len(loaded) == 3 {
+				command.Unload = []string{loaded[random.IntN(3)]}
 			}
-			tell(c, now, GatewayMessage{Command: command, Wanted: []Adapter{{"a", fmt.Sprint(random.IntN(8))}, {"b", fmt.Sprint(random.IntN(8))}}})
+			sendGatewayMessage(c, now, GatewayMessage{Command: command, Wanted: []Adapter{{"a", fmt.Sprint(random.IntN(8))}, {"b", fmt.Sprint(random.IntN(8))}}})
 			now = drive(c, e, now, time.Duration(random.IntN(4000))*time.Millisecond, func(now time.Time, o Order) Result {
 				switch random.IntN(4) {
 				case 0:
-					e.late = append(e.late, lateOrder{at: now.Add(2*time.Second + time.Duration(random.IntN(10_000))*time.Millisecond), order: o})
+					e.delayed = append(e.delayed, delayedOrder{at: now.Add(2*time.Second + time.Duration(random.IntN(10_000))*time.Millisecond), order: o})
 					return Unknown
 				case 1:
-					e.take(now, o)
+					e.handleOrder(now, o)
 					return Unknown
 				}
-				return e.take(now, o)
+				return e.handleOrder(now, o)
 			})
 		}
 	}
 }
 
-// Story: an agent is killed while its engine loads a model, and its successor does not know which. Adapters must not take the
-// memory that the load needs.
+// An agent restarts while its engine loads a model and does not know which model that is. Adapters must not take the memory
+// that the load needs.
 func TestRestartedAgentLeavesRoomForAnUnknownLoad(t *testing.T) {
 	e := newEngine(t, "a", "b")
 	e.class.Models["a"] = Model{SizeMB: 72_000, AdapterMB: 5_000}
@@ -204,58 +204,58 @@
 	c := NewCore(100 * time.Millisecond)
 	for i := range 3 {
 		now := start.Add(time.Duration(i) * 300 * time.Millisecond)
-		c.FromGateway(now, "gateway", GatewayMessage{EndpointID: "i1", EndpointRevision: 1, Class: e.class, Wanted: []Adapter{{"a", fmt.Sprint(i)}}})
-		drive(c, e, now, 300*time.Millisecond, e.take)
+		c.HandleGatewayMessage(now, "gateway", GatewayMessage{EndpointID: "i1", EndpointRevision: 1, Class: e.class, Wanted: []Adapter{{"a", fmt.Sprint(i)}}})
+		drive(c, e, now, 300*time.Millisecond, e.handleOrder)
 	}
 }
 
-// Story: an engine loads a model for six seconds, and requests wait for an adapter there. Orders for it are refused until the load
-// is over; the agent gave one every 90 ms, each at a price, and held the adapter's requests to this engine.
+// Requests wait for an adapter on an engine that takes six seconds to load a model and refuses all orders until then. An agent
+// that sent an order every 90 ms paid for each refused call, and the requests stayed bound to this engine.
 func TestBusyEngineIsNotOrdered(t *testing.T) {
 	c, e := NewCore(100*time.Millisecond), newEngine(t, "a", "b", "c")
-	tell(c, start, GatewayMessage{Command: &Command{ID: 1, EndpointID: "i1", Unload: []string{"b"}, Load: "d"}})
+	sendGatewayMessage(c, start, GatewayMessage{Command: &Command{ID: 1, EndpointID: "i1", Unload: []string{"b"}, Load: "d"}})
 	now := start
 	for range 20 {
-		tell(c, now, GatewayMessage{Wanted: []Adapter{{"a", "1"}}})
-		now = drive(c, e, now, 200*time.Millisecond, e.take)
+		sendGatewayMessage(c, now, GatewayMessage{Wanted: []Adapter{{"a", "1"}}})
+		now = drive(c, e, now, 200*time.Millisecond, e.handleOrder)
 	}
-	if e.refusedBusy > 0 {
-		t.Errorf("%d orders given while the engine was busy, want none", e.refusedBusy)
+	if e.ordersWhileBusy > 0 {
+		t.Errorf("%d orders sent while the engine was busy, want 0", e.ordersWhileBusy)
 	}
 	if !e.models["a"]["1"] {
-		t.Error("the adapter was not loaded after the model")
+		t.Error("the adapter was not loaded after the model load completed")
 	}
 }
 
-// Places for adapters are few: one that requests use stays, the one that was used longest ago makes way.
+// When the adapter capacity is used up, the least recently used adapter is unloaded, but never one that requests use.
 func TestAdapterUsedLongestAgoMakesWay(t *testing.T) {
 	c, e := NewCore(100*time.Millisecond), newEngine(t, "a")
 	now := start
 	for i := range 5 {
-		tell(c, now, GatewayMessage{Wanted: []Adapter{{"a", fmt.Sprint(i)}}, Used: []Adapter{{"a", "0"}}})
-		now = drive(c, e, now, 300*time.Millisecond, e.take)
+		sendGatewayMessage(c, now, GatewayMessage{Wanted: []Adapter{{"a", fmt.Sprint(i)}}, Used: []Adapter{{"a", "0"}}})
+		now = drive(c, e, now, 300*time.Millisecond, e.handleOrder)
 	}
-	held := e.models["a"]
-	if !held["0"] || held["1"] || !held["4"] {
-		t.Errorf("the engine holds adapters %v, want the one in use and the newest, not the second", held)
+	adapters := e.models["a"]
+	if !adapters["0"] || adapters["1"] || !adapters["4"] {
+		t.Errorf("loaded adapters %v, want 0 (in use) and 4 (newest) and not 1 (least recently used)", adapters)
 	}
 }
 
-// Story: an engine crashes and comes back empty at the same address, as another incarnation. Its agent must not go on with the
-// command for the one before.
+// An engine crashes and restarts without models at the same address, as another incarnation. Its agent must not go on with the
+// command for the previous incarnation.
 func TestRestartedEngineEndsTheCommand(t *testing.T) {
 	c, e := NewCore(100*time.Millisecond), newEngine(t, "a", "b", "c")
-	tell(c, start, GatewayMessage{Command: &Command{ID: 1, EndpointID: "i1", Unload: []string{"a"}, Load: "d"}})
-	now := drive(c, e, start, 300*time.Millisecond, e.take)
+	sendGatewayMessage(c, start, GatewayMessage{Command: &Command{ID: 1, EndpointID: "i1", Unload: []string{"a"}, Load: "d"}})
+	now := drive(c, e, start, 300*time.Millisecond, e.handleOrder)
 	e.id, e.sequence, e.busy = "i2", 0, nil
 	clear(e.models)
-	now = drive(c, e, now, time.Second, e.take)
+	now = drive(c, e, now, time.Second, e.handleOrder)
 	if e.sequence != 0 || c.command != nil {
 		t.Errorf("%d orders accepted by the new incarnation, command %v, want none", e.sequence, c.command)
 	}
-	c.FromGateway(now, "gateway", GatewayMessage{EndpointID: "i2", EndpointRevision: 2, Command: &Command{ID: 2, EndpointID: "i2", Load: "a"}})
-	drive(c, e, now, 2*time.Second, e.take)
+	c.HandleGatewayMessage(now, "gateway", GatewayMessage{EndpointID: "i2", EndpointRevision: 2, Command: &Command{ID: 2, EndpointID: "i2", Load: "a"}})
+	drive(c, e, now, 2*time.Second, e.handleOrder)
 	if _, ok := e.models["a"]; !ok {
-		t.Error("the new incarnation gets no orders")
+		t.Error("the new incarnation did not load the model")
 	}
 }
--- a/internal/engineagent/messages.go
+++ b/internal/engineagent/messages.go
@@ -40,7 +40,7 @@
 	return adapters
 }
 
-// state returns what gateways should know of the engine, or nil before the first report.
+// state returns the engine state to publish to gateways, or nil before the first report.
 func (c *Core) state(now time.Time) *controlpb.EngineState {
 	if c.down {
 		return &controlpb.EngineState{EndpointId: c.endpointID, Down: true}
@@ -53,7 +53,7 @@
 		Busy:       c.report.Busy,
 		InMemory:   sorted(c.report.InMemory),
 		OnDisk:     sorted(c.report.OnDisk),
-		Command:    c.finished,
+		Command:    c.lastCommandID,
 	}
 	for _, model := range slices.Sorted(maps.Keys(c.report.Models)) {
 		s.Replicas = append(s.Replicas, &controlpb.Replica{Model: model, Adapters: sorted(c.report.Models[model])})
@@ -61,7 +61,7 @@
 	if c.command != nil {
 		s.Loading = c.command.Load
 		s.Unloading = c.command.Unload
-		s.CommandAgeMs = now.Sub(c.commandAt).Milliseconds()
+		s.CommandAgeMs = now.Sub(c.commandStartedAt).Milliseconds()
 	}
 	return s
 }
--- a/internal/engineagent/metrics.go
+++ b/internal/engineagent/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics count an agent's calls of its engine, and how the engine's time is used.
+// Metrics holds the metrics of an agent's calls to its engine and of how the engine spends its time.
 type Metrics struct {
 	orders    *prometheus.CounterVec
 	orderTime prometheus.Histogram
@@ -46,7 +46,7 @@
 	return m, nil
 }
 
-func (m *Metrics) ordered(o Order, result Result, took time.Duration) {
+func (m *Metrics) observeOrder(o Order, result Result, took time.Duration) {
 	kind := "load_model"
 	switch {
 	case o.Kind == Unload && o.Adapter != "":
@@ -60,8 +60,9 @@
 	m.orderTime.Observe(took.Seconds())
 }
 
-// reported takes in a report, nil where none came, and counts the time since the one before for what the engine did.
-func (m *Metrics) reported(now time.Time, r *Report, gateways int) {
+// observeReport records a report, or nil if reading it failed, and attributes the time since the previous read to the
+// engine's current use.
+func (m *Metrics) observeReport(now time.Time, r *Report, gateways int) {
 	use := "busy"
 	switch {
 	case r == nil:
