--- a/internal/nameset/nameset.go
+++ b/internal/nameset/nameset.go
@@ -1,7 +1,7 @@
-// Package nameset holds what several slices need of sets of names, as maps.
+// Package nameset provides helpers for sets of names that are represented as maps.
 package nameset
 
-// Of returns the set of some names.
+// Of returns the set of the given names.
 func Of(names []string) map[string]bool {
 	set := make(map[string]bool, len(names))
 	for _, n := range names {
@@ -10,7 +10,7 @@
 	return set
 }
 
-// HoldsAny reports whether a map has one of the names as a key.
+// HoldsAny reports whether m has any of the names as a key.
 func HoldsAny[V any](m map[string]V, names []string) bool {
 	for _, n := range names {
 		if _, ok := m[n]; ok {
