--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -9,22 +9,22 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// Target is what a request asks for at a service. Model is empty at a plain service.
+// Target is the service and model that a request is for. Model is empty for a plain service.
 type Target struct {
 	Service string
 	Model   string
 }
 
-// Want describes a request that looks for an endpoint.
+// Want describes a request that needs an endpoint.
 type Want struct {
 	Target
-	// Adapter of the model; empty for none.
+	// Adapter is the adapter of the model; empty for none.
 	Adapter string
-	// PromptTokens is the length of the prompt, and Paced the time until which the request is held back from engines that
-	// have prompts to read.
+	// PromptTokens is the length of the prompt. Until Paced, the request is not sent to crowded engines or to those
+	// with too many prompt tokens pending.
 	PromptTokens int
 	Paced        time.Time
-	// Repeatable requests may be sent again, so that one may find out whether a silent endpoint speaks again.
+	// Repeatable requests may be retried, so they can probe an unresponsive endpoint.
 	Repeatable bool
 	// Tried lists the endpoints that must not get the request again.
 	Tried []string
@@ -32,63 +32,64 @@
 
 func (w *Want) adapter() Adapter { return Adapter{Model: w.Model, Name: w.Adapter} }
 
-// Prospect says what a request that got no endpoint may expect.
+// Prospect is the reason why a request got no endpoint.
 type Prospect int
 
 // The prospects.
 const (
-	// NoEndpoints: no endpoint of the service is listed that takes work.
+	// NoEndpoints: no listed endpoint of the service accepts work.
 	NoEndpoints Prospect = iota
-	// NotHeld: endpoints are there, but none holds the model now.
+	// NotHeld: the service has endpoints, but none has the model loaded.
 	NotHeld
-	// AdapterMissing: an engine holds the model, and its agent was asked for the adapter.
+	// AdapterMissing: an engine has the model loaded, and its agent was asked to load the adapter.
 	AdapterMissing
-	// PromptsAhead: the engines that hold the model have prompts of this gateway to read first.
-	PromptsAhead
-	// AllTried: every endpoint that could take the request has had it.
+	// PromptBacklog: the engines that have the model loaded are crowded or have too many prompt tokens pending.
+	PromptBacklog
+	// AllTried: every endpoint that could serve the request is in Tried.
 	AllTried
 )
 
-// Choice is the endpoint for one attempt.
+// Choice is the endpoint chosen for one attempt.
 type Choice struct {
 	ID, Address string
-	// sent is shared by the copies of a choice.
-	sent *sending
+	// reservation is shared by the copies of a Choice.
+	reservation *reservation
 }
 
-// sending is what one request at an endpoint adds to the endpoint's account.
-type sending struct{ prompts int }
+// reservation is the load that one request adds to an endpoint's counters.
+type reservation struct{ promptTokens int }
 
-// Choose returns the endpoint for a request's next attempt and counts the request as sent there, until Done is called.
+// Choose returns the endpoint for a request's next attempt and counts the request as in flight there, until Done is
+// called.
 func (f *Fleet) Choose(now time.Time, w *Want) (Choice, Prospect, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	candidates, prospect := f.candidates(now, w)
 	if now.Before(w.Paced) {
-		if candidates = f.unburdened(candidates, w); len(candidates) == 0 && prospect == AllTried {
-			return Choice{}, PromptsAhead, false
+		if candidates = f.belowPromptLimit(candidates, w); len(candidates) == 0 && prospect == AllTried {
+			return Choice{}, PromptBacklog, false
 		}
 	}
-	candidates = f.speaking(now, candidates, w)
+	candidates = f.dropUnresponsive(now, candidates, w)
 	i, ok := f.router.Pick(now, candidates, w.Tried, wirepb.Class_INTERACTIVE)
 	if !ok {
 		return Choice{}, prospect, false
 	}
 	e := f.endpoints[candidates[i].Endpoint]
 	if w.Adapter != "" && !candidates[i].HasAdapter {
-		f.wantAdapter(e.ID, w.adapter())
+		f.requestAdapter(e.ID, w.adapter())
 		return Choice{}, AdapterMissing, false
 	}
-	e.sent++
-	e.silence.sent(now)
-	e.prompts += w.PromptTokens
+	e.inFlight++
+	e.responses.sent(now)
+	e.pendingPromptTokens += w.PromptTokens
 	if w.Adapter != "" {
 		e.adapters[w.adapter()]++
 	}
-	return Choice{ID: e.ID, Address: e.Address, sent: &sending{prompts: w.PromptTokens}}, prospect, true
+	return Choice{ID: e.ID, Address: e.Address, reservation: &reservation{promptTokens: w.PromptTokens}}, prospect, true
 }
 
-// HasOther reports whether an endpoint that has not had a request could take it now.
+// HasOther reports whether an endpoint that is not in Tried could take the request now.
 func (f *Fleet) HasOther(now time.Time, w *Want) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,20 +99,20 @@
 	})
 }
 
-// candidates lists the endpoints that may take a request now. Where no engine holds the adapter, the list has just the one
-// engine that should fetch it.
+// candidates returns the endpoints that may take a request now. If no engine has the adapter loaded, it returns only
+// the engine that should load it.
 func (f *Fleet) candidates(now time.Time, w *Want) ([]routing.Candidate, Prospect) {
 	prospect := NoEndpoints
-	var list, bare []routing.Candidate
+	var list, withoutAdapter []routing.Candidate
 	for _, e := range f.endpoints {
 		if e.Service != w.Service || e.Leaving {
 			continue
 		}
 		prospect = max(prospect, NotHeld)
-		if !e.answers(now) {
+		if !e.responsive(now) {
 			continue
 		}
-		if w.Model != "" && (!e.holds(now, w.Model) || e.saysAbsent(now, Adapter{Model: w.Model})) {
+		if w.Model != "" && (!e.hasModel(now, w.Model) || e.recentlyAbsent(now, Adapter{Model: w.Model})) {
 			continue
 		}
 		prospect = max(prospect, AllTried)
@@ -119,21 +120,21 @@
 		if c.HasAdapter {
 			list = append(list, c)
 		} else {
-			bare = append(bare, c)
+			withoutAdapter = append(withoutAdapter, c)
 		}
 	}
-	if len(list) > 0 || len(bare) == 0 {
+	if len(list) > 0 || len(withoutAdapter) == 0 {
 		return list, prospect
 	}
-	return adapterHome(f.notBusy(now, bare), w), prospect
+	return adapterOwner(f.preferIdle(now, withoutAdapter), w), prospect
 }
 
-// notBusy keeps the engines that take orders now, if there are any: one that loads a model refuses to fetch adapters for as
-// long, which is 6 s where the model comes from the weight store.
-func (f *Fleet) notBusy(now time.Time, list []routing.Candidate) []routing.Candidate {
+// preferIdle returns the engines that accept commands now, or all if there are none: an engine that loads a model
+// rejects adapter loads until it is done, which takes 6 s for a load from the weight store.
+func (f *Fleet) preferIdle(now time.Time, list []routing.Candidate) []routing.Candidate {
 	var free []routing.Candidate
 	for _, c := range list {
-		if e := f.endpoints[c.Endpoint]; !e.fresh(now) || !e.state.Busy && e.state.Loading == "" {
+		if e := f.endpoints[c.Endpoint]; !e.reportFresh(now) || !e.state.Busy && e.state.Loading == "" {
 			free = append(free, c)
 		}
 	}
@@ -148,49 +149,50 @@
 		Endpoint:      e.ID,
 		FailureDomain: e.FailureDomain,
 		State:         wirepb.ReplicaState_LOADED,
-		HasAdapter:    e.holdsAdapter(now, w.adapter()) && !e.saysAbsent(now, w.adapter()),
-		Sent:          e.sent,
-		Running:       e.headerRun,
-		ReportedAt:    e.headerAt,
+		HasAdapter:    e.hasAdapter(now, w.adapter()) && !e.recentlyAbsent(now, w.adapter()),
+		Sent:          e.inFlight,
+		Running:       e.headerLoad,
+		ReportedAt:    e.headerLoadAt,
 		Reachable:     true,
 	}
-	if e.fresh(now) && e.stateAt.After(e.headerAt) {
-		c.Running, c.Queued, c.ReportedAt = e.state.Running, e.state.Queued, e.stateAt
+	if e.reportFresh(now) && e.reportedAt.After(e.headerLoadAt) {
+		c.Running, c.Queued, c.ReportedAt = e.state.Running, e.state.Queued, e.reportedAt
 	}
 	return c
 }
 
-// adapterHome keeps of the engines that hold a model the one that should hold one of its adapters: the same at all gateways,
-// so that an adapter is fetched once, and spread by name over the engines, whose places for adapters are few.
-func adapterHome(bare []routing.Candidate, w *Want) []routing.Candidate {
+// adapterOwner returns the candidate that should load an adapter, chosen by rendezvous hashing. All gateways choose the
+// same engine, so that the adapter is loaded only once, and the adapters are spread over the engines, which have few
+// adapter slots.
+func adapterOwner(candidates []routing.Candidate, w *Want) []routing.Candidate {
 	best, bestScore := -1, uint64(0)
-	for i := range bare {
-		if slices.Contains(w.Tried, bare[i].Endpoint) {
+	for i := range candidates {
+		if slices.Contains(w.Tried, candidates[i].Endpoint) {
 			continue
 		}
-		if score := rendezvous(bare[i].Endpoint, w.Model, w.Adapter); best < 0 || score > bestScore {
+		if score := rendezvousHash(candidates[i].Endpoint, w.Model, w.Adapter); best < 0 || score > bestScore {
 			best, bestScore = i, score
 		}
 	}
 	if best < 0 {
 		return nil
 	}
-	return bare[best : best+1]
+	return candidates[best : best+1]
 }
 
-func rendezvous(parts ...string) uint64 {
+func rendezvousHash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
 		_, _ = h.Write([]byte(p))
 		_, _ = h.Write([]byte{0})
 	}
-	// FNV's high bits differ little between short texts that end alike; the multiplication spreads them.
+	// The high bits of FNV differ little between short strings with the same suffix; the multiplication mixes them.
 	sum := h.Sum64()
 	sum ^= sum >> 32
 	return sum * 0x9e3779b97f4a7c15
 }
 
-// Done ends what Choose began.
+// Done releases what Choose counted.
 func (f *Fleet) Done(c Choice, w *Want) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -198,69 +200,69 @@
 	if e == nil {
 		return
 	}
-	e.sent--
-	e.silence.done(e.sent)
-	e.read(c)
+	e.inFlight--
+	e.responses.done(e.inFlight)
+	e.releasePrompt(c)
 	if w.Adapter != "" {
-		release(e.adapters, w.adapter())
+		decrement(e.adapters, w.adapter())
 	}
 }
 
-// Prefilled notes that a request's first event has come: the engine has read its prompt.
+// Prefilled records that a request's first event has arrived, so the engine has processed its prompt.
 func (f *Fleet) Prefilled(c Choice, w *Want) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if e := f.endpoints[c.ID]; e != nil && w.Model != "" && c.sent.prompts > 0 {
-		e.read(c)
+	if e := f.endpoints[c.ID]; e != nil && w.Model != "" && c.reservation.promptTokens > 0 {
+		e.releasePrompt(c)
 		f.notify()
 	}
 }
 
-// read takes a request's prompt out of the endpoint's account, once.
-func (e *endpoint) read(c Choice) {
-	e.prompts -= c.sent.prompts
-	c.sent.prompts = 0
+// releasePrompt subtracts a request's prompt tokens from the endpoint's pending ones. Further calls have no effect.
+func (e *endpoint) releasePrompt(c Choice) {
+	e.pendingPromptTokens -= c.reservation.promptTokens
+	c.reservation.promptTokens = 0
 }
 
-// promptShare is how many prompt tokens one gateway may have unread at an engine, unless it is a single prompt. An engine reads
-// some 40 a millisecond between the steps of its streams, so that four gateways together delay a step by 150 ms at most; a pause
-// is late from 250 ms on.
-const promptShare = 1500
+// maxPendingPromptTokens is the number of prompt tokens that one gateway may have pending at an engine, unless they are
+// a single prompt. An engine processes about 40 tokens per millisecond between decoding steps, so four gateways
+// together delay a step by at most 150 ms; a pause counts as late from 250 ms.
+const maxPendingPromptTokens = 1500
 
-// crowdedShare is the part of an engine's batch from which it counts as crowded: with more streams each new prompt delays more
-// of them, and the reports are up to a fifth of a second old.
+// crowdedShare is the fraction of an engine's batch from which it counts as crowded: each new prompt delays all
+// running streams, and load reports are up to 200 ms old.
 const crowdedShare = 0.75
 
-// unburdened keeps the candidates that have few prompts of this gateway to read.
+// belowPromptLimit returns the candidates that are not crowded and have few prompt tokens of this gateway pending.
 //
-// Prompts come in clumps, and an engine reads all that wait between two steps of its streams. Ten at once make a pause of
-// 250 ms in every stream there; sent one after another to the replicas they delay none that much, and their own first events
-// hardly.
-func (f *Fleet) unburdened(candidates []routing.Candidate, w *Want) []routing.Candidate {
+// Prompts arrive in bursts, and an engine processes all queued prompts between two decoding steps. Ten at once cause a
+// pause of 250 ms in each of its streams. Sent to the replicas one after another, they cause no such pause and hardly
+// delay their own first events.
+func (f *Fleet) belowPromptLimit(candidates []routing.Candidate, w *Want) []routing.Candidate {
 	if w.PromptTokens == 0 {
 		return candidates
 	}
 	return slices.DeleteFunc(candidates, func(c routing.Candidate) bool {
 		e := f.endpoints[c.Endpoint]
 		crowded := e.Slots > 0 && float64(c.Running+c.Queued) >= crowdedShare*float64(e.Slots)
-		return crowded || e.prompts > 0 && e.prompts+w.PromptTokens > promptShare
+		return crowded || e.pendingPromptTokens > 0 && e.pendingPromptTokens+w.PromptTokens > maxPendingPromptTokens
 	})
 }
 
-func release[K comparable](counts map[K]int, key K) {
+func decrement[K comparable](counts map[K]int, key K) {
 	if counts[key]--; counts[key] <= 0 {
 		delete(counts, key)
 	}
 }
 
-// Observe notes how an attempt went.
+// Observe records the outcome of an attempt.
 func (f *Fleet) Observe(now time.Time, o routing.Observation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.router.Observe(now, o)
 }
 
-// Absent notes that an endpoint refused a request because it does not hold the model or the adapter.
+// Absent records that an endpoint rejected a request because the model or the adapter is not loaded.
 func (f *Fleet) Absent(now time.Time, id string, w *Want) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -268,35 +270,35 @@
 	if e == nil {
 		return
 	}
-	until := now.Add(absenceMemory)
-	if e.holdsAdapter(now, w.adapter()) && w.Adapter != "" {
+	until := now.Add(absentTTL)
+	if e.hasAdapter(now, w.adapter()) && w.Adapter != "" {
 		e.absent[w.adapter()] = until
 		return
 	}
 	e.absent[Adapter{Model: w.Model}] = until
 }
 
-// Load notes the load that an endpoint told in an answer.
+// Load records the load that an endpoint reported in a response header.
 func (f *Fleet) Load(now time.Time, id string, running, queued int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e := f.endpoints[id]; e != nil {
-		e.headerRun, e.headerAt = running+queued, now
+		e.headerLoad, e.headerLoadAt = running+queued, now
 	}
 }
 
 const (
-	// waitForDisk is the usual wait until a free engine that has a copy of a model begins to load it, and waitForBusy that of
-	// an engine that carries out another order: half of a load from disk, and the wait for a free one.
-	waitForDisk = 200 * time.Millisecond
-	waitForBusy = 900 * time.Millisecond
-	// waitForStore is that wait where no host has a copy.
-	waitForStore = 500 * time.Millisecond
-	// reportDelay is how much later than its end a load shows here.
+	// localLoadDelay is the typical delay until a free engine starts to load a model from a local copy. busyLoadDelay
+	// is that of an engine that executes another command: half of a load from disk, plus the delay of a free engine.
+	localLoadDelay = 200 * time.Millisecond
+	busyLoadDelay  = 900 * time.Millisecond
+	// storeLoadDelay is the typical delay of a load for which no host has a copy.
+	storeLoadDelay = 500 * time.Millisecond
+	// reportDelay is the delay between the end of a load and the arrival of the report.
 	reportDelay = 100 * time.Millisecond
 )
 
-// ReadyIn estimates when an engine will hold a model that none holds now.
+// ReadyIn estimates the time until an engine has loaded a model that none has loaded now.
 func (f *Fleet) ReadyIn(now time.Time, t Target) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -305,25 +307,25 @@
 		return 0
 	}
 	model := class.Models[t.Model]
-	estimate := model.LoadTime + waitForStore
+	estimate := model.LoadTime + storeLoadDelay
 	for _, e := range f.endpoints {
-		if e.Service != t.Service || e.Leaving || !e.answers(now) || !e.fresh(now) {
+		if e.Service != t.Service || e.Leaving || !e.responsive(now) || !e.reportFresh(now) {
 			continue
 		}
-		load, usualWait := model.LoadTime, waitForStore
+		load, startDelay := model.LoadTime, storeLoadDelay
 		switch {
 		case e.state.InMemory[t.Model]:
-			load, usualWait = model.MemoryTime, waitForDisk
+			load, startDelay = model.MemoryTime, localLoadDelay
 		case e.state.OnDisk[t.Model]:
-			load, usualWait = model.DiskTime, waitForDisk
+			load, startDelay = model.DiskTime, localLoadDelay
 		}
-		if usualWait == waitForDisk && (e.state.Busy || e.state.Loading != "") {
-			usualWait = waitForBusy
+		if startDelay == localLoadDelay && (e.state.Busy || e.state.Loading != "") {
+			startDelay = busyLoadDelay
 		}
 		if e.state.Loading == t.Model {
-			usualWait = -e.state.CommandAge - now.Sub(e.structureAt)
+			startDelay = -e.state.CommandAge - now.Sub(e.fullReportAt)
 		}
-		estimate = min(estimate, max(0, load+usualWait)+reportDelay)
+		estimate = min(estimate, max(0, load+startDelay)+reportDelay)
 	}
 	return estimate
 }
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -6,12 +6,12 @@
 	"balsamsail/internal/control/controlpb"
 )
 
-// demand is what this gateway's requests for one target do now.
+// demand is the current demand of this gateway's requests for one target.
 type demand struct {
 	arrived int64
 	running int
 	waiting map[*Waiter]struct{}
-	// target is the tightest target for a first event among the requests that have come.
+	// target is the shortest first-event target among the requests so far.
 	target time.Duration
 }
 
@@ -27,7 +27,7 @@
 	return d
 }
 
-// Arrived counts a request with a target for its first event.
+// Arrived counts a new request and records its first-event target.
 func (f *Fleet) Arrived(t Target, target time.Duration) {
 	if t.Model == "" {
 		return
@@ -41,7 +41,7 @@
 	}
 }
 
-// Running counts a request that is at an engine, or takes it out of the count.
+// Running adjusts the number of requests that are at an engine.
 func (f *Fleet) Running(t Target, change int) {
 	if t.Model == "" {
 		return
@@ -51,7 +51,7 @@
 	f.demandOf(t).running += change
 }
 
-// Wait counts a request that waits for a replica, until StopWaiting is called.
+// Wait counts a request as waiting for a replica until StopWaiting is called.
 func (f *Fleet) Wait(t Target, now time.Time) *Waiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,25 +63,25 @@
 	return w
 }
 
-// StopWaiting ends what Wait began.
+// StopWaiting removes a waiter that Wait returned.
 func (f *Fleet) StopWaiting(t Target, w *Waiter) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.demandOf(t).waiting, w)
 }
 
-// wantAdapter notes that a request needs an adapter at an engine. The lock is held.
-func (f *Fleet) wantAdapter(id string, a Adapter) {
-	if f.wanted[id] == nil {
-		f.wanted[id] = make(map[Adapter]bool)
+// requestAdapter records that a request needs an adapter at an engine. The lock must be held.
+func (f *Fleet) requestAdapter(id string, a Adapter) {
+	if f.wantedAdapters[id] == nil {
+		f.wantedAdapters[id] = make(map[Adapter]bool)
 	}
-	f.wanted[id][a] = true
-	if f.onWanted != nil {
-		f.onWanted(id)
+	f.wantedAdapters[id][a] = true
+	if f.onAdapterWanted != nil {
+		f.onAdapterWanted(id)
 	}
 }
 
-// Demand returns what this gateway's requests ask for.
+// Demand returns the demand of this gateway's requests.
 func (f *Fleet) Demand(now time.Time) *controlpb.Demand {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,8 +103,8 @@
 	return message
 }
 
-// AgentMessage returns what an endpoint's agent should know, but for the engine's class. The wishes for adapters are taken
-// out: requests that still wait repeat them.
+// AgentMessage returns the message to an endpoint's agent, without the engine class. It clears the requested adapters;
+// requests that still wait request them again.
 func (f *Fleet) AgentMessage(id string) *controlpb.ToAgent {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -113,10 +113,10 @@
 		return nil
 	}
 	message := &controlpb.ToAgent{EndpointId: id, EndpointRevision: e.Revision}
-	for a := range f.wanted[id] {
+	for a := range f.wantedAdapters[id] {
 		message.Wanted = append(message.Wanted, &controlpb.AdapterRef{Model: a.Model, Adapter: a.Name})
 	}
-	delete(f.wanted, id)
+	delete(f.wantedAdapters, id)
 	for a := range e.adapters {
 		message.Used = append(message.Used, &controlpb.AdapterRef{Model: a.Model, Adapter: a.Name})
 	}
--- a/internal/fleet/engines.go
+++ b/internal/fleet/engines.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Engine is an engine as its agent described it last.
+// Engine is the last known state of an engine.
 type Engine struct {
 	EngineState
 	ID      string
 	Leaving bool
-	// Reported is set while the agent's word counts.
+	// Reported is set if the agent's report has not expired.
 	Reported bool
 }
 
-// Engines returns the engines of a service whose hosts answer. Those without a fresh word of their agent have the models that they registered
-// with.
+// Engines returns the responsive engines of a service. Without an unexpired report, an engine has the models from its
+// registration.
 func (f *Fleet) Engines(service string, now time.Time) []Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []Engine
 	for _, e := range f.endpoints {
-		if e.Service != service || !e.answers(now) {
+		if e.Service != service || !e.responsive(now) {
 			continue
 		}
-		engine := Engine{ID: e.ID, Leaving: e.Leaving, Reported: e.fresh(now)}
+		engine := Engine{ID: e.ID, Leaving: e.Leaving, Reported: e.reportFresh(now)}
 		if engine.Reported {
 			engine.EngineState = *e.state
 		} else {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet is a gateway's view of its site: the newest configuration, the endpoints, what their agents say of them, and
-// what this gateway itself has under way there. Requests choose their endpoints from it and wait for it to change.
+// Package fleet is a gateway's view of the endpoints: the current configuration, the state that agents report, and this
+// gateway's own requests in flight. Requests choose their endpoints from it and wait for it to change.
 package fleet
 
 import (
@@ -11,126 +11,126 @@
 	"balsamsail/internal/routing"
 )
 
-// agentSilence is the age from which an agent's word on its engine no longer counts. Agents repeat themselves every
-// quarter of a second.
-const agentSilence = 2 * time.Second
+// reportTTL is the age at which an agent's report on its engine expires. Agents send one at least every 250 ms.
+const reportTTL = 2 * time.Second
 
-// hostSilence is the age of the agent's last word from which its host counts as frozen or cut off, unless the link was
-// closed: three heartbeats of a quarter of a second.
-const hostSilence = 750 * time.Millisecond
+// hostTimeout is the age of the agent's last report at which its host counts as frozen or unreachable, unless the
+// connection was closed: three heartbeats of 250 ms.
+const hostTimeout = 750 * time.Millisecond
 
-// refusedMemory is for how long an endpoint that refused a connection gets nothing. A crashed one loses its registration after
-// three heartbeats of 1.2 s.
-const refusedMemory = time.Second
+// refusedBackoff is the time for which an endpoint that refused a connection gets no requests. The registration of a
+// crashed endpoint expires after three heartbeats of 1.2 s.
+const refusedBackoff = time.Second
 
-// absenceMemory is for how long an engine that said that it does not hold a model is not asked again, unless its agent
-// reports a change first. Reports are up to a fifth of a second old.
-const absenceMemory = 300 * time.Millisecond
+// absentTTL is the time for which an engine that rejected a request because the model is not loaded gets no request for
+// that model, unless its agent reports a change first. Reports are up to 200 ms old.
+const absentTTL = 300 * time.Millisecond
 
-// EngineState is what an agent says of its engine.
+// EngineState is the state of an engine as reported by its agent.
 type EngineState struct {
 	EndpointID string
-	// Down is set while the engine does not answer its agent.
+	// Down is set while the engine does not respond to its agent.
 	Down bool
-	// Adapters of each model that the engine holds.
+	// Models are the loaded models, each with its loaded adapters.
 	Models map[string]map[string]bool
-	// Busy is set while the engine carries out an order on a model.
+	// Busy is set while the engine executes a command.
 	Busy bool
-	// Loading is the model that is being loaded, or will be when Unloading are gone.
+	// Loading is the model that is being loaded, or will be once the models in Unloading are unloaded.
 	Loading   string
 	Unloading map[string]bool
-	// InMemory and OnDisk are the models of which the host keeps copies.
+	// InMemory and OnDisk are the models whose weights the host caches.
 	InMemory, OnDisk map[string]bool
-	// Command is the last one that was taken up, and CommandAge how long it has been carried out.
+	// Command is the ID of the last accepted command, and CommandAge the time since its execution started.
 	Command    uint64
 	CommandAge time.Duration
-	// Running and Queued are the engine's requests, from all gateways.
+	// Running and Queued are the numbers of the engine's requests, from all gateways.
 	Running, Queued int
 }
 
-// endpoint is what the gateway knows of one endpoint.
+// endpoint is the gateway's state of one endpoint.
 type endpoint struct {
 	catalog.Endpoint
-	state   *EngineState
-	stateAt time.Time
-	// structureAt is when the agent last told more than the load.
-	structureAt time.Time
-	// sent counts the requests of this gateway that are at the endpoint.
-	sent int
-	// prompts are the tokens of prompts that were sent and whose first event has not come.
-	prompts   int
-	adapters  map[Adapter]int
-	absent    map[Adapter]time.Time
-	headerRun int
-	headerAt  time.Time
-	// linked is set while the link to the agent stands.
-	linked bool
-	// refusedUntil is until when the endpoint gets nothing because it refused a connection.
+	state      *EngineState
+	reportedAt time.Time
+	// fullReportAt is the time of the last report that had more than the load.
+	fullReportAt time.Time
+	// inFlight is the number of this gateway's requests at the endpoint.
+	inFlight int
+	// pendingPromptTokens is the number of prompt tokens sent to the endpoint in requests whose first event has not
+	// arrived.
+	pendingPromptTokens int
+	adapters            map[Adapter]int
+	absent              map[Adapter]time.Time
+	headerLoad          int
+	headerLoadAt        time.Time
+	// connected is set while the connection to the agent is open.
+	connected bool
+	// refusedUntil is the time until which the endpoint gets no requests because it refused a connection.
 	refusedUntil time.Time
-	// replaced is set when another incarnation answered at the address.
+	// replaced is set when another incarnation responded at the address.
 	replaced bool
-	// silent is set while the endpoint's host does not answer, told by the link to the agent there.
-	silent bool
-	// silence follows the endpoint's own words.
-	silence silence
+	// hostDown is set while the endpoint's host does not respond on the connection to its agent.
+	hostDown bool
+	// responses tracks the endpoint's own responses.
+	responses responseTracker
 }
 
-// Adapter names an adapter of a model; Name is empty for the model itself.
+// Adapter identifies an adapter of a model; Name is empty for the model itself.
 type Adapter struct{ Model, Name string }
 
-// Fleet is safe for concurrent use.
+// Fleet is a gateway's view of the endpoints. It is safe for concurrent use.
 type Fleet struct {
-	mu        sync.Mutex
-	domain    string
-	config    *catalog.Config
-	listed    bool
-	endpoints map[string]*endpoint
-	router    *routing.Router
-	demand    map[Target]*demand
-	// usual is how long answers of a service usually take.
-	usual     map[string]time.Duration
-	wanted    map[string]map[Adapter]bool
-	onWanted  func(endpointID string)
-	onWaiting func()
-	changed   chan struct{}
+	mu             sync.Mutex
+	domain         string
+	config         *catalog.Config
+	endpointsKnown bool
+	endpoints      map[string]*endpoint
+	router         *routing.Router
+	demand         map[Target]*demand
+	// answerTime is the moving average of the answer times per service.
+	answerTime      map[string]time.Duration
+	wantedAdapters  map[string]map[Adapter]bool
+	onAdapterWanted func(endpointID string)
+	onWaiting       func()
+	changed         chan struct{}
 }
 
-// OnWaiting sets what is called, with locks held, when a request begins to wait for a model. It must not block. It is set
-// before the first request.
+// OnWaiting sets a function that is called, with locks held, when a request starts waiting for a model. It must not
+// block. Call OnWaiting before the first request.
 func (f *Fleet) OnWaiting(call func()) { f.onWaiting = call }
 
-// OnWanted sets what is called, with locks held, when a request needs an adapter that an agent should fetch. It must not
-// block. It is set before the first request.
-func (f *Fleet) OnWanted(call func(endpointID string)) { f.onWanted = call }
+// OnWanted sets a function that is called, with locks held, when a request needs an adapter that an agent should load.
+// It must not block. Call OnWanted before the first request.
+func (f *Fleet) OnWanted(call func(endpointID string)) { f.onAdapterWanted = call }
 
-// New returns an empty view of a gateway in a failure domain; seed seeds its random choices.
+// New returns an empty view for a gateway in a failure domain; seed seeds its random choices.
 func New(domain string, seed uint64) *Fleet {
 	return &Fleet{
-		domain:    domain,
-		endpoints: make(map[string]*endpoint),
-		router:    routing.NewRouter(routing.Options{Seed: seed, FailureDomain: domain}),
-		demand:    make(map[Target]*demand),
-		usual:     make(map[string]time.Duration),
-		wanted:    make(map[string]map[Adapter]bool),
-		changed:   make(chan struct{}),
+		domain:         domain,
+		endpoints:      make(map[string]*endpoint),
+		router:         routing.NewRouter(routing.Options{Seed: seed, FailureDomain: domain}),
+		demand:         make(map[Target]*demand),
+		answerTime:     make(map[string]time.Duration),
+		wantedAdapters: make(map[string]map[Adapter]bool),
+		changed:        make(chan struct{}),
 	}
 }
 
-// Changed returns a channel that is closed at the next change that may let a waiting request go on.
+// Changed returns a channel that is closed at the next change that may unblock a waiting request.
 func (f *Fleet) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// notify wakes all that wait. The lock is held.
+// notify wakes all waiters. The lock must be held.
 func (f *Fleet) notify() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// SetConfig takes in a configuration and reports whether it is newer than the one in force; an older one is dropped, since
-// what was once in force must not come back.
+// SetConfig sets the configuration and reports whether it is newer than the current one. It ignores an older one, so
+// that a replaced configuration is never used again.
 func (f *Fleet) SetConfig(c *catalog.Config) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -142,18 +142,18 @@
 	return true
 }
 
-// Config returns the configuration in force, or nil before the first.
+// Config returns the current configuration, or nil before the first.
 func (f *Fleet) Config() *catalog.Config {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.config
 }
 
-// SetEndpoints takes in the endpoints that count now. It returns those that are new and those that are gone.
+// SetEndpoints replaces the list of endpoints. It returns the ones added and removed.
 func (f *Fleet) SetEndpoints(list []catalog.Endpoint) (added, removed []catalog.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.listed = true
+	f.endpointsKnown = true
 	present := make(map[string]bool, len(list))
 	for _, e := range list {
 		present[e.ID] = true
@@ -176,14 +176,14 @@
 	return added, removed
 }
 
-// Ready reports whether the gateway knows enough to serve.
+// Ready reports whether the gateway has a configuration and a list of endpoints.
 func (f *Fleet) Ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.config != nil && f.listed
+	return f.config != nil && f.endpointsKnown
 }
 
-// SetState takes in an agent's word on its engine. State nil keeps the last one and takes the load only.
+// SetState applies an agent's report on its engine. If state is nil, only the load changes.
 func (f *Fleet) SetState(id string, state *EngineState, running, queued int, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -191,53 +191,53 @@
 	if e == nil {
 		return
 	}
-	if state != nil || !e.linked || e.silent {
+	if state != nil || !e.connected || e.hostDown {
 		f.notify()
 	}
-	e.linked, e.silent = true, false
+	e.connected, e.hostDown = true, false
 	if state != nil {
-		e.state, e.structureAt = state, now
+		e.state, e.fullReportAt = state, now
 		clear(e.absent)
 	}
 	if e.state != nil {
-		e.stateAt = now
+		e.reportedAt = now
 		e.state.Running, e.state.Queued = running, queued
 	}
 }
 
-// SetSilent notes whether an endpoint's host has stopped answering altogether.
-func (f *Fleet) SetSilent(id string, silent bool) {
+// SetSilent records that the connection to an endpoint's agent is closed, and whether the host has stopped responding.
+func (f *Fleet) SetSilent(id string, hostDown bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if e := f.endpoints[id]; e != nil && (e.linked || e.silent != silent) {
-		e.linked, e.silent = false, silent
+	if e := f.endpoints[id]; e != nil && (e.connected || e.hostDown != hostDown) {
+		e.connected, e.hostDown = false, hostDown
 		f.notify()
 	}
 }
 
-// answers reports whether an endpoint's host seems to answer.
+// responsive reports whether an endpoint and its host appear to respond.
 //
-// A frozen host takes requests into its kernel and lets them wait there until it wakes: each sent there is lost for its
-// client, while another engine might serve it. The agent on that host repeats itself every quarter of a second, so that its
-// silence shows soonest.
-func (e *endpoint) answers(now time.Time) bool {
-	if e.replaced || now.Before(e.refusedUntil) || e.fresh(now) && e.state.Down {
+// The kernel of a frozen host accepts requests and holds them until the host resumes, so each request sent there fails
+// although another engine might serve it. The agent on the host sends a report every 250 ms, so missing reports detect
+// this first.
+func (e *endpoint) responsive(now time.Time) bool {
+	if e.replaced || now.Before(e.refusedUntil) || e.reportFresh(now) && e.state.Down {
 		return false
 	}
-	return !e.silent && (e.state == nil || !e.linked || now.Sub(e.stateAt) < hostSilence)
+	return !e.hostDown && (e.state == nil || !e.connected || now.Sub(e.reportedAt) < hostTimeout)
 }
 
-// Refused notes that an endpoint's host is there and nothing listens at the endpoint's address: the endpoint has crashed.
-// Another incarnation will have another identifier; refusedMemory covers one that is only slow to listen.
+// Refused records that an endpoint's host is up but nothing listens at the endpoint's address: the endpoint has
+// crashed. A restarted endpoint has another identifier; refusedBackoff covers one that is slow to listen.
 func (f *Fleet) Refused(now time.Time, id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e := f.endpoints[id]; e != nil {
-		e.refusedUntil = now.Add(refusedMemory)
+		e.refusedUntil = now.Add(refusedBackoff)
 	}
 }
 
-// Replaced notes that another incarnation answers at an endpoint's address.
+// Replaced records that another incarnation responds at an endpoint's address.
 func (f *Fleet) Replaced(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -246,26 +246,28 @@
 	}
 }
 
-// holds reports whether an endpoint holds a model, by the best word that there is.
-func (e *endpoint) holds(now time.Time, model string) bool {
-	if e.fresh(now) {
+// hasModel reports whether an endpoint has the model loaded, by its agent's report if that is fresh, else by its
+// registration.
+func (e *endpoint) hasModel(now time.Time, model string) bool {
+	if e.reportFresh(now) {
 		_, ok := e.state.Models[model]
 		return ok && !e.state.Unloading[model]
 	}
 	return slices.Contains(e.Models, model)
 }
 
-func (e *endpoint) holdsAdapter(now time.Time, a Adapter) bool {
-	return a.Name == "" || e.fresh(now) && e.state.Models[a.Model][a.Name]
+func (e *endpoint) hasAdapter(now time.Time, a Adapter) bool {
+	return a.Name == "" || e.reportFresh(now) && e.state.Models[a.Model][a.Name]
 }
 
-// fresh reports whether the agent's word counts.
-func (e *endpoint) fresh(now time.Time) bool {
-	return e.state != nil && e.state.EndpointID == e.ID && now.Sub(e.stateAt) < agentSilence
+// reportFresh reports whether the agent's last report is for this endpoint and has not expired.
+func (e *endpoint) reportFresh(now time.Time) bool {
+	return e.state != nil && e.state.EndpointID == e.ID && now.Sub(e.reportedAt) < reportTTL
 }
 
-// saysAbsent reports whether the endpoint has lately refused the model or adapter as absent.
-func (e *endpoint) saysAbsent(now time.Time, a Adapter) bool {
+// recentlyAbsent reports whether the endpoint has recently rejected a request because the model or adapter is not
+// loaded.
+func (e *endpoint) recentlyAbsent(now time.Time, a Adapter) bool {
 	until, ok := e.absent[a]
 	return ok && now.Before(until)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Unix(1000, 0)
 
-// twoEngines returns a view of two engines that hold model m, both reported by their agents at start.
+// twoEngines returns a view of two engines with model m loaded, both reported by their agents at start.
 func twoEngines() *Fleet {
 	f := New("here", 1)
 	f.SetEndpoints([]catalog.Endpoint{
@@ -27,9 +27,9 @@
 	return &Want{Target: Target{Service: "s", Model: "m"}, PromptTokens: prompt, Paced: start.Add(200 * time.Millisecond)}
 }
 
-// Pattern: three to ten requests with prompts of 800 tokens come within a few milliseconds. Sent at once to one engine they make
-// a pause of over 250 ms in each of its streams. They must spread, and those for which no engine has room wait for a first
-// event, but no longer than their time for it allows.
+// Guards against sending a burst of prompts to one engine. Three to ten requests with 800 prompt tokens within a few
+// milliseconds cause a pause of over 250 ms in each stream of the engine. They must be spread; those that no engine can
+// take yet wait, but no longer than their first-event target allows.
 func TestPromptsOfAClumpAreSpread(t *testing.T) {
 	f := twoEngines()
 	sent := map[string]int{}
@@ -45,71 +45,73 @@
 	if sent["e1"] != 1 || sent["e2"] != 1 {
 		t.Errorf("two prompts went to %v, want one to each engine", sent)
 	}
-	if _, prospect, ok := f.Choose(start, wantModel(800)); ok || prospect != PromptsAhead {
-		t.Errorf("third prompt: sent %v, prospect %v, want it held back", ok, prospect)
+	if _, prospect, ok := f.Choose(start, wantModel(800)); ok || prospect != PromptBacklog {
+		t.Errorf("third prompt: chosen %v, prospect %v, want PromptBacklog", ok, prospect)
 	}
 	held, _, ok := f.Choose(start.Add(250*time.Millisecond), wantModel(800))
 	if !ok {
-		t.Fatal("a prompt that was held for its time is still held")
+		t.Fatal("no endpoint for a prompt after its Paced time")
 	}
 	for _, c := range []Choice{held, first} {
 		f.Prefilled(c, wantModel(800))
 		f.Done(c, wantModel(800))
 	}
 	if c, _, ok := f.Choose(start, wantModel(800)); !ok || c.ID != first.ID {
-		t.Errorf("after its first event engine %s has room: chosen %v %s", first.ID, ok, c.ID)
+		t.Errorf("after a first event from engine %s: chosen %v %s, want that engine", first.ID, ok, c.ID)
 	}
 }
 
-// Story: the host of an engine freezes. Requests for it pile up in its kernel and reach the engine seconds later, when their
-// clients have left. From three missed heartbeats of its agent on the engine must get none; as soon as the agent speaks again
-// it does. An agent that was killed resets its link, and says nothing about its engine.
+// Guards against sending requests to an engine on a frozen host. They queue in its kernel and reach the engine seconds
+// later, when their clients have disconnected. The engine must get none after its agent has missed three heartbeats,
+// and must get requests again after the next report. If only the agent was killed, its connection is reset, which says
+// nothing about the engine.
 func TestFrozenHostGetsNothing(t *testing.T) {
 	f := twoEngines()
-	later := start.Add(hostSilence + time.Millisecond)
+	later := start.Add(hostTimeout + time.Millisecond)
 	f.SetState("e2", nil, 0, 0, later)
 	for range 5 {
 		c, _, ok := f.Choose(later, wantModel(0))
 		if !ok || c.ID != "e2" {
-			t.Fatalf("chosen %v %s, want the engine whose agent speaks", ok, c.ID)
+			t.Fatalf("chosen %v %s, want the engine whose agent reports", ok, c.ID)
 		}
 	}
 	if got := f.Engines("s", later); len(got) != 1 {
-		t.Errorf("%d engines count for placement, want one", len(got))
+		t.Errorf("%d engines returned for placement, want one", len(got))
 	}
 	f.SetSilent("e1", false)
 	if got := f.Engines("s", later); len(got) != 2 {
-		t.Errorf("%d engines count after the agent was killed, want both", len(got))
+		t.Errorf("%d engines returned after the agent was killed, want both", len(got))
 	}
 	f.SetSilent("e1", true)
 	f.SetState("e1", nil, 0, 0, later)
 	if got := f.Engines("s", later); len(got) != 2 {
-		t.Errorf("%d engines count after the agent is back, want both", len(got))
+		t.Errorf("%d engines returned after the agent has reconnected, want both", len(got))
 	}
 }
 
-// Each gateway must ask the same engine for an adapter that none holds, or it takes places at several.
+// All gateways must request an adapter that no engine has loaded from the same engine; otherwise it uses adapter slots
+// on several.
 func TestAdapterHasOneHome(t *testing.T) {
-	home := ""
+	owner := ""
 	for seed := range uint64(8) {
 		f := twoEngines()
 		f.router = routing.NewRouter(routing.Options{Seed: seed})
 		w := wantModel(0)
 		w.Adapter = "a7"
 		if _, prospect, ok := f.Choose(start, w); ok || prospect != AdapterMissing {
-			t.Fatalf("chosen %v, prospect %v, want the adapter to be asked for", ok, prospect)
+			t.Fatalf("chosen %v, prospect %v, want AdapterMissing", ok, prospect)
 		}
-		for id := range f.wanted {
-			if home != "" && id != home {
-				t.Fatalf("asked of %s and of %s", home, id)
+		for id := range f.wantedAdapters {
+			if owner != "" && id != owner {
+				t.Fatalf("adapter requested from %s and from %s, want the same engine for every seed", owner, id)
 			}
-			home = id
+			owner = id
 		}
 	}
 }
 
-// Story: the engine that should fetch an adapter loads a model for six seconds and refuses to. The other one that holds the model
-// must be asked.
+// Guards against requesting an adapter from an engine that is loading a model, which rejects adapter loads for six
+// seconds. The other engine with the model loaded must be chosen.
 func TestBusyEngineIsNotAskedForAnAdapter(t *testing.T) {
 	for _, busy := range []string{"e1", "e2"} {
 		f := twoEngines()
@@ -117,14 +119,15 @@
 		w := wantModel(0)
 		w.Adapter = "a7"
 		f.Choose(start, w)
-		if len(f.wanted[busy]) > 0 || len(f.wanted) != 1 {
-			t.Errorf("%s is busy, asked of %v", busy, f.wanted)
+		if len(f.wantedAdapters[busy]) > 0 || len(f.wantedAdapters) != 1 {
+			t.Errorf("%s is busy, adapter requested from %v, want the other engine", busy, f.wantedAdapters)
 		}
 	}
 }
 
-// Story: an engine says 421 for a model that its agent's last report still shows, because it was unloaded a moment ago. The
-// request must go to the other engine, and come back to the first only after a new report or a short time.
+// Guards against retrying at an engine that responds with 421 because it has just unloaded the model, which its agent's
+// last report still lists. The request must go to the other engine, and return to the first only after a new report or
+// after absentTTL.
 func TestAbsentModelIsNotAskedAgain(t *testing.T) {
 	f := twoEngines()
 	f.Absent(start, "e1", wantModel(0))
@@ -137,18 +140,18 @@
 	if _, prospect, ok := f.Choose(start, wantModel(0)); ok || prospect != NotHeld {
 		t.Errorf("chosen %v, prospect %v, want the request to wait", ok, prospect)
 	}
-	if _, _, ok := f.Choose(start.Add(absenceMemory), wantModel(0)); !ok {
-		t.Error("the engines are still shunned after the time")
+	if _, _, ok := f.Choose(start.Add(absentTTL), wantModel(0)); !ok {
+		t.Error("no endpoint after absentTTL")
 	}
 }
 
-// A configuration that was once in force must not come back when a slow reader brings an older one.
+// An older configuration that arrives late must not replace the current one.
 func TestOlderConfigurationIsDropped(t *testing.T) {
 	f := New("here", 1)
 	config := func(version int64) *catalog.Config {
 		return catalog.NewConfig(version, catalog.ClientLimits{}, nil, nil)
 	}
 	if !f.SetConfig(config(7)) || f.SetConfig(config(5)) || f.SetConfig(config(7)) || f.Config().Version != 7 {
-		t.Errorf("version %d in force, want 7 taken once", f.Config().Version)
+		t.Errorf("version %d is current, want version 7 accepted once", f.Config().Version)
 	}
 }
--- a/internal/fleet/silence.go
+++ b/internal/fleet/silence.go
@@ -8,60 +8,63 @@
 )
 
 const (
-	// leastSilence is how long an endpoint may say nothing, with a request at it, before others are preferred: answers of plain
-	// services take some 60 ms, 240 ms at one that is four times slower than the rest.
-	leastSilence = 400 * time.Millisecond
-	// silenceFactor is that time in usual answers of the service, where these take longer.
-	silenceFactor = 4
-	// probeInterval is the time after which a silent endpoint gets one more request that may be repeated: it may be well again,
-	// and nothing else would show it.
+	// minResponseTimeout is the minimum time without a response, while requests are in flight, after which other
+	// endpoints are preferred. Answers of plain services take about 60 ms, and 240 ms at an endpoint that is four times
+	// slower than the others.
+	minResponseTimeout = 400 * time.Millisecond
+	// responseTimeoutFactor is that time as a multiple of the service's average answer time, if this is longer.
+	responseTimeoutFactor = 4
+	// probeInterval is the time after which an unresponsive endpoint gets another repeatable request as a probe: it may
+	// have recovered, which nothing else would show.
 	probeInterval = time.Second
-	// usualWeight is the weight of a new answer in the usual time of a service's answers.
-	usualWeight = 0.05
+	// answerTimeWeight is the weight of a new sample in the moving average of a service's answer times.
+	answerTimeWeight = 0.05
 )
 
-// silence follows whether an endpoint says anything while requests are at it.
+// responseTracker tracks whether an endpoint responds while requests are in flight to it.
 //
-// It guards against an endpoint that goes dark: its host neither answers nor refuses, connections to it stay open, and its
-// registration lapses only after three heartbeats, some 4 s, later where the store is away. Calls that may run once can't be
-// sent again, and a client that leaves without an answer told nobody anything: of 50 calls in 10 s a gateway lost 6 or 7 to one of
-// three endpoints, and one or two with this.
-type silence struct {
-	// since is when the first request was sent after the endpoint's last word; zero while none is at it without a word.
-	since time.Time
-	// lastSent is when the last one was sent, lastHeard when the endpoint spoke last.
-	lastSent, lastHeard time.Time
+// It detects an endpoint whose host neither responds nor refuses connections: open connections stay open, and the
+// registration expires only after three heartbeats, about 4 s, or later if the store is unavailable. Requests that may
+// run only once can't be retried, and a client that disconnects before an answer reveals nothing about the endpoint.
+// Without the tracker, a gateway lost 6 or 7 of 50 requests in 10 s to such an endpoint among three; with it, one or
+// two.
+type responseTracker struct {
+	// waitingSince is the time at which the first request after the last response was sent; it is zero if no request
+	// waits for a response.
+	waitingSince time.Time
+	// lastSent is the time of the last request, lastResponse that of the last response.
+	lastSent, lastResponse time.Time
 }
 
-func (s *silence) sent(now time.Time) {
-	s.lastSent = now
-	if s.since.IsZero() {
-		s.since = now
+func (r *responseTracker) sent(now time.Time) {
+	r.lastSent = now
+	if r.waitingSince.IsZero() {
+		r.waitingSince = now
 	}
 }
 
-// heard notes the answer to one of the open requests: the others are waited for anew.
-func (s *silence) heard(now time.Time, open int) {
-	s.lastHeard, s.since = now, now
+// responded records a response to one of the open requests. The timeout of the others starts again.
+func (r *responseTracker) responded(now time.Time, open int) {
+	r.lastResponse, r.waitingSince = now, now
 	if open <= 1 {
-		s.since = time.Time{}
+		r.waitingSince = time.Time{}
 	}
 }
 
-// done ends a request, with so many still open. The last one whose client left without a word of the endpoint leaves it as
-// silent as it was.
-func (s *silence) done(open int) {
-	if open == 0 && !s.lastHeard.Before(s.lastSent) {
-		s.since = time.Time{}
+// done records the end of a request, with the number of requests still open. If the last client disconnects without a
+// response, the state is kept.
+func (r *responseTracker) done(open int) {
+	if open == 0 && !r.lastResponse.Before(r.lastSent) {
+		r.waitingSince = time.Time{}
 	}
 }
 
-// tooLong reports whether the endpoint has been silent for longer than allowed.
-func (s *silence) tooLong(now time.Time, allowed time.Duration) bool {
-	return !s.since.IsZero() && now.Sub(s.since) > allowed
+// overdue reports whether the endpoint has not responded for longer than the timeout.
+func (r *responseTracker) overdue(now time.Time, timeout time.Duration) bool {
+	return !r.waitingSince.IsZero() && now.Sub(r.waitingSince) > timeout
 }
 
-// Heard notes an answer of an endpoint, and how long it took.
+// Heard records an answer of an endpoint and the time that it took.
 func (f *Fleet) Heard(now time.Time, id string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,30 +72,30 @@
 	if e == nil {
 		return
 	}
-	e.silence.heard(now, e.sent)
-	usual, known := f.usual[e.Service]
+	e.responses.responded(now, e.inFlight)
+	average, known := f.answerTime[e.Service]
 	if !known {
-		usual = took
+		average = took
 	}
-	f.usual[e.Service] = usual + time.Duration(usualWeight*float64(took-usual))
+	f.answerTime[e.Service] = average + time.Duration(answerTimeWeight*float64(took-average))
 }
 
-// speaking leaves out the endpoints of a plain service that have been silent for too long, unless all have: then the service is
-// slow, or this gateway is cut off. Engines are not looked at: they may rightly be silent until a first event, and the agents
-// beside them tell whether they live.
-func (f *Fleet) speaking(now time.Time, candidates []routing.Candidate, w *Want) []routing.Candidate {
+// dropUnresponsive removes the endpoints of a plain service whose response is overdue, unless no untried one would
+// remain: then the service is slow, or this gateway is cut off. It does not apply to engines, which may take long until
+// the first event; their agents report whether they respond.
+func (f *Fleet) dropUnresponsive(now time.Time, candidates []routing.Candidate, w *Want) []routing.Candidate {
 	if w.Model != "" {
 		return candidates
 	}
-	allowed := max(leastSilence, silenceFactor*f.usual[w.Service])
-	left := slices.DeleteFunc(slices.Clone(candidates), func(c routing.Candidate) bool {
-		s := &f.endpoints[c.Endpoint].silence
-		probe := w.Repeatable && now.Sub(s.lastSent) > probeInterval
-		return s.tooLong(now, allowed) && !probe
+	timeout := max(minResponseTimeout, responseTimeoutFactor*f.answerTime[w.Service])
+	responsive := slices.DeleteFunc(slices.Clone(candidates), func(c routing.Candidate) bool {
+		r := &f.endpoints[c.Endpoint].responses
+		probe := w.Repeatable && now.Sub(r.lastSent) > probeInterval
+		return r.overdue(now, timeout) && !probe
 	})
 	untried := func(c routing.Candidate) bool { return !slices.Contains(w.Tried, c.Endpoint) }
-	if !slices.ContainsFunc(left, untried) {
+	if !slices.ContainsFunc(responsive, untried) {
 		return candidates
 	}
-	return left
+	return responsive
 }
