--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -12,83 +12,84 @@
 	"balsamsail/internal/placement"
 )
 
-// ErrPolicy says that there is no policy of a name.
+// ErrPolicy is returned for the name of an unknown policy.
 var ErrPolicy = errors.New("experiment: unknown policy (allowed: current, none, demand, pipe, foresight)")
 
-// policies are the policies that can be compared. Each is made for a site, of which only foresight makes use.
+// policies are the policies that can be compared, by name. Each is created for a site, which only foresight uses.
 var policies = map[string]func(*site) placement.Policy{
-	// current is the one that the product uses.
+	// current is the production policy.
 	"current": func(*site) placement.Policy { return placement.Decide },
-	// none leaves every model where it is at the start.
+	// none keeps every model where it is at the start.
 	"none": func(*site) placement.Policy { return func(placement.Input) []placement.Command { return nil } },
-	// demand loads what requests wait for, and drops what was asked for longest ago.
+	// demand loads models that requests wait for and evicts the least recently requested ones.
 	"demand": func(*site) placement.Policy { return onDemand },
-	// pipe does so, and uses the weight store's free loads for the models that are asked for most and that no host has.
-	"pipe": func(*site) placement.Policy { return keepPipeFull },
-	// foresight knows the requests to come.
+	// pipe is demand with prefetching: it uses free store loads for the most requested models that have no copy on any
+	// host.
+	"pipe": func(*site) placement.Policy { return prefetchFromStore },
+	// foresight uses the future requests.
 	"foresight": func(s *site) placement.Policy { return s.foresight },
 }
 
-// choice is a decision in the making over the free engines of an input.
-type choice struct {
+// plan is a decision in progress for the free engines of an input.
+type plan struct {
 	placement.Input
 	free     []*placement.Engine
 	replicas map[string]int
 	commands []placement.Command
 }
 
-func newChoice(in placement.Input) *choice {
-	c := &choice{Input: in, replicas: make(map[string]int)}
+func newPlan(in placement.Input) *plan {
+	p := &plan{Input: in, replicas: make(map[string]int)}
 	for i := range in.Engines {
 		e := &in.Engines[i]
 		if e.Free {
-			c.free = append(c.free, e)
+			p.free = append(p.free, e)
 		}
-		for m := range e.Holds {
+		for m := range e.Loaded {
 			if !e.Unloading[m] {
-				c.replicas[m]++
+				p.replicas[m]++
 			}
 		}
 		if e.Loading != "" {
-			c.replicas[e.Loading]++
+			p.replicas[e.Loading]++
 		}
 	}
-	return c
+	return p
 }
 
-// give commands an engine to load a model, and the model that is passed to make way if there is no place.
-func (c *choice) give(e *placement.Engine, model, victim, reason string) {
+// issue adds a command to load a model on an engine and unload victim, if that is not empty.
+func (p *plan) issue(e *placement.Engine, model, victim, reason string) {
 	command := placement.Command{Engine: e.ID, Load: model, Source: e.SourceOf(model), Reason: reason}
 	if victim != "" {
 		command.Unload = []string{victim}
-		c.replicas[victim]--
+		p.replicas[victim]--
 	}
 	if command.Source == placement.FromStore {
-		c.StoreLoads--
+		p.StoreLoads--
 	}
-	c.replicas[model]++
-	c.commands = append(c.commands, command)
-	c.free = slices.DeleteFunc(c.free, func(f *placement.Engine) bool { return f == e })
+	p.replicas[model]++
+	p.commands = append(p.commands, command)
+	p.free = slices.DeleteFunc(p.free, func(f *placement.Engine) bool { return f == e })
 }
 
-// hasRoom reports whether an engine has a place for one more model.
-func (c *choice) hasRoom(e *placement.Engine) bool { return float64(len(e.Holds)) < c.Class.MemoryMB }
+// hasRoom reports whether an engine has memory for one more model.
+func (p *plan) hasRoom(e *placement.Engine) bool { return float64(len(e.Loaded)) < p.Class.MemoryMB }
 
-// leastRecent is the model of an engine that was asked for longest ago and that nobody waits for.
-func (c *choice) leastRecent(e *placement.Engine) string {
-	held := slices.Sorted(maps.Keys(e.Holds))
-	return slices.MinFunc(held, func(a, b string) int { return c.Demand[a].LastArrival.Compare(c.Demand[b].LastArrival) })
+// leastRecentlyUsed returns the model of an engine whose latest request is the oldest.
+func (p *plan) leastRecentlyUsed(e *placement.Engine) string {
+	loaded := slices.Sorted(maps.Keys(e.Loaded))
+	return slices.MinFunc(loaded, func(a, b string) int { return p.Demand[a].LastArrival.Compare(p.Demand[b].LastArrival) })
 }
 
-// load lets the engine load a model that gets it soonest; it returns false where none can.
-func (c *choice) load(model, reason string) bool {
+// load issues a command to load a model from the fastest available source. It returns false if no engine can load it.
+func (p *plan) load(model, reason string) bool {
 	var best *placement.Engine
-	for _, e := range c.free {
+	for _, e := range p.free {
 		source := e.SourceOf(model)
-		if e.Holds[model] || source == placement.FromStore && c.StoreLoads <= 0 {
+		if e.Loaded[model] || source == placement.FromStore && p.StoreLoads <= 0 {
 			continue
 		}
-		if best == nil || source < best.SourceOf(model) || source == best.SourceOf(model) && c.lastUse(e).Before(c.lastUse(best)) {
+		if best == nil || source < best.SourceOf(model) || source == best.SourceOf(model) && p.lastUse(e).Before(p.lastUse(best)) {
 			best = e
 		}
 	}
@@ -96,56 +97,56 @@
 		return false
 	}
 	victim := ""
-	if !c.hasRoom(best) {
-		victim = c.leastRecent(best)
+	if !p.hasRoom(best) {
+		victim = p.leastRecentlyUsed(best)
 	}
-	c.give(best, model, victim, reason)
+	p.issue(best, model, victim, reason)
 	return true
 }
 
-func (c *choice) lastUse(e *placement.Engine) time.Time {
-	if c.hasRoom(e) {
+func (p *plan) lastUse(e *placement.Engine) time.Time {
+	if p.hasRoom(e) {
 		return time.Time{}
 	}
-	return c.Demand[c.leastRecent(e)].LastArrival
+	return p.Demand[p.leastRecentlyUsed(e)].LastArrival
 }
 
 func onDemand(in placement.Input) []placement.Command {
-	c := newChoice(in)
-	c.loadWaiting()
-	return c.commands
+	p := newPlan(in)
+	p.loadForWaiting()
+	return p.commands
 }
 
-func (c *choice) loadWaiting() {
-	for _, m := range c.models(func(m string) bool { return c.Demand[m].Waiting > 0 && c.replicas[m] == 0 }, func(m string) float64 {
-		return -c.Demand[m].OldestWait.Seconds()
+func (p *plan) loadForWaiting() {
+	for _, m := range p.models(func(m string) bool { return p.Demand[m].Waiting > 0 && p.replicas[m] == 0 }, func(m string) float64 {
+		return -p.Demand[m].OldestWait.Seconds()
 	}) {
-		c.load(m, "requests wait")
+		p.load(m, "requests wait")
 	}
 }
 
-func keepPipeFull(in placement.Input) []placement.Command {
-	c := newChoice(in)
-	c.loadWaiting()
-	copied := make(map[string]bool)
+func prefetchFromStore(in placement.Input) []placement.Command {
+	p := newPlan(in)
+	p.loadForWaiting()
+	cached := make(map[string]bool)
 	for _, e := range in.Engines {
-		maps.Copy(copied, e.OnDisk)
-		maps.Copy(copied, e.InMemory)
+		maps.Copy(cached, e.OnDisk)
+		maps.Copy(cached, e.InMemory)
 	}
-	for _, m := range c.models(func(m string) bool { return c.replicas[m] == 0 && !copied[m] }, func(m string) float64 {
-		return -c.Demand[m].LongRate
+	for _, m := range p.models(func(m string) bool { return p.replicas[m] == 0 && !cached[m] }, func(m string) float64 {
+		return -p.Demand[m].LongRate
 	}) {
-		if c.StoreLoads <= 0 || !c.load(m, "fetch ahead") {
+		if p.StoreLoads <= 0 || !p.load(m, "fetch ahead") {
 			break
 		}
 	}
-	return c.commands
+	return p.commands
 }
 
-// models are those that a condition holds for, the ones of the lowest rank first.
-func (c *choice) models(condition func(string) bool, rank func(string) float64) []string {
+// models returns the models that satisfy the condition, lowest rank first.
+func (p *plan) models(condition func(string) bool, rank func(string) float64) []string {
 	var list []string
-	for m := range c.Class.Models {
+	for m := range p.Class.Models {
 		if condition(m) {
 			list = append(list, m)
 		}
@@ -155,67 +156,67 @@
 }
 
 const (
-	// horizon is how far ahead foresight looks beyond the end of a load.
+	// horizon is the time after the end of a load for which foresight considers requests.
 	horizon = 12 * time.Second
-	// onTimeShare is the part of a batch up to which a replica's requests are on time.
+	// onTimeShare is the fraction of a batch up to which a replica's requests are on time.
 	onTimeShare = 0.4
 )
 
-// foresight makes, again and again, the change of one engine that gains most by the requests that will come. It is greedy and
-// so no true bound, but it knows what no policy can.
+// foresight repeatedly issues the command that gains most for the future requests. Since it is greedy, its result is
+// not an upper bound, but it uses information that no real policy has.
 func (s *site) foresight(in placement.Input) []placement.Command {
-	c := newChoice(in)
-	worth := s.future()
-	// Of two changes that gain the same the first one is made, in an order that does not change from run to run.
-	models := slices.Sorted(maps.Keys(worth))
+	p := newPlan(in)
+	demand := s.futureDemands()
+	// Sorted, so that of two commands with the same gain every run chooses the same one.
+	models := slices.Sorted(maps.Keys(demand))
 	for {
 		var best *placement.Engine
 		var bestModel, bestVictim string
 		bestGain := 0.0
-		for _, e := range c.free {
+		for _, e := range p.free {
 			victim, loss := "", 0.0
-			if !c.hasRoom(e) {
-				victim, loss = s.cheapest(c, e, worth)
+			if !p.hasRoom(e) {
+				victim, loss = s.cheapestEviction(p, e, demand)
 			}
 			for _, m := range models {
-				f, source := worth[m], e.SourceOf(m)
-				if e.Holds[m] || source == placement.FromStore && c.StoreLoads <= 0 {
+				d, source := demand[m], e.SourceOf(m)
+				if e.Loaded[m] || source == placement.FromStore && p.StoreLoads <= 0 {
 					continue
 				}
-				gain := s.served(f, source, c.replicas[m]+1) - s.served(f, source, c.replicas[m]) - loss
+				gain := s.servedWorth(d, source, p.replicas[m]+1) - s.servedWorth(d, source, p.replicas[m]) - loss
 				if gain > bestGain {
 					best, bestModel, bestVictim, bestGain = e, m, victim, gain
 				}
 			}
 		}
 		if best == nil {
-			return c.commands
+			return p.commands
 		}
-		c.give(best, bestModel, bestVictim, "foresight")
+		p.issue(best, bestModel, bestVictim, "foresight")
 	}
 }
 
-// arrivals are the requests for one model that will come soon.
-type arrivals struct {
-	// worth by the second in which they come, from now on, and the requests.
-	worth, count [seconds]float64
-	// length is the mean time that one takes at an engine, in seconds.
+// futureDemand is the demand for one model within the lookahead.
+type futureDemand struct {
+	// worth is the total worth of the requests by arrival second from now on, and count their number.
+	worth, count [lookaheadSeconds]float64
+	// length is the mean time, in seconds, that a request takes at an engine.
 	length float64
 }
 
-// seconds is how far arrivals reach: the longest load and the horizon.
-const seconds = 30
+// lookaheadSeconds is the range of futureDemand: the longest load plus the horizon.
+const lookaheadSeconds = 30
 
-// future sums up the requests that wait or will come, by model.
-func (s *site) future() map[string]*arrivals {
-	future := make(map[string]*arrivals)
+// futureDemands sums up the waiting and future requests by model.
+func (s *site) futureDemands() map[string]*futureDemand {
+	future := make(map[string]*futureDemand)
 	add := func(r *request) {
 		at := int(max(0, r.at-s.now).Seconds())
-		if at >= seconds {
+		if at >= lookaheadSeconds {
 			return
 		}
 		if future[r.model] == nil {
-			future[r.model] = &arrivals{length: (time.Duration(r.events*s.x.Engines.EventTokens) * s.x.Engines.Step).Seconds()}
+			future[r.model] = &futureDemand{length: (time.Duration(r.events*s.params.Engines.EventTokens) * s.params.Engines.Step).Seconds()}
 		}
 		future[r.model].worth[at] += r.kind.Worth
 		future[r.model].count[at]++
@@ -223,8 +224,8 @@
 	for _, r := range s.waiting {
 		add(r)
 	}
-	for _, r := range s.day[s.next:] {
-		if r.at-s.now > seconds*time.Second {
+	for _, r := range s.requests[s.nextRequest:] {
+		if r.at-s.now > lookaheadSeconds*time.Second {
 			break
 		}
 		add(r)
@@ -232,32 +233,34 @@
 	return future
 }
 
-// served is the worth that a number of replicas serves, if one of them has to be loaded from a source first.
-func (s *site) served(f *arrivals, source placement.Source, replicas int) float64 {
+// servedWorth returns the worth that a number of replicas serves, if one of them has to be loaded from a source first.
+func (s *site) servedWorth(d *futureDemand, source placement.Source, replicas int) float64 {
 	if replicas == 0 {
 		return 0
 	}
 	load := s.loadTime(source)
-	// A client waits for a moment; what comes that long before the end of the load is served as well.
-	from := max(0, int((load - leastPatience).Seconds()))
+	// Clients wait for up to minPatience, so requests that arrive that long before the end of the load are served as
+	// well.
+	from := max(0, int((load - minPatience).Seconds()))
 	sum := 0.0
-	for at := from; at < min(seconds, from+int(horizon.Seconds())); at++ {
-		room := float64(replicas) * onTimeShare * float64(s.x.Engines.Batch)
-		running := f.count[at] * max(1, f.length)
-		sum += f.worth[at] * math.Min(1, room/math.Max(running, 1e-9))
+	for at := from; at < min(lookaheadSeconds, from+int(horizon.Seconds())); at++ {
+		room := float64(replicas) * onTimeShare * float64(s.params.Engines.Batch)
+		running := d.count[at] * max(1, d.length)
+		sum += d.worth[at] * math.Min(1, room/math.Max(running, 1e-9))
 	}
 	return sum
 }
 
-// cheapest is the model of an engine whose loss costs least by the requests to come.
-func (s *site) cheapest(c *choice, e *placement.Engine, worth map[string]*arrivals) (model string, loss float64) {
+// cheapestEviction returns the model of an engine whose eviction loses the least worth of the waiting and future
+// requests.
+func (s *site) cheapestEviction(p *plan, e *placement.Engine, demand map[string]*futureDemand) (model string, loss float64) {
 	loss = math.Inf(1)
-	for _, m := range slices.Sorted(maps.Keys(e.Holds)) {
+	for _, m := range slices.Sorted(maps.Keys(e.Loaded)) {
 		l := 0.0
-		if f := worth[m]; f != nil {
-			l = s.served(f, placement.FromMemory, c.replicas[m]) - s.served(f, placement.FromMemory, c.replicas[m]-1)
-			if c.replicas[m] == 1 && e.OnDisk[m] {
-				// It comes back from the disk.
+		if d := demand[m]; d != nil {
+			l = s.servedWorth(d, placement.FromMemory, p.replicas[m]) - s.servedWorth(d, placement.FromMemory, p.replicas[m]-1)
+			if p.replicas[m] == 1 && e.OnDisk[m] {
+				// The model can be loaded again from the disk.
 				l /= 2
 			}
 		}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -17,19 +17,19 @@
 	"balsamsail/internal/texttable"
 )
 
-// Outcome is what a policy reached on one day.
+// Outcome is the result of a policy on one day.
 type Outcome struct {
 	Seed uint64
-	// Worth is the part of all worth that was served; OnTime, Late and Unserved are shares of the requests.
+	// Worth is the served fraction of the total worth; OnTime, Late and Unserved are fractions of the requests.
 	Worth, OnTime, Late, Unserved float64
-	// ByKind is Worth of each kind of request.
+	// ByKind is the served fraction of the worth by kind of request.
 	ByKind map[string]float64
-	// Loads are counted by where the weights were.
+	// Loads is the number of loads by source of the weights.
 	Loads map[placement.Source]int
-	// ColdStart is how long 99 of 100 requests waited for their first event whose model no engine held; those that got none count
-	// with the time that their clients waited.
+	// ColdStart is the 99th percentile of the wait for the first event, over requests whose model was not loaded on any
+	// engine. A request without a first event counts with the time that its client waited.
 	ColdStart time.Duration
-	// IdleHours are the hours that engines held models and ran nothing, for each hour of the site.
+	// IdleHours is the number of hours that engines had models loaded and ran no requests, per hour of simulated time.
 	IdleHours float64
 }
 
@@ -39,56 +39,56 @@
 	Outcomes map[string][]Outcome
 }
 
-// Compare plays the days of an experiment with each of its policies, several at once.
-func Compare(x *settings.Experiment, workers int) (*Comparison, error) {
-	c := &Comparison{Policies: x.Run.Policies, Outcomes: make(map[string][]Outcome)}
-	for _, name := range x.Run.Policies {
+// Compare simulates the days of an experiment with each of its policies, using the given number of workers.
+func Compare(params *settings.Experiment, workers int) (*Comparison, error) {
+	c := &Comparison{Policies: params.Run.Policies, Outcomes: make(map[string][]Outcome)}
+	for _, name := range params.Run.Policies {
 		if policies[name] == nil {
 			return nil, errors.Wrapf(ErrPolicy, "%q", name)
 		}
-		c.Outcomes[name] = make([]Outcome, x.Run.Seeds)
+		c.Outcomes[name] = make([]Outcome, params.Run.Seeds)
 	}
-	var failed error
+	var simulationErr error
 	var mu sync.Mutex
-	var playing sync.WaitGroup
-	turns := make(chan struct{}, max(1, workers))
-	for _, name := range x.Run.Policies {
-		for i := range x.Run.Seeds {
-			turns <- struct{}{}
-			playing.Go(func() {
-				defer func() { <-turns }()
-				outcome, err := playDay(x, uint64(x.Run.First+i), policies[name])
+	var wg sync.WaitGroup
+	slots := make(chan struct{}, max(1, workers))
+	for _, name := range params.Run.Policies {
+		for i := range params.Run.Seeds {
+			slots <- struct{}{}
+			wg.Go(func() {
+				defer func() { <-slots }()
+				outcome, err := simulateDay(params, uint64(params.Run.First+i), policies[name])
 				mu.Lock()
 				defer mu.Unlock()
 				c.Outcomes[name][i] = outcome
 				if err != nil {
-					failed = err
+					simulationErr = err
 				}
 			})
 		}
 	}
-	playing.Wait()
-	return c, failed
+	wg.Wait()
+	return c, simulationErr
 }
 
-func playDay(x *settings.Experiment, seed uint64, policy func(*site) placement.Policy) (Outcome, error) {
-	s, err := newSite(x, seed, drawDay(x, seed), policy)
+func simulateDay(params *settings.Experiment, seed uint64, policy func(*site) placement.Policy) (Outcome, error) {
+	s, err := newSite(params, seed, drawDay(params, seed), policy)
 	if err != nil {
 		return Outcome{}, err
 	}
-	s.play()
+	s.simulate()
 	return s.outcome(seed), nil
 }
 
-// outcome sums up a day.
+// outcome returns the result of the simulated day.
 func (s *site) outcome(seed uint64) Outcome {
 	o := Outcome{Seed: seed, Loads: s.loads, ByKind: make(map[string]float64)}
-	owed := make(map[string]float64)
+	offered := make(map[string]float64)
 	var cold []time.Duration
-	for _, r := range s.day {
-		owed[r.kind.Name] += r.kind.Worth
+	for _, r := range s.requests {
+		offered[r.kind.Name] += r.kind.Worth
 		switch {
-		case r.done && r.first-r.at <= r.kind.Aim && r.worst <= r.kind.PauseAim:
+		case r.done && r.firstEvent-r.at <= r.kind.Aim && r.longestPause <= r.kind.PauseAim:
 			o.OnTime++
 			o.ByKind[r.kind.Name] += r.kind.Worth
 		case r.done:
@@ -98,31 +98,31 @@
 			o.Unserved++
 		}
 		if r.cold {
-			cold = append(cold, s.waitOf(r))
+			cold = append(cold, s.firstEventWait(r))
 		}
 	}
 	total, earned := 0.0, 0.0
-	for kind, worth := range owed {
+	for kind, worth := range offered {
 		total += worth
 		earned += o.ByKind[kind]
 		o.ByKind[kind] /= worth
 	}
-	n := float64(max(1, len(s.day)))
+	n := float64(max(1, len(s.requests)))
 	o.OnTime, o.Late, o.Unserved = o.OnTime/n, o.Late/n, o.Unserved/n
 	o.Worth = earned / math.Max(total, 1e-9)
 	o.ColdStart = percentile(cold, 0.99)
 	for _, e := range s.engines {
-		o.IdleHours += e.idle.Seconds() / s.x.Run.Length.Seconds()
+		o.IdleHours += e.idleTime.Seconds() / s.params.Run.Length.Seconds()
 	}
 	return o
 }
 
-// waitOf is how long a request waited for its first event.
-func (s *site) waitOf(r *request) time.Duration {
-	if r.first > 0 {
-		return r.first - r.at
+// firstEventWait returns the time that a request waited for its first event.
+func (s *site) firstEventWait(r *request) time.Duration {
+	if r.firstEvent > 0 {
+		return r.firstEvent - r.at
 	}
-	return min(r.kind.Deadline, max(leastPatience, patienceTargets*r.kind.Aim))
+	return min(r.kind.Deadline, max(minPatience, patienceFactor*r.kind.Aim))
 }
 
 func percentile(list []time.Duration, p float64) time.Duration {
@@ -133,11 +133,11 @@
 	return list[min(len(list)-1, int(p*float64(len(list))))]
 }
 
-// mean is the mean of a figure over the days.
-func mean(outcomes []Outcome, figure func(Outcome) float64) float64 {
+// mean returns the mean of a metric over the days.
+func mean(outcomes []Outcome, metric func(Outcome) float64) float64 {
 	sum := 0.0
 	for _, o := range outcomes {
-		sum += figure(o)
+		sum += metric(o)
 	}
 	return sum / float64(max(1, len(outcomes)))
 }
@@ -150,7 +150,7 @@
 	table.Row("%s", strings.Join(header, "\t"))
 	for _, name := range c.Policies {
 		days := c.Outcomes[name]
-		share := func(figure func(Outcome) float64) string { return fmt.Sprintf("%.3f", mean(days, figure)) }
+		share := func(metric func(Outcome) float64) string { return fmt.Sprintf("%.3f", mean(days, metric)) }
 		loads := func(source placement.Source) string {
 			return fmt.Sprintf("%.1f", mean(days, func(o Outcome) float64 { return float64(o.Loads[source]) }))
 		}
@@ -173,9 +173,9 @@
 	return err
 }
 
-// plot draws the worth of each policy by day.
+// plot returns a plot of the worth of each policy by day.
 func (c *Comparison) plot() string {
-	const height, leastWidth = 12, 40
+	const height, minWidth = 12, 40
 	colors := []asciigraph.AnsiColor{asciigraph.Green, asciigraph.Red, asciigraph.Blue, asciigraph.Yellow, asciigraph.Magenta}
 	var series [][]float64
 	for _, name := range c.Policies {
@@ -189,7 +189,7 @@
 		series = append(series, line)
 	}
 	return asciigraph.PlotMany(series,
-		asciigraph.Height(height), asciigraph.Width(leastWidth), asciigraph.Precision(2), asciigraph.LowerBound(0), asciigraph.UpperBound(1),
+		asciigraph.Height(height), asciigraph.Width(minWidth), asciigraph.Precision(2), asciigraph.LowerBound(0), asciigraph.UpperBound(1),
 		asciigraph.SeriesColors(colors[:min(len(colors), len(series))]...), asciigraph.SeriesLegends(c.Policies...),
 		asciigraph.Caption("worth by day"))
 }
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -17,74 +17,77 @@
 )
 
 const (
-	// tick is the step of the model's time. Events of a stream come some 40 ms apart and more.
+	// tick is the step of the simulated time. The events of a stream are about 40 ms or more apart.
 	tick = 10 * time.Millisecond
-	// decideEvery is the time between two decisions of the manager, and reportLag how old what it sees is.
-	decideEvery = 100 * time.Millisecond
-	reportLag   = 100 * time.Millisecond
-	service     = "engines"
-	gatewayName = "gateway"
-	// patienceTargets is for how many of its aims a client waits for the first event.
-	patienceTargets = 4
-	leastPatience   = 2 * time.Second
+	// decideInterval is the time between two decisions of the manager, and reportLag the maximum age of the reports
+	// that it uses.
+	decideInterval = 100 * time.Millisecond
+	reportLag      = 100 * time.Millisecond
+	service        = "engines"
+	gatewayName    = "gateway"
+	// patienceFactor is the time for which a client waits for the first event, as a multiple of its target, and
+	// minPatience the minimum of that time.
+	patienceFactor = 4
+	minPatience    = 2 * time.Second
 )
 
-// engine is one engine of the model.
+// engine is a simulated engine.
 type engine struct {
-	id       string
-	holds    map[string]bool
-	disk     []string
-	memory   []string
-	running  []*request
-	queued   []*request
-	command  *controlpb.Command
-	loading  bool
-	loadEnds time.Duration
-	// fromStore is set while the engine's load is one from the store.
+	id           string
+	loaded       map[string]bool
+	diskCopies   []string
+	memoryCopies []string
+	running      []*request
+	queued       []*request
+	command      *controlpb.Command
+	loading      bool
+	loadDoneAt   time.Duration
+	// fromStore is set while the engine loads from the weight store.
 	fromStore bool
-	idle      time.Duration
-	seen      fleet.Engine
+	idleTime  time.Duration
+	reported  fleet.Engine
 }
 
-// site is a model of a site on one day. It implements what placement.Manager asks for.
+// site simulates the engines and requests of a site for one day. It implements the dependencies of placement.Manager.
 type site struct {
-	x       *settings.Experiment
-	seed    uint64
-	config  *catalog.Config
-	engines []*engine
-	waiting []*request
-	day     []*request
-	next    int
-	now     time.Duration
-	origin  time.Time
-	arrived map[string]int64
-	// targets are the tightest aims seen of each model's requests.
-	targets map[string]time.Duration
-	loads   map[placement.Source]int
-	current *controlpb.Demand
-	manager *placement.Manager
-	// newManager makes the manager of a coordinator that knows nothing.
+	params      *settings.Experiment
+	seed        uint64
+	config      *catalog.Config
+	engines     []*engine
+	waiting     []*request
+	requests    []*request
+	nextRequest int
+	now         time.Duration
+	origin      time.Time
+	arrived     map[string]int64
+	// targets are the shortest first-event targets of the requests so far, by model.
+	targets        map[string]time.Duration
+	loads          map[placement.Source]int
+	reportedDemand *controlpb.Demand
+	manager        *placement.Manager
+	// newManager returns the manager of a coordinator that has just started.
 	newManager func() *placement.Manager
 }
 
-// newSite returns a site at the begin of a day: busy models are spread, every other has one engine while there are places.
-func newSite(x *settings.Experiment, seed uint64, day []*request, policy func(*site) placement.Policy) (*site, error) {
-	s := &site{x: x, seed: seed, day: day, origin: time.Unix(0, 0), arrived: make(map[string]int64), targets: make(map[string]time.Duration), loads: make(map[placement.Source]int)}
+// newSite returns a site at the start of a day. Busy models are loaded on several engines, the others on one each while
+// there is room.
+func newSite(params *settings.Experiment, seed uint64, requests []*request, policy func(*site) placement.Policy) (*site, error) {
+	s := &site{params: params, seed: seed, requests: requests, origin: time.Unix(0, 0), arrived: make(map[string]int64), targets: make(map[string]time.Duration), loads: make(map[placement.Source]int)}
 	class := &catalog.EngineClass{
-		Batch: x.Engines.Batch, MemoryMB: float64(x.Engines.Places), LoadsPerSecond: x.Weights.PerSecond,
+		Batch: params.Engines.Batch, MemoryMB: float64(params.Engines.Places), LoadsPerSecond: params.Weights.PerSecond,
 		Models: make(map[string]catalog.Model),
 	}
-	for i := range x.Engines.Models {
+	for i := range params.Engines.Models {
 		name := modelName(i)
 		class.Models[name] = catalog.Model{
-			Name: name, SizeMB: 1, Adapters: adapters(x, i), LoadTime: x.Weights.StoreTime, DiskTime: x.Weights.DiskTime, MemoryTime: x.Weights.MemoryTime,
+			Name: name, SizeMB: 1, Adapters: adapterCount(params, i), LoadTime: params.Weights.StoreTime, DiskTime: params.Weights.DiskTime, MemoryTime: params.Weights.MemoryTime,
 		}
 	}
 	s.config = catalog.NewConfig(1, catalog.ClientLimits{}, map[string]*catalog.Service{service: {Name: service, Engine: class}}, nil)
-	for i := range x.Engines.Count {
-		s.engines = append(s.engines, &engine{id: "engine-" + modelName(i), holds: make(map[string]bool)})
+	for i := range params.Engines.Count {
+		s.engines = append(s.engines, &engine{id: "engine-" + modelName(i), loaded: make(map[string]bool)})
 	}
-	s.fill()
+	s.placeInitialModels()
 	metrics, err := placement.NewMetrics(prometheus.NewRegistry())
 	if err != nil {
 		return nil, err
@@ -96,130 +99,130 @@
 	return s, nil
 }
 
-// adapters is how many adapters a model has: of the first models every other one has some.
-func adapters(x *settings.Experiment, model int) int {
-	if model < x.Engines.WithAdapters && model%2 == 0 {
+// adapterCount returns the number of adapters of a model: every other one of the first models has one.
+func adapterCount(params *settings.Experiment, model int) int {
+	if model < params.Engines.WithAdapters && model%2 == 0 {
 		return 1
 	}
 	return 0
 }
 
-// fill places the models that engines hold at the begin.
-func (s *site) fill() {
+// placeInitialModels sets the models that engines have loaded at the start of the day.
+func (s *site) placeInitialModels() {
 	next := 0
 	place := func(model int) bool {
 		for range s.engines {
 			e := s.engines[next%len(s.engines)]
 			next++
-			if len(e.holds) < s.x.Engines.Places && !e.holds[modelName(model)] {
-				e.holds[modelName(model)] = true
-				s.keepCopies(e, modelName(model))
+			if len(e.loaded) < s.params.Engines.Places && !e.loaded[modelName(model)] {
+				e.loaded[modelName(model)] = true
+				s.cacheCopies(e, modelName(model))
 				return true
 			}
 		}
 		return false
 	}
-	for range s.x.Engines.Spread - 1 {
+	for range s.params.Engines.Spread - 1 {
 		place(0)
 	}
-	for m := range s.x.Engines.Models {
+	for m := range s.params.Engines.Models {
 		if !place(m) {
 			break
 		}
 	}
 	random := rand.New(rand.NewPCG(s.seed, 12))
 	for _, e := range s.engines {
-		for _, m := range random.Perm(s.x.Engines.Models)[:min(s.x.Weights.FirstCopies, s.x.Engines.Models)] {
-			if !e.holds[modelName(m)] {
-				e.disk = append([]string{modelName(m)}, e.disk...)
+		for _, m := range random.Perm(s.params.Engines.Models)[:min(s.params.Weights.FirstCopies, s.params.Engines.Models)] {
+			if !e.loaded[modelName(m)] {
+				e.diskCopies = append([]string{modelName(m)}, e.diskCopies...)
 			}
 		}
-		e.disk = e.disk[max(0, len(e.disk)-s.x.Weights.DiskCopies):]
-		e.seen = s.look(e)
+		e.diskCopies = e.diskCopies[max(0, len(e.diskCopies)-s.params.Weights.DiskCopies):]
+		e.reported = s.report(e)
 	}
 }
 
-// keepCopies notes a model's weights on an engine's disk and in its host's memory, the oldest making way.
-func (s *site) keepCopies(e *engine, model string) {
-	e.disk = newest(e.disk, model, s.x.Weights.DiskCopies)
-	e.memory = newest(e.memory, model, s.x.Weights.MemoryCopies)
+// cacheCopies adds a model's weights to an engine's caches on disk and in host memory, evicting the oldest entries.
+func (s *site) cacheCopies(e *engine, model string) {
+	e.diskCopies = pushRecent(e.diskCopies, model, s.params.Weights.DiskCopies)
+	e.memoryCopies = pushRecent(e.memoryCopies, model, s.params.Weights.MemoryCopies)
 }
 
-func newest(list []string, model string, most int) []string {
+func pushRecent(list []string, model string, most int) []string {
 	list = append(slices.DeleteFunc(list, func(m string) bool { return m == model }), model)
 	return list[max(0, len(list)-most):]
 }
 
-// play plays the day to its end.
-func (s *site) play() {
-	end := s.x.Run.Lead + s.x.Run.Length + 10*time.Second
+// simulate runs the day to its end.
+func (s *site) simulate() {
+	end := s.params.Run.Lead + s.params.Run.Length + 10*time.Second
 	for s.now = 0; s.now < end; s.now += tick {
-		s.arrive()
-		if s.x.Run.LossAt > 0 && s.now == s.x.Run.Lead+s.x.Run.LossAt.Truncate(tick) {
-			s.losePower()
+		s.admitArrivals()
+		if s.params.Run.LossAt > 0 && s.now == s.params.Run.Lead+s.params.Run.LossAt.Truncate(tick) {
+			s.failPower()
 		}
 		for _, e := range s.engines {
-			s.load(e)
-			s.run(e)
+			s.stepLoad(e)
+			s.stepEngine(e)
 		}
 		s.dispatch()
 		if s.now%reportLag == 0 {
 			for _, e := range s.engines {
-				e.seen = s.look(e)
+				e.reported = s.report(e)
 			}
-			s.current = s.demandNow()
+			s.reportedDemand = s.demandNow()
 		}
-		if s.now%decideEvery == 0 {
+		if s.now%decideInterval == 0 {
 			s.manager.Step(s.time())
 		}
 	}
 }
 
-// losePower lets all engines and the coordinator start anew: only the copies on the engines' disks are left.
-func (s *site) losePower() {
+// failPower restarts all engines and the coordinator: only the copies on the engines' disks remain.
+func (s *site) failPower() {
 	for _, e := range s.engines {
-		e.holds, e.memory, e.running, e.queued = make(map[string]bool), nil, nil, nil
+		e.loaded, e.memoryCopies, e.running, e.queued = make(map[string]bool), nil, nil, nil
 		e.command, e.loading, e.fromStore = nil, false, false
-		e.seen = s.look(e)
+		e.reported = s.report(e)
 	}
 	clear(s.arrived)
 	clear(s.targets)
 	for _, r := range s.waiting {
-		s.count(r)
+		s.countArrival(r)
 	}
 	s.manager = s.newManager()
 }
 
 func (s *site) time() time.Time { return s.origin.Add(s.now) }
 
-// arrive takes in the requests that come now.
-func (s *site) arrive() {
-	for ; s.next < len(s.day) && s.day[s.next].at <= s.now; s.next++ {
-		r := s.day[s.next]
-		s.count(r)
+// admitArrivals adds the requests that arrive now.
+func (s *site) admitArrivals() {
+	for ; s.nextRequest < len(s.requests) && s.requests[s.nextRequest].at <= s.now; s.nextRequest++ {
+		r := s.requests[s.nextRequest]
+		s.countArrival(r)
 		r.cold = !slices.ContainsFunc(s.engines, func(e *engine) bool { return s.serves(e, r.model) })
 		s.waiting = append(s.waiting, r)
 	}
 }
 
-// count notes a request as gateways do.
-func (s *site) count(r *request) {
+// countArrival updates the demand counters as a gateway would.
+func (s *site) countArrival(r *request) {
 	s.arrived[r.model]++
 	if s.targets[r.model] == 0 || r.kind.Aim < s.targets[r.model] {
 		s.targets[r.model] = r.kind.Aim
 	}
 }
 
-// serves reports whether an engine takes requests for a model.
+// serves reports whether an engine accepts requests for a model.
 func (s *site) serves(e *engine, model string) bool {
-	return e.holds[model] && (e.command == nil || !slices.Contains(e.command.Unload, model))
+	return e.loaded[model] && (e.command == nil || !slices.Contains(e.command.Unload, model))
 }
 
-// dispatch sends waiting requests to the engines that hold their models and have the fewest requests, and drops those whose
-// clients have left.
+// dispatch sends each waiting request to the engine with the fewest requests among those that have its model loaded,
+// and drops requests whose clients have disconnected.
 func (s *site) dispatch() {
 	s.waiting = slices.DeleteFunc(s.waiting, func(r *request) bool {
-		if s.gone(r) {
+		if s.abandoned(r) {
 			return true
 		}
 		var best *engine
@@ -231,46 +234,47 @@
 		if best == nil {
 			return false
 		}
-		r.promptLeft, r.tokensLeft = float64(r.prompt), float64(r.events*s.x.Engines.EventTokens)
+		r.promptLeft, r.tokensLeft = float64(r.prompt), float64(r.events*s.params.Engines.EventTokens)
 		best.queued = append(best.queued, r)
 		return true
 	})
 }
 
-// gone reports whether a request's client has left: it waits longest for the first event.
-func (s *site) gone(r *request) bool {
-	patience := max(leastPatience, patienceTargets*r.kind.Aim)
-	return s.now-r.at > r.kind.Deadline || r.first == 0 && s.now-r.at > patience
+// abandoned reports whether a request's client has disconnected, at its deadline or after waiting too long for the
+// first event.
+func (s *site) abandoned(r *request) bool {
+	patience := max(minPatience, patienceFactor*r.kind.Aim)
+	return s.now-r.at > r.kind.Deadline || r.firstEvent == 0 && s.now-r.at > patience
 }
 
-// run lets an engine work for one tick: it reads prompts between the steps of its streams.
-func (s *site) run(e *engine) {
-	leave := func(r *request) bool { return s.gone(r) || r.done }
+// stepEngine simulates one tick of an engine: it processes prompts between the decoding steps of its streams.
+func (s *site) stepEngine(e *engine) {
+	leave := func(r *request) bool { return s.abandoned(r) || r.done }
 	e.running = slices.DeleteFunc(e.running, leave)
 	e.queued = slices.DeleteFunc(e.queued, leave)
-	for len(e.queued) > 0 && len(e.running) < s.x.Engines.Batch {
+	for len(e.queued) > 0 && len(e.running) < s.params.Engines.Batch {
 		e.running = append(e.running, e.queued[0])
 		e.queued = e.queued[1:]
 	}
 	if len(e.running) == 0 {
-		if len(e.holds) > 0 && s.now >= s.x.Run.Lead {
-			e.idle += tick
+		if len(e.loaded) > 0 && s.now >= s.params.Run.Lead {
+			e.idleTime += tick
 		}
 		return
 	}
-	left := s.read(e, tick)
-	step := s.x.Engines.Step + time.Duration(len(e.running))*s.x.Engines.StepPerRun
+	left := s.prefill(e, tick)
+	step := s.params.Engines.Step + time.Duration(len(e.running))*s.params.Engines.StepPerRun
 	tokens := float64(left) / float64(step)
 	for _, r := range e.running {
 		if r.promptLeft <= 0 {
-			s.generate(r, tokens)
+			s.decode(r, tokens)
 		}
 	}
 }
 
-// read lets an engine read prompts for up to a time and returns what is left of it.
-func (s *site) read(e *engine, budget time.Duration) time.Duration {
-	perTick := s.x.Engines.ReadPerMS * budget.Seconds() * 1000
+// prefill processes prompts for up to the given time and returns the rest of it.
+func (s *site) prefill(e *engine, budget time.Duration) time.Duration {
+	perTick := s.params.Engines.ReadPerMS * budget.Seconds() * 1000
 	left := perTick
 	for _, r := range e.running {
 		if r.promptLeft > 0 && left > 0 {
@@ -282,26 +286,26 @@
 	return time.Duration(float64(budget) * left / perTick)
 }
 
-// generate makes tokens of a request; each event holds some of them.
-func (s *site) generate(r *request, tokens float64) {
-	perEvent := float64(s.x.Engines.EventTokens)
+// decode generates tokens of a request, several per event.
+func (s *site) decode(r *request, tokens float64) {
+	perEvent := float64(s.params.Engines.EventTokens)
 	before := int((r.tokensLeft + perEvent - 1) / perEvent)
 	r.tokensLeft -= tokens
 	after := int((max(0, r.tokensLeft) + perEvent - 1) / perEvent)
 	if after == before {
 		return
 	}
-	if r.first == 0 {
-		r.first = s.now
+	if r.firstEvent == 0 {
+		r.firstEvent = s.now
 	} else {
-		r.worst = max(r.worst, s.now-r.last)
+		r.longestPause = max(r.longestPause, s.now-r.lastEvent)
 	}
-	r.last = s.now
+	r.lastEvent = s.now
 	r.done = r.tokensLeft <= 0
 }
 
-// load carries on an engine's command: models make way once their requests have ended, then the load begins.
-func (s *site) load(e *engine) {
+// stepLoad continues an engine's command: models are unloaded once their requests have ended, then the load starts.
+func (s *site) stepLoad(e *engine) {
 	switch {
 	case e.command == nil:
 	case !e.loading && e.command.Load != "":
@@ -309,12 +313,12 @@
 			return
 		}
 		for _, m := range e.command.Unload {
-			delete(e.holds, m)
+			delete(e.loaded, m)
 		}
-		s.beginLoad(e)
-	case e.loading && s.now >= e.loadEnds:
-		e.holds[e.command.Load] = true
-		s.keepCopies(e, e.command.Load)
+		s.startLoad(e)
+	case e.loading && s.now >= e.loadDoneAt:
+		e.loaded[e.command.Load] = true
+		s.cacheCopies(e, e.command.Load)
 		e.command, e.loading, e.fromStore = nil, false, false
 	}
 }
@@ -324,17 +328,17 @@
 	return slices.ContainsFunc(e.running, uses) || slices.ContainsFunc(e.queued, uses)
 }
 
-// loadTime is how long a load from a source takes at full speed; all models are alike.
+// loadTime returns the time to load a model from a source at full speed; it is the same for all models.
 func (s *site) loadTime(source placement.Source) time.Duration {
 	return source.LoadTime(s.config.EngineClass(service).Models[modelName(0)])
 }
 
-func (s *site) beginLoad(e *engine) {
+func (s *site) startLoad(e *engine) {
 	source := placement.FromStore
 	switch {
-	case slices.Contains(e.memory, e.command.Load):
+	case slices.Contains(e.memoryCopies, e.command.Load):
 		source = placement.FromMemory
-	case slices.Contains(e.disk, e.command.Load):
+	case slices.Contains(e.diskCopies, e.command.Load):
 		source = placement.FromDisk
 	}
 	duration := s.loadTime(source)
@@ -347,18 +351,18 @@
 				active++
 			}
 		}
-		duration = time.Duration(float64(duration) * max(1, float64(active)/float64(s.x.Weights.FullSpeed)))
+		duration = time.Duration(float64(duration) * max(1, float64(active)/float64(s.params.Weights.FullSpeed)))
 	}
-	e.loadEnds = s.now + duration
+	e.loadDoneAt = s.now + duration
 }
 
-// look describes an engine as its agent would.
-func (s *site) look(e *engine) fleet.Engine {
+// report returns the state of an engine as its agent would report it.
+func (s *site) report(e *engine) fleet.Engine {
 	state := fleet.EngineState{
-		EndpointID: e.id, Models: make(map[string]map[string]bool), Unloading: make(map[string]bool), InMemory: nameset.Of(e.memory), OnDisk: nameset.Of(e.disk),
-		Running: len(e.running), Queued: len(e.queued), Command: e.seen.Command,
+		EndpointID: e.id, Models: make(map[string]map[string]bool), Unloading: make(map[string]bool), InMemory: nameset.Of(e.memoryCopies), OnDisk: nameset.Of(e.diskCopies),
+		Running: len(e.running), Queued: len(e.queued), Command: e.reported.Command,
 	}
-	for m := range e.holds {
+	for m := range e.loaded {
 		state.Models[m] = nil
 	}
 	if e.command != nil {
@@ -367,7 +371,7 @@
 	return fleet.Engine{ID: e.id, Reported: true, EngineState: state}
 }
 
-// demandNow describes what requests ask for as the gateways would.
+// demandNow returns the demand as the gateways would report it.
 func (s *site) demandNow() *controlpb.Demand {
 	models := make(map[string]*controlpb.ModelDemand)
 	for name, count := range s.arrived {
@@ -398,7 +402,7 @@
 func (s *site) Engines(string, time.Time) []fleet.Engine {
 	list := make([]fleet.Engine, len(s.engines))
 	for i, e := range s.engines {
-		list[i] = e.seen
+		list[i] = e.reported
 	}
 	return list
 }
@@ -408,7 +412,7 @@
 
 // Demand implements placement.Gateways.
 func (s *site) Demand(time.Time) map[string]*controlpb.Demand {
-	return map[string]*controlpb.Demand{gatewayName: s.current}
+	return map[string]*controlpb.Demand{gatewayName: s.reportedDemand}
 }
 
 // Waiting implements placement.Gateways.
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// decideInterval is the time between two decisions; what agents and gateways tell is up to twice as old.
+	// decideInterval is the time between two decisions. Reports from agents and gateways are up to twice as old.
 	decideInterval = 100 * time.Millisecond
-	// commandPatience is how long an agent may take to show that it has taken up a command, before the engine counts as free
-	// again.
-	commandPatience = time.Second
+	// commandAckTimeout is the time within which an agent must report that it has accepted a command. After that the
+	// engine counts as free again.
+	commandAckTimeout = time.Second
 )
 
-// Site tells what is known of the engines. Implemented by fleet.Fleet.
+// Site provides the configuration and the state of the engines. Implemented by fleet.Fleet.
 type Site interface {
 	Config() *catalog.Config
 	Engines(service string, now time.Time) []fleet.Engine
 }
 
-// Gateways tells what all gateways' requests ask for, and whether this one decides. Implemented by control.Peers.
+// Gateways provides the demand of all gateways and reports whether this gateway is the coordinator. Implemented by
+// control.Peers.
 type Gateways interface {
 	Coordinates(now time.Time) bool
 	Demand(now time.Time) map[string]*controlpb.Demand
-	// Waiting is signalled when a request begins to wait for a model.
+	// Waiting returns a channel that is signaled when a request starts waiting for a model.
 	Waiting() <-chan struct{}
 }
 
@@ -38,10 +39,10 @@
 	Command(c *controlpb.Command)
 }
 
-// Policy decides which commands to give now, at most one an engine.
+// Policy returns the commands to send now, at most one per engine.
 type Policy func(Input) []Command
 
-// Manager decides on placement while its gateway is the coordinator.
+// Manager runs a placement policy while its gateway is the coordinator.
 type Manager struct {
 	site      Site
 	gateways  Gateways
@@ -54,25 +55,25 @@
 	nextID   uint64
 }
 
-// serviceState is what the manager remembers of a service between decisions.
+// serviceState is the state of a service that is kept between decisions.
 type serviceState struct {
-	rates map[string]*rates
-	pipe  *pipe
-	// given are the commands that have not been seen to end, by engine.
-	given   map[string]*givenCommand
+	rates        map[string]*rates
+	storeLimiter *storeLimiter
+	// pending are the commands that have not completed, by engine.
+	pending map[string]*pendingCommand
 	metrics *Metrics
 }
 
-type givenCommand struct {
+type pendingCommand struct {
 	Command
-	id    uint64
-	at    time.Time
-	taken bool
-	// loading is set once the engine has begun the load.
+	id       uint64
+	sentAt   time.Time
+	accepted bool
+	// loading is set once the engine has started the load.
 	loading bool
 }
 
-// NewManager returns a manager.
+// NewManager returns a manager that has no state yet.
 func NewManager(site Site, gateways Gateways, commander Commander, logger *slog.Logger, metrics *Metrics, policy Policy) *Manager {
 	return &Manager{
 		site:      site,
@@ -86,7 +87,7 @@
 	}
 }
 
-// Run decides until ctx ends.
+// Run makes decisions until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(decideInterval)
 	defer ticker.Stop()
@@ -102,7 +103,7 @@
 	}
 }
 
-// Step decides once for each service with engines.
+// Step makes one decision for each service with engines.
 func (m *Manager) Step(now time.Time) {
 	config := m.site.Config()
 	if config == nil || !m.gateways.Coordinates(now) {
@@ -120,83 +121,83 @@
 func (m *Manager) decide(now time.Time, service string, class *catalog.EngineClass, demand map[string]*controlpb.Demand) {
 	s := m.services[service]
 	if s == nil {
-		s = &serviceState{rates: make(map[string]*rates), pipe: newPipe(), given: make(map[string]*givenCommand), metrics: m.metrics}
+		s = &serviceState{rates: make(map[string]*rates), storeLimiter: newStoreLimiter(), pending: make(map[string]*pendingCommand), metrics: m.metrics}
 		m.services[service] = s
 	}
-	known := m.site.Engines(service, now)
-	s.follow(now, known)
+	engines := m.site.Engines(service, now)
+	s.updatePending(now, engines)
 	in := Input{
 		Class:      class,
-		Demand:     s.demand(now, service, demand),
-		StoreLoads: s.pipe.room(now, class.LoadsPerSecond),
-		StoreLimit: s.pipe.limit,
+		Demand:     s.sumDemand(now, service, demand),
+		StoreLoads: s.storeLimiter.available(now, class.LoadsPerSecond),
+		StoreLimit: s.storeLimiter.limit,
 	}
-	for _, e := range known {
-		// What a leaving engine holds serves nobody any more: gateways send it nothing, and its copies go with it.
+	for _, e := range engines {
+		// Gateways send no requests to a leaving engine, and its copies disappear with it.
 		if !e.Leaving {
-			in.Engines = append(in.Engines, s.engine(now, e, class))
+			in.Engines = append(in.Engines, s.engineInput(now, e, class))
 		}
 	}
 	for _, c := range m.policy(in) {
-		m.give(now, s, class, c, in.Demand[c.Load])
+		m.send(now, s, class, c, in.Demand[c.Load])
 	}
 }
 
-// give sends a command and remembers it.
-func (m *Manager) give(now time.Time, s *serviceState, class *catalog.EngineClass, c Command, d Demand) {
+// send sends a command and records it as pending.
+func (m *Manager) send(now time.Time, s *serviceState, class *catalog.EngineClass, c Command, d Demand) {
 	m.nextID++
-	s.given[c.Engine] = &givenCommand{Command: c, id: m.nextID, at: now}
+	s.pending[c.Engine] = &pendingCommand{Command: c, id: m.nextID, sentAt: now}
 	if c.Source == FromStore {
-		s.pipe.begin(now, c.Engine, c.Load, class.Models[c.Load].LoadTime)
+		s.storeLimiter.acquire(now, c.Engine, c.Load, class.Models[c.Load].LoadTime)
 	}
-	m.metrics.given(c, s.pipe)
+	m.metrics.commandSent(c, s.storeLimiter)
 	m.logger.Info("placement", "event", "placement", "engine", c.Engine, "load", c.Load, "unload", c.Unload, "source", c.Source.String(),
 		"reason", c.Reason, "waiting", d.Waiting, "oldest_wait", d.OldestWait, "rate", d.Rate, "running", d.Running,
-		"store_loads", len(s.pipe.running), "store_limit", s.pipe.limit)
+		"store_loads", len(s.storeLimiter.running), "store_limit", s.storeLimiter.limit)
 	m.commander.Command(&controlpb.Command{Id: m.nextID, EndpointId: c.Engine, Unload: c.Unload, Load: c.Load})
 }
 
-// follow ends the commands that agents have finished, or never took up.
-func (s *serviceState) follow(now time.Time, known []fleet.Engine) {
-	present := make(map[string]bool, len(known))
-	for _, e := range known {
+// updatePending removes the commands that agents have completed or have not accepted in time.
+func (s *serviceState) updatePending(now time.Time, engines []fleet.Engine) {
+	present := make(map[string]bool, len(engines))
+	for _, e := range engines {
 		present[e.ID] = true
-		g := s.given[e.ID]
-		if g == nil {
+		c := s.pending[e.ID]
+		if c == nil {
 			continue
 		}
-		g.taken = g.taken || e.Command == g.id
-		if g.taken && e.Busy && !nameset.HoldsAny(e.Models, g.Unload) && !g.loading {
-			g.loading = true
-			s.pipe.started(now, e.ID)
+		c.accepted = c.accepted || e.Command == c.id
+		if c.accepted && e.Busy && !nameset.HoldsAny(e.Models, c.Unload) && !c.loading {
+			c.loading = true
+			s.storeLimiter.loadStarted(now, e.ID)
 		}
 		switch {
-		case e.Command == g.id && e.Loading == "" && !e.Busy:
-			_, loaded := e.Models[g.Load]
-			s.end(now, e.ID, loaded)
-		case !g.taken && now.Sub(g.at) > commandPatience:
-			s.end(now, e.ID, false)
+		case e.Command == c.id && e.Loading == "" && !e.Busy:
+			_, loaded := e.Models[c.Load]
+			s.finish(now, e.ID, loaded)
+		case !c.accepted && now.Sub(c.sentAt) > commandAckTimeout:
+			s.finish(now, e.ID, false)
 		}
 	}
-	for id := range s.given {
+	for id := range s.pending {
 		if !present[id] {
-			s.end(now, id, false)
+			s.finish(now, id, false)
 		}
 	}
 }
 
-func (s *serviceState) end(now time.Time, engine string, succeeded bool) {
-	s.metrics.ended(s.given[engine].Command, now.Sub(s.given[engine].at), succeeded)
-	delete(s.given, engine)
-	s.pipe.end(now, engine, succeeded)
+func (s *serviceState) finish(now time.Time, engine string, succeeded bool) {
+	s.metrics.commandFinished(s.pending[engine].Command, now.Sub(s.pending[engine].sentAt), succeeded)
+	delete(s.pending, engine)
+	s.storeLimiter.release(now, engine, succeeded)
 }
 
-// engine describes an engine for a decision.
-func (s *serviceState) engine(now time.Time, e fleet.Engine, class *catalog.EngineClass) Engine {
+// engineInput returns the policy's input for an engine. A pending command overrides the reported one.
+func (s *serviceState) engineInput(now time.Time, e fleet.Engine, class *catalog.EngineClass) Engine {
 	engine := Engine{
 		ID:        e.ID,
-		Free:      e.Reported && !e.Busy && e.Loading == "" && s.given[e.ID] == nil,
-		Holds:     make(map[string]bool, len(e.Models)),
+		Free:      e.Reported && !e.Busy && e.Loading == "" && s.pending[e.ID] == nil,
+		Loaded:    make(map[string]bool, len(e.Models)),
 		Running:   e.Running + e.Queued,
 		Loading:   e.Loading,
 		Unloading: e.Unloading,
@@ -204,17 +205,17 @@
 		OnDisk:    e.OnDisk,
 	}
 	for m := range e.Models {
-		engine.Holds[m] = true
+		engine.Loaded[m] = true
 	}
-	if g := s.given[e.ID]; g != nil {
-		engine.Loading, engine.Unloading = g.Load, nameset.Of(g.Unload)
-		engine.Remaining = max(0, g.Source.LoadTime(class.Models[g.Load])-now.Sub(g.at))
+	if c := s.pending[e.ID]; c != nil {
+		engine.Loading, engine.Unloading = c.Load, nameset.Of(c.Unload)
+		engine.Remaining = max(0, c.Source.LoadTime(class.Models[c.Load])-now.Sub(c.sentAt))
 	}
 	return engine
 }
 
-// demand sums up what the gateways tell of a service's models.
-func (s *serviceState) demand(now time.Time, service string, all map[string]*controlpb.Demand) map[string]Demand {
+// sumDemand sums the demand that the gateways report for a service's models.
+func (s *serviceState) sumDemand(now time.Time, service string, all map[string]*controlpb.Demand) map[string]Demand {
 	sums := make(map[string]Demand)
 	counts := make(map[string]map[string]int64)
 	for gateway, message := range all {
--- a/internal/placement/manager_test.go
+++ b/internal/placement/manager_test.go
@@ -12,42 +12,42 @@
 	"balsamsail/internal/fleet"
 )
 
-// scriptedSite is a site whose engines and demand a test sets. It implements what a Manager asks for.
-type scriptedSite struct {
+// fakeSite implements the dependencies of a Manager with engines and demand set by the test.
+type fakeSite struct {
 	engines  []fleet.Engine
 	demand   *controlpb.Demand
 	commands []*controlpb.Command
 }
 
-func (s *scriptedSite) Config() *catalog.Config {
+func (s *fakeSite) Config() *catalog.Config {
 	return catalog.NewConfig(1, catalog.ClientLimits{}, map[string]*catalog.Service{"s": {Name: "s", Engine: testClass()}}, nil)
 }
-func (s *scriptedSite) Engines(string, time.Time) []fleet.Engine { return s.engines }
-func (s *scriptedSite) Coordinates(time.Time) bool               { return true }
-func (s *scriptedSite) Waiting() <-chan struct{}                 { return nil }
-func (s *scriptedSite) Command(c *controlpb.Command)             { s.commands = append(s.commands, c) }
-func (s *scriptedSite) Demand(time.Time) map[string]*controlpb.Demand {
+func (s *fakeSite) Engines(string, time.Time) []fleet.Engine { return s.engines }
+func (s *fakeSite) Coordinates(time.Time) bool               { return true }
+func (s *fakeSite) Waiting() <-chan struct{}                 { return nil }
+func (s *fakeSite) Command(c *controlpb.Command)             { s.commands = append(s.commands, c) }
+func (s *fakeSite) Demand(time.Time) map[string]*controlpb.Demand {
 	return map[string]*controlpb.Demand{"gateway": s.demand}
 }
 
-func reportedEngine(id, holds string, leaving bool) fleet.Engine {
+func reportedEngine(id, models string, leaving bool) fleet.Engine {
 	e := fleet.Engine{ID: id, Reported: true, Leaving: leaving}
 	e.Models, e.OnDisk = make(map[string]map[string]bool), make(map[string]bool)
-	for _, r := range holds {
+	for _, r := range models {
 		e.Models[string(r)], e.OnDisk[string(r)] = nil, true
 	}
 	return e
 }
 
-// Pattern: the engines of a site are replaced one after the other by empty ones. The one that leaves gets no more requests and
-// still holds the only replica of a model, and the only copy of another. Both counted as there until its registration went, seconds
-// later: requests waited for the one, and nobody fetched the other.
+// Guards against counting the models and copies of a leaving engine. While engines are replaced one by one, the leaving
+// engine can hold the only replica of a model and the only copy of another. Both used to count until its registration
+// expired seconds later: requests waited for the first model, and the second was not prefetched.
 func TestModelsOfALeavingEngineAreLoadedElsewhere(t *testing.T) {
 	metrics, err := NewMetrics(prometheus.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
 	}
-	site := &scriptedSite{
+	site := &fakeSite{
 		engines: []fleet.Engine{reportedEngine("old", "m", true), reportedEngine("new-1", "", false), reportedEngine("new-2", "", false)},
 		demand:  &controlpb.Demand{Models: []*controlpb.ModelDemand{{Service: "s", Model: "m", Waiting: 2, OldestWaitMs: 500, Arrived: 2}}},
 	}
@@ -58,7 +58,7 @@
 		loads[c.Load] = c.EndpointId
 	}
 	if loads["m"] == "" || loads["m"] == "old" {
-		t.Errorf("commands %v, want m loaded at an engine that stays", site.commands)
+		t.Errorf("commands %v, want m loaded at an engine that is not leaving", site.commands)
 	}
 	if len(loads) != len(site.commands) {
 		t.Errorf("commands %v load a model twice", site.commands)
--- a/internal/placement/pipe.go
+++ b/internal/placement/pipe.go
@@ -3,101 +3,102 @@
 import "time"
 
 const (
-	// firstLimit is how many loads from the weight store run at once before anything is known of it.
-	firstLimit = 2
-	// doublesBelow is the limit below which it doubles with the loads that were on time; from there on it grows by one. A store
-	// that runs four at once, with loads of 6 s, is used fully from the seventh second on and not from the thirteenth: worth
-	// 0.756 and 0.693 against 0.745 and 0.681 on the two sites of examples/experiment, 16 days each.
-	doublesBelow = 3
-	// maxLimit bounds them in any case.
+	// initialLimit is the concurrency limit before any load has completed.
+	initialLimit = 2
+	// slowStartBelow is the limit below which it doubles after loads at full speed; from there on it grows by one. With
+	// it, a store that serves four loads of 6 s at once is fully used after 7 s instead of 13 s, which raises the
+	// served worth on the two sites of examples/experiment from 0.745 and 0.681 to 0.756 and 0.693.
+	slowStartBelow = 3
+	// maxLimit is the upper bound of the limit.
 	maxLimit = 32
-	// onTime and overTime are the shares of a load's nominal time up to which it ran at full speed, and from which the store
-	// was shared by too many.
-	onTime   = 1.15
-	overTime = 1.4
-	// ceilingHold is for how long a limit that was found too high is not exceeded again.
-	ceilingHold = 30 * time.Second
-	// startWindow is the window in which the loads that begin are counted against the store's rate, and startShare the share
-	// of the rate that is used.
+	// fullSpeedRatio and overloadRatio are ratios of a load's actual to its nominal time: up to the first it ran at
+	// full speed, from the second on the store served too many loads at once.
+	fullSpeedRatio = 1.15
+	overloadRatio  = 1.4
+	// ceilingDuration is the time for which a limit that overloaded the store is not exceeded again.
+	ceilingDuration = 30 * time.Second
+	// startWindow is the sliding window over which load starts are counted against the store's rate limit, and
+	// startShare the fraction of that rate to use.
 	startWindow = 5 * time.Second
 	startShare  = 1.0
 )
 
-// pipe learns how many loads from the weight store run at full speed at once. The operator does not declare it; beyond it
-// every load takes longer in proportion, so that nothing is gained and whoever waits waits longer.
-type pipe struct {
-	limit    int
-	ceiling  int
-	heldTill time.Time
-	running  map[string]storeLoad
-	starts   []time.Time
+// storeLimiter is an adaptive concurrency limit for loads from the weight store. The store's capacity is not declared;
+// beyond it, every load slows down in proportion, so that throughput stays the same and every request waits longer.
+type storeLimiter struct {
+	limit        int
+	ceiling      int
+	ceilingUntil time.Time
+	running      map[string]storeLoad
+	starts       []time.Time
 }
 
 type storeLoad struct {
-	model   string
-	began   time.Time
-	nominal time.Duration
-	// most is how many loads ran beside it at most, itself included.
-	most int
+	model     string
+	startedAt time.Time
+	nominal   time.Duration
+	// maxConcurrent is the highest number of loads that ran at the same time as this one, including it.
+	maxConcurrent int
 }
 
-func newPipe() *pipe {
-	return &pipe{limit: firstLimit, ceiling: maxLimit, running: make(map[string]storeLoad)}
+func newStoreLimiter() *storeLimiter {
+	return &storeLimiter{limit: initialLimit, ceiling: maxLimit, running: make(map[string]storeLoad)}
 }
 
-// room returns how many more loads may begin.
-func (p *pipe) room(now time.Time, perSecond float64) int {
-	for len(p.starts) > 0 && now.Sub(p.starts[0]) > startWindow {
-		p.starts = p.starts[1:]
+// available returns the number of loads that may start now.
+func (s *storeLimiter) available(now time.Time, perSecond float64) int {
+	for len(s.starts) > 0 && now.Sub(s.starts[0]) > startWindow {
+		s.starts = s.starts[1:]
 	}
-	left := p.limit - len(p.running)
+	available := s.limit - len(s.running)
 	if perSecond > 0 {
-		left = min(left, int(perSecond*startWindow.Seconds()*startShare)-len(p.starts))
+		available = min(available, int(perSecond*startWindow.Seconds()*startShare)-len(s.starts))
 	}
-	return left
+	return available
 }
 
-// begin notes a load at an engine.
-func (p *pipe) begin(now time.Time, engine, model string, nominal time.Duration) {
-	p.running[engine] = storeLoad{model: model, began: now, nominal: nominal}
-	p.starts = append(p.starts, now)
-	for e, l := range p.running {
-		l.most = max(l.most, len(p.running))
-		p.running[e] = l
+// acquire registers a load at an engine.
+func (s *storeLimiter) acquire(now time.Time, engine, model string, nominal time.Duration) {
+	s.running[engine] = storeLoad{model: model, startedAt: now, nominal: nominal}
+	s.starts = append(s.starts, now)
+	for e, l := range s.running {
+		l.maxConcurrent = max(l.maxConcurrent, len(s.running))
+		s.running[e] = l
 	}
 }
 
-// started notes that an engine has begun its load: the order took a time of its own, and longer where its answer was lost.
-func (p *pipe) started(now time.Time, engine string) {
-	if l, ok := p.running[engine]; ok {
-		l.began = now
-		p.running[engine] = l
+// loadStarted resets the start time of an engine's load to the time at which the engine began it, since sending the
+// command takes time, and more if its response is lost.
+func (s *storeLimiter) loadStarted(now time.Time, engine string) {
+	if l, ok := s.running[engine]; ok {
+		l.startedAt = now
+		s.running[engine] = l
 	}
 }
 
-// end notes that an engine's load is over; it has succeeded if the model is there.
-func (p *pipe) end(now time.Time, engine string, succeeded bool) {
-	l, ok := p.running[engine]
+// release removes an engine's load and adjusts the limit by its duration if it succeeded.
+func (s *storeLimiter) release(now time.Time, engine string, succeeded bool) {
+	l, ok := s.running[engine]
 	if !ok {
 		return
 	}
-	delete(p.running, engine)
+	delete(s.running, engine)
 	if !succeeded || l.nominal <= 0 {
 		return
 	}
-	if now.After(p.heldTill) {
-		p.ceiling = maxLimit
+	if now.After(s.ceilingUntil) {
+		s.ceiling = maxLimit
 	}
-	ratio := float64(now.Sub(l.began)) / float64(l.nominal)
+	ratio := float64(now.Sub(l.startedAt)) / float64(l.nominal)
 	switch {
-	case ratio >= overTime:
-		p.limit = max(1, min(p.limit, int(float64(l.most)/ratio+0.5)))
-		p.ceiling, p.heldTill = p.limit, now.Add(ceilingHold)
-	case ratio <= onTime && l.most >= p.limit:
-		grown := p.limit + 1
-		if p.limit < doublesBelow {
-			grown = 2 * p.limit
+	case ratio >= overloadRatio:
+		s.limit = max(1, min(s.limit, int(float64(l.maxConcurrent)/ratio+0.5)))
+		s.ceiling, s.ceilingUntil = s.limit, now.Add(ceilingDuration)
+	case ratio <= fullSpeedRatio && l.maxConcurrent >= s.limit:
+		grown := s.limit + 1
+		if s.limit < slowStartBelow {
+			grown = 2 * s.limit
 		}
-		p.limit = min(grown, p.ceiling)
+		s.limit = min(grown, s.ceiling)
 	}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement decides which models the engines of a service hold: what is loaded for requests that wait, how many
-// replicas a busy model has, and what is fetched ahead. Decide is a pure function of a snapshot.
+// Package placement decides which models the engines of a service hold: it loads models that requests wait for, scales
+// the replicas of busy models, and prefetches weights. Decide is a pure function of a snapshot.
 package placement
 
 import (
@@ -12,37 +12,38 @@
 )
 
 const (
-	// batchShare is the part of an engine's batch that a busy model should fill before it gets another replica. Pauses
-	// between tokens grow little with the batch, but each new prompt delays all streams of its engine, so the prompts of a
-	// busy model are spread.
-	batchShare = 0.2
-	// storeShare is that part where only the weight store has another copy: a load from there keeps an engine from all other
-	// orders for as long as some four loads from disk take.
-	storeShare = 0.5
-	// fullShare is the part of its replicas' batches from which a model counts as overloaded: new requests are held back there,
-	// and their first events come late.
-	fullShare = 0.75
-	// spareRate is the rate of requests, in 1/s, from which a model has a second replica: if its only engine crashes, that
-	// many wait for a load.
-	spareRate = 1.5
-	// busyRate is the rate, in 1/s, above which a model's replicas are not taken away for a model that is asked for less.
-	busyRate = 0.5
-	// maxGrowth bounds the growth that is expected of a rising model.
+	// scaleOutShare is the fraction of an engine's batch above which a busy model gets another replica. The pause
+	// between tokens grows little with the batch size, but each new prompt delays all streams of its engine, so the
+	// prompts of a busy model are spread over several engines.
+	scaleOutShare = 0.2
+	// storeScaleOutShare replaces scaleOutShare where another copy exists only in the weight store: a load from there
+	// blocks the engine for as long as about four loads from disk.
+	storeScaleOutShare = 0.5
+	// overloadShare is the fraction of its replicas' batches above which a model counts as overloaded: gateways hold
+	// new requests back from there on, so their first events are late.
+	overloadShare = 0.75
+	// redundancyRate is the request rate, in 1/s, from which a model gets a second replica: if its only engine crashes,
+	// that many requests per second wait for a load.
+	redundancyRate = 1.5
+	// protectedRate is the request rate, in 1/s, from which a model's replicas are evicted only if there is no cheaper
+	// eviction.
+	protectedRate = 0.5
+	// maxGrowth limits the growth factor in the demand forecast of a model with a rising request rate.
 	maxGrowth = 1.5
-	// decisionTime is what passes between a request's arrival and the begin of a load for it.
-	decisionTime = 200 * time.Millisecond
-	// keptFree is the part of the engines that is left without an order when room is filled.
-	keptFree = 0.5
-	// keptForUrgent is how many of the store's loads at once are left to models that requests need now, and keptFrom the
-	// limit from which.
-	keptForUrgent = 1
-	keptFrom      = 3
+	// decisionLatency is the time between a request's arrival and the start of a load for it.
+	decisionLatency = 200 * time.Millisecond
+	// idleEngineShare is the fraction of the engines that fillFreeMemory leaves free.
+	idleEngineShare = 0.5
+	// reservedStoreLoads is the number of concurrent store loads that prefetching leaves for models with waiting
+	// requests. It applies from a StoreLimit of reserveMinLimit.
+	reservedStoreLoads = 1
+	reserveMinLimit    = 3
 )
 
-// Source is where the weights of a load come from.
+// Source is the place from which a model's weights are loaded.
 type Source int
 
-// The sources, the fastest first.
+// The sources, fastest first.
 const (
 	FromMemory Source = iota
 	FromDisk
@@ -51,43 +52,43 @@
 
 func (s Source) String() string { return [...]string{"memory", "disk", "store"}[s] }
 
-// LoadTime is how long a model takes from the source.
+// LoadTime returns the time to load the model from the source.
 func (s Source) LoadTime(m catalog.Model) time.Duration {
 	return [...]time.Duration{m.MemoryTime, m.DiskTime, m.LoadTime}[s]
 }
 
-// Engine is an engine as its agent told last.
+// Engine is the state of an engine as last reported by its agent.
 type Engine struct {
 	ID string
-	// Free engines can take a command now.
-	Free  bool
-	Holds map[string]bool
-	// Running is how many requests it runs or queues.
+	// Free is set if the engine accepts a command now.
+	Free   bool
+	Loaded map[string]bool
+	// Running is the number of running and queued requests.
 	Running int
-	// Loading is the model that a command brings, Unloading those that it takes away, and Remaining the expected time to its
-	// end.
+	// Loading is the model that the current command loads, Unloading the models that it unloads, and Remaining the
+	// expected time until it completes.
 	Loading   string
 	Unloading map[string]bool
 	Remaining time.Duration
-	// InMemory and OnDisk are the models of which the host keeps copies.
+	// InMemory and OnDisk are the models whose weights the host caches.
 	InMemory, OnDisk map[string]bool
 }
 
-// Demand is what all gateways' requests ask of a model.
+// Demand is the demand for a model, summed over all gateways.
 type Demand struct {
-	// Waiting requests have no engine; OldestWait is the age of the oldest.
+	// Waiting is the number of requests without an engine, and OldestWait the age of the oldest one.
 	Waiting    int
 	OldestWait time.Duration
-	// Running requests are at engines.
+	// Running is the number of requests at engines.
 	Running int
-	// Rate is the rate of requests of the last seconds, and LongRate that of the last half minute, in 1/s.
+	// Rate and LongRate are request rates in 1/s, averaged over the last seconds and over the last half minute.
 	Rate, LongRate float64
-	// Peak is the most requests that ran or waited in the last seconds. Replicas are kept for it: a load that has just been
-	// paid for should not make way when the load that it took over has gone down.
+	// Peak is the decaying maximum of running and waiting requests over the last seconds. Replica counts follow it, so
+	// that a replica that was just loaded is not evicted as soon as it has relieved the others.
 	Peak int
-	// Target is the tightest target for a first event among the requests; 0 where none was declared.
+	// Target is the shortest first-event target among the requests, or 0 if none has one.
 	Target time.Duration
-	// LastArrival is when the last request came.
+	// LastArrival is the arrival time of the latest request.
 	LastArrival time.Time
 }
 
@@ -96,34 +97,34 @@
 	Class   *catalog.EngineClass
 	Engines []Engine
 	Demand  map[string]Demand
-	// StoreLoads is how many more loads from the weight store may begin.
+	// StoreLoads is the number of loads from the weight store that may start now.
 	StoreLoads int
-	// StoreLimit is how many run at full speed at once, as far as is known.
+	// StoreLimit is the estimated number of concurrent loads that the weight store serves at full speed.
 	StoreLimit int
 }
 
-// Command is a change of one engine's models.
+// Command changes the models of one engine.
 type Command struct {
 	Engine string
 	Unload []string
 	Load   string
 	Source Source
-	// Reason says what the load is for.
+	// Reason is the purpose of the load, for logs and metrics.
 	Reason string
 }
 
-// plan is a decision in the making.
+// plan is a decision in progress.
 type plan struct {
 	Input
 	free map[string]*Engine
-	// replicas counts those that are there or are being loaded, ready only those that serve now.
+	// replicas counts the replicas per model, including those being loaded; ready counts only those that serve now.
 	replicas, ready map[string]int
-	// total is how many requests run or wait, over all models.
+	// total is the number of running and waiting requests over all models.
 	total    int
 	commands []Command
 }
 
-// Decide returns the commands to give now, at most one an engine.
+// Decide returns the commands to send now, at most one per engine.
 func Decide(in Input) []Command {
 	p := &plan{Input: in, free: make(map[string]*Engine), replicas: make(map[string]int), ready: make(map[string]int)}
 	for _, d := range in.Demand {
@@ -134,63 +135,66 @@
 		if e.Free {
 			p.free[e.ID] = e
 		}
-		for m := range e.Holds {
+		for m := range e.Loaded {
 			if !e.Unloading[m] {
 				p.replicas[m]++
 				p.ready[m]++
 			}
 		}
-		if e.Loading != "" && !e.Holds[e.Loading] {
+		if e.Loading != "" && !e.Loaded[e.Loading] {
 			p.replicas[e.Loading]++
 		}
 	}
-	p.relieve()
-	p.serveWaiting()
-	p.addReplicas()
-	p.fillRoom()
-	p.fetchAhead()
+	p.scaleOutOverloaded()
+	p.loadForWaiting()
+	p.scaleOutBusy()
+	p.fillFreeMemory()
+	p.prefetch()
 	return p.commands
 }
 
-// wanted is how many replicas a model should have for its demand, if each fills a share of an engine's batch.
-func (p *plan) wanted(model string, share float64) int {
+// targetReplicas returns the number of replicas that a model needs for its demand, if each one is to fill the given
+// fraction of an engine's batch.
+func (p *plan) targetReplicas(model string, share float64) int {
 	d := p.Demand[model]
 	n := 0
 	if d.Waiting > 0 || d.Running > 0 {
 		n = 1
 	}
-	if d.Rate >= spareRate {
+	if d.Rate >= redundancyRate {
 		n = 2
 	}
 	perReplica := max(1, share*float64(p.Class.Batch))
-	return min(len(p.Engines), max(n, int(math.Ceil(float64(max(d.Peak, p.expected(d)))/perReplica))))
+	return min(len(p.Engines), max(n, int(math.Ceil(float64(max(d.Peak, p.forecast(d)))/perReplica))))
 }
 
-// expected is how many requests for a model will run a few seconds from now.
+// forecast returns the number of requests for a model that are expected to run a few seconds from now.
 //
-// Demand moves from one busy model to the next within some five seconds, as long as a load from the store takes. Replicas that
-// are loaded for what runs now are there when several times as much runs, and one engine has carried all of it until then. A
-// model whose short rate is above its long one is rising; it can't take over more than all that runs.
-func (p *plan) expected(d Demand) int {
+// Demand moves from one busy model to the next within about 5 s, the duration of a load from the weight store. Replicas
+// loaded for the current demand would become ready when it is already several times as high, and one engine would carry
+// all of it until then. A model whose short-term rate exceeds its long-term rate is rising; the forecast is limited to
+// the total of all running requests.
+func (p *plan) forecast(d Demand) int {
 	now := d.Running + d.Waiting
-	if d.Rate < spareRate || d.LongRate <= 0 {
+	if d.Rate < redundancyRate || d.LongRate <= 0 {
 		return now
 	}
 	growth := min(max(d.Rate/d.LongRate, 1), maxGrowth)
 	return max(now, min(int(float64(now)*growth), p.total))
 }
 
-// lateness is the longest wait of a model's requests in relation to their target.
-func (d Demand) lateness() float64 {
+// urgency returns the longest wait of a model's requests relative to their target.
+func (d Demand) urgency() float64 {
 	return d.OldestWait.Seconds() / max(d.Target.Seconds(), 0.1)
 }
 
-// relieve gives each model whose requests fill the batches of its replicas one more, before models that requests wait for: a load
-// for a rare model serves one or two requests, a replica of an overloaded one all that come for it.
-func (p *plan) relieve() {
+// scaleOutOverloaded adds one replica to each model whose requests fill the batches of its replicas. It goes before
+// loadForWaiting: a load for a rare model serves one or two requests, a replica of an overloaded model serves all its
+// new requests.
+func (p *plan) scaleOutOverloaded() {
 	excess := func(m string) float64 {
 		d := p.Demand[m]
-		return float64(d.Running+d.Waiting) - fullShare*float64(p.Class.Batch*p.replicas[m])
+		return float64(d.Running+d.Waiting) - overloadShare*float64(p.Class.Batch*p.replicas[m])
 	}
 	for _, m := range p.models(func(m string) bool { return p.replicas[m] > 0 && excess(m) > 0 }, func(a, b string) int {
 		return cmp.Compare(excess(b), excess(a))
@@ -199,24 +203,24 @@
 	}
 }
 
-// serveWaiting loads models that requests wait for, those first that are latest by their target.
-func (p *plan) serveWaiting() {
+// loadForWaiting loads models that requests wait for, in order of urgency.
+func (p *plan) loadForWaiting() {
 	for _, m := range p.models(func(m string) bool { return p.Demand[m].Waiting > 0 && p.replicas[m] == 0 }, func(a, b string) int {
-		return cmp.Compare(p.Demand[b].lateness(), p.Demand[a].lateness())
+		return cmp.Compare(p.Demand[b].urgency(), p.Demand[a].urgency())
 	}) {
 		p.load(m, "requests wait", FromStore, true)
 	}
 }
 
-// addReplicas gives busy models more replicas, the one that lacks most first.
-func (p *plan) addReplicas() {
-	lacking := func(m string, share float64) int { return p.wanted(m, share) - p.replicas[m] }
-	for _, m := range p.models(func(m string) bool { return lacking(m, batchShare) > 0 && p.wanted(m, batchShare) > 1 }, func(a, b string) int {
-		return cmp.Compare(lacking(b, batchShare), lacking(a, batchShare))
+// scaleOutBusy adds replicas to busy models, starting with the model that lacks most.
+func (p *plan) scaleOutBusy() {
+	missing := func(m string, share float64) int { return p.targetReplicas(m, share) - p.replicas[m] }
+	for _, m := range p.models(func(m string) bool { return missing(m, scaleOutShare) > 0 && p.targetReplicas(m, scaleOutShare) > 1 }, func(a, b string) int {
+		return cmp.Compare(missing(b, scaleOutShare), missing(a, scaleOutShare))
 	}) {
-		for range lacking(m, batchShare) {
+		for range missing(m, scaleOutShare) {
 			slowest := FromDisk
-			if lacking(m, storeShare) > 0 {
+			if missing(m, storeScaleOutShare) > 0 {
 				slowest = FromStore
 			}
 			if !p.load(m, "busy", slowest, false) {
@@ -226,61 +230,61 @@
 	}
 }
 
-// fillRoom uses memory that nothing takes: a copy beside the engine is loaded in about a second. Most engines stay free for
-// models that requests wait for: after a loss of power all engines were given models that nobody had asked for yet, and the
-// requests of the next second waited for these loads.
-func (p *plan) fillRoom() {
+// fillFreeMemory loads models into unused engine memory from copies on the host, which takes about a second. It keeps
+// idleEngineShare of the engines free for models that requests wait for: after a power failure, loading models without
+// demand on all engines delayed the requests of the next second.
+func (p *plan) fillFreeMemory() {
 	order := func(a, b string) int {
-		return cmp.Or(cmp.Compare(p.interactive(b), p.interactive(a)), p.likelier(a, b))
+		return cmp.Or(cmp.Compare(p.latencyRank(b), p.latencyRank(a)), p.compareLikelihood(a, b))
 	}
 	for _, m := range p.models(func(m string) bool { return p.replicas[m] == 0 }, order) {
 		for _, e := range p.freeEngines() {
-			if float64(len(p.free)) <= keptFree*float64(len(p.Engines)) {
+			if float64(len(p.free)) <= idleEngineShare*float64(len(p.Engines)) {
 				return
 			}
-			if p.room(e) >= p.Class.Models[m].SizeMB && e.SourceOf(m) != FromStore {
-				p.give(e, m, nil, "room")
+			if p.freeMemory(e) >= p.Class.Models[m].SizeMB && e.SourceOf(m) != FromStore {
+				p.issue(e, m, nil, "room")
 				break
 			}
 		}
 	}
 }
 
-// fetchAhead brings models of which no host has a copy, so that they can be loaded from one in time when they are asked for.
-func (p *plan) fetchAhead() {
-	kept := 0
-	if p.StoreLimit >= keptFrom && p.total > 0 {
-		kept = keptForUrgent
+// prefetch loads models that no host has a copy of, so that a later request can be served from a local copy in time.
+func (p *plan) prefetch() {
+	reserved := 0
+	if p.StoreLimit >= reserveMinLimit && p.total > 0 {
+		reserved = reservedStoreLoads
 	}
-	if p.StoreLoads <= kept {
+	if p.StoreLoads <= reserved {
 		return
 	}
-	known := make(map[string]bool)
+	copied := make(map[string]bool)
 	for i := range p.Engines {
 		for m := range p.Engines[i].InMemory {
-			known[m] = true
+			copied[m] = true
 		}
 		for m := range p.Engines[i].OnDisk {
-			known[m] = true
+			copied[m] = true
 		}
 	}
 	order := func(a, b string) int {
-		return cmp.Or(cmp.Compare(p.interactive(b), p.interactive(a)), p.likelier(a, b))
+		return cmp.Or(cmp.Compare(p.latencyRank(b), p.latencyRank(a)), p.compareLikelihood(a, b))
 	}
-	for _, m := range p.models(func(m string) bool { return p.replicas[m] == 0 && !known[m] }, order) {
-		if p.StoreLoads <= kept || !p.load(m, "fetch ahead", FromStore, false) {
+	for _, m := range p.models(func(m string) bool { return p.replicas[m] == 0 && !copied[m] }, order) {
+		if p.StoreLoads <= reserved || !p.load(m, "fetch ahead", FromStore, false) {
 			return
 		}
 	}
 }
 
-// likelier orders models by how soon they will be asked for.
-func (p *plan) likelier(a, b string) int {
+// compareLikelihood orders models by how soon requests for them are expected, soonest first.
+func (p *plan) compareLikelihood(a, b string) int {
 	da, db := p.Demand[a], p.Demand[b]
 	return cmp.Or(cmp.Compare(db.LongRate, da.LongRate), db.LastArrival.Compare(da.LastArrival), cmp.Compare(a, b))
 }
 
-// models returns the service's models that a condition holds for, in an order.
+// models returns the service's models that satisfy the condition, sorted by order.
 func (p *plan) models(condition func(string) bool, order func(a, b string) int) []string {
 	var list []string
 	for m := range p.Class.Models {
@@ -302,63 +306,63 @@
 	return list
 }
 
-// load gives the best free engine the command to load a model from a source up to the slowest, and reports whether there was
-// one.
+// load sends the best free engine a command to load a model, from a source no slower than the given one. It reports
+// whether an engine was found.
 func (p *plan) load(model, reason string, slowest Source, urgent bool) bool {
 	var best *Engine
 	var bestUnload []string
 	bestCost := math.Inf(1)
 	for _, e := range p.freeEngines() {
 		source := e.SourceOf(model)
-		if e.Holds[model] || source > slowest || source == FromStore && p.StoreLoads <= 0 {
+		if e.Loaded[model] || source > slowest || source == FromStore && p.StoreLoads <= 0 {
 			continue
 		}
-		unload, loss, ok := p.makeRoom(e, model, urgent)
+		unload, evictCost, ok := p.chooseEvictions(e, model, urgent)
 		if !ok {
 			continue
 		}
-		if cost := p.loadTime(model, source).Seconds() + loss + p.stranded(e, source); cost < bestCost {
+		if cost := p.loadTime(model, source).Seconds() + evictCost + p.blockingCost(e, source); cost < bestCost {
 			best, bestUnload, bestCost = e, unload, cost
 		}
 	}
-	if best == nil || best.SourceOf(model) == FromStore && p.soonElsewhere(model) {
+	if best == nil || best.SourceOf(model) == FromStore && p.copyAvailableSooner(model) {
 		return false
 	}
-	p.give(best, model, bestUnload, reason)
+	p.issue(best, model, bestUnload, reason)
 	return true
 }
 
-// soonElsewhere reports whether an engine that is busy now holds a copy of a model and can load it before a load from the
-// weight store would end.
-func (p *plan) soonElsewhere(model string) bool {
+// copyAvailableSooner reports whether an engine that is busy now has a copy of the model and can load it before a load
+// from the weight store would complete.
+func (p *plan) copyAvailableSooner(model string) bool {
 	for i := range p.Engines {
 		e := &p.Engines[i]
 		source := e.SourceOf(model)
-		if !e.Free && !e.Holds[model] && e.Loading != model && source != FromStore && e.Remaining+p.loadTime(model, source) < p.loadTime(model, FromStore) {
+		if !e.Free && !e.Loaded[model] && e.Loading != model && source != FromStore && e.Remaining+p.loadTime(model, source) < p.loadTime(model, FromStore) {
 			return true
 		}
 	}
 	return false
 }
 
-// stranded is the loss, in seconds, of an engine's copies being out of reach while it loads from the weight store: it does one
-// order at a time.
-func (p *plan) stranded(e *Engine, source Source) float64 {
+// blockingCost returns the cost, in seconds, of blocking an engine with a load from the weight store: an engine
+// executes one command at a time, so its local copies can't be loaded meanwhile.
+func (p *plan) blockingCost(e *Engine, source Source) float64 {
 	if source != FromStore {
 		return 0
 	}
-	const perCopy, perBusyModel = 0.05, 2.0
-	loss := perCopy * float64(len(e.OnDisk))
-	for m := range e.Holds {
-		// Requests for its adapters wait as well.
+	const perCopy, perActiveModel = 0.05, 2.0
+	cost := perCopy * float64(len(e.OnDisk))
+	for m := range e.Loaded {
+		// The load also delays requests for adapters of the model.
 		if p.Class.Models[m].Adapters > 0 && p.Demand[m].Rate > 0 {
-			loss += perBusyModel
+			cost += perActiveModel
 		}
 	}
-	return loss
+	return cost
 }
 
-func (p *plan) give(e *Engine, model string, unload []string, reason string) {
+func (p *plan) issue(e *Engine, model string, unload []string, reason string) {
 	source := e.SourceOf(model)
 	if source == FromStore {
 		p.StoreLoads--
@@ -372,7 +376,7 @@
 	delete(p.free, e.ID)
 }
 
-// SourceOf is where the engine would load a model from.
+// SourceOf returns the source from which the engine would load a model.
 func (e *Engine) SourceOf(model string) Source {
 	switch {
 	case e.InMemory[model]:
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -9,7 +9,8 @@
 	"balsamsail/internal/catalog"
 )
 
-// testClass describes engines with three places and models a to z, each loaded in 6 s from the store.
+// testClass returns a class of engines with memory for three models, and models a to z that each load in 6 s from the
+// store.
 func testClass() *catalog.EngineClass {
 	class := &catalog.EngineClass{Batch: 64, MemoryMB: 230_000, AdapterPlaces: 8, LoadsPerSecond: 2.4, Models: make(map[string]catalog.Model)}
 	for r := 'a'; r <= 'z'; r++ {
@@ -19,11 +20,11 @@
 	return class
 }
 
-// testEngine is a free engine that holds some models and has copies of others on disk.
-func testEngine(id, holds, onDisk string) Engine {
-	e := Engine{ID: id, Free: true, Holds: make(map[string]bool), OnDisk: make(map[string]bool)}
-	for _, r := range holds {
-		e.Holds[string(r)], e.OnDisk[string(r)] = true, true
+// testEngine returns a free engine that has some models loaded and copies of others on disk.
+func testEngine(id, loaded, onDisk string) Engine {
+	e := Engine{ID: id, Free: true, Loaded: make(map[string]bool), OnDisk: make(map[string]bool)}
+	for _, r := range loaded {
+		e.Loaded[string(r)], e.OnDisk[string(r)] = true, true
 	}
 	for _, r := range onDisk {
 		e.OnDisk[string(r)] = true
@@ -31,11 +32,11 @@
 	return e
 }
 
-// allOnDisk names every model of testClass.
+// allOnDisk lists every model of testClass.
 const allOnDisk = "abcdefghijklmnopqrstuvwxyz"
 
-// commandsText writes commands as "engine:-unload+load from source".
-func commandsText(commands []Command) []string {
+// formatCommands formats each command as "engine:-unload+load source".
+func formatCommands(commands []Command) []string {
 	var list []string
 	for _, c := range commands {
 		list = append(list, fmt.Sprintf("%s:-%v+%s %s", c.Engine, c.Unload, c.Load, c.Source))
@@ -55,55 +56,55 @@
 		want    []string
 	}{
 		{
-			"a model that a request waits for comes from the disk that has it",
+			"a model with waiting requests is loaded from a local disk copy",
 			[]Engine{testEngine("1", "abc", ""), testEngine("2", "def", "g")},
 			map[string]Demand{"g": waits}, 2,
 			[]string{"2:-[d]+g disk"},
 		},
 		{
-			"the replica of a busy model does not make way",
+			"the replica of a busy model is not evicted",
 			[]Engine{testEngine("1", "abc", "g")},
 			map[string]Demand{"g": waits, "a": busy, "b": {Rate: 1, Running: 1, Peak: 1}}, 2,
 			[]string{"1:-[c]+g disk"},
 		},
 		{
-			"an engine that will soon be free and has a copy is awaited",
+			"a busy engine with a copy is preferred if it is free soon",
 			[]Engine{{ID: "1", Loading: "c", Remaining: time.Second, OnDisk: map[string]bool{"g": true}}, testEngine("2", "def", allOnDisk[7:])},
 			map[string]Demand{"g": waits}, 2,
 			nil,
 		},
 		{
-			"one that stays busy for long is not",
+			"a busy engine with a copy is not waited for if it stays busy for long",
 			[]Engine{{ID: "1", Loading: "c", Remaining: 5 * time.Second, OnDisk: map[string]bool{"g": true}}, testEngine("2", "def", allOnDisk[7:])},
 			map[string]Demand{"g": waits}, 2,
 			[]string{"2:-[d]+g store"},
 		},
 		{
-			"a busy model spreads to engines that have copies, and not by the store at once",
+			"a busy model scales out to engines with copies before loading from the store",
 			[]Engine{testEngine("1", "abc", ""), testEngine("2", "def", "a"), testEngine("3", "ghi", "")},
 			map[string]Demand{"a": {Running: 20, Peak: 20, Rate: 10}}, 4,
 			[]string{"2:-[d]+a disk"},
 		},
 		{
-			"by the store when one engine alone would be full",
+			"a busy model scales out from the store if a single engine would be full",
 			[]Engine{testEngine("1", "abc", ""), testEngine("2", "def", "")},
 			map[string]Demand{"a": {Running: 50, Peak: 50, Rate: 30}}, 1,
 			[]string{"2:-[d]+a store"},
 		},
 		{
-			"more replicas of a busy model than it needs make way first",
+			"surplus replicas of a busy model are evicted first",
 			[]Engine{testEngine("1", "abc", "g"), testEngine("2", "ade", ""), testEngine("3", "afh", "")},
 			map[string]Demand{"g": waits, "a": {Running: 10, Peak: 10, Rate: 5}}, 0,
 			[]string{"1:-[a]+g disk"},
 		},
 		{
-			"an engine that was restarted empty is filled from its own disk",
+			"an engine that restarted empty loads from its own disk",
 			[]Engine{testEngine("1", "", "ab"), testEngine("2", "def", "")},
 			nil, 0,
 			[]string{"1:-[]+a disk"},
 		},
 		{
-			"nothing is loaded from the store while it may not take more",
+			"nothing is loaded from the store without free store loads",
 			[]Engine{testEngine("1", "abc", "")},
 			map[string]Demand{"g": waits}, 0,
 			nil,
@@ -111,9 +112,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			// A copy of every other model somewhere keeps fetching ahead out of the picture.
+			// A busy engine with a copy of every model prevents prefetching.
 			far := Engine{ID: "far", OnDisk: testEngine("", "", allOnDisk).OnDisk, Remaining: time.Hour}
-			got := commandsText(Decide(Input{Class: testClass(), Engines: append(c.engines, far), Demand: c.demand, StoreLoads: c.store}))
+			got := formatCommands(Decide(Input{Class: testClass(), Engines: append(c.engines, far), Demand: c.demand, StoreLoads: c.store}))
 			if !slices.Equal(got, c.want) {
 				t.Errorf("commands %v, want %v", got, c.want)
 			}
@@ -121,8 +122,9 @@
 	}
 }
 
-// Pattern: all engines lose power and come back empty, with copies of all models on their disks. One request waits, the
-// others are yet to reach a gateway. Most engines must stay free for them: each order blocks its engine for over a second.
+// Guards against occupying all engines after a power failure, when they restart empty with copies of all models on
+// disk. One request waits and others have yet to reach a gateway. Most engines must stay free for these, since each
+// command blocks its engine for over a second.
 func TestEmptySiteKeepsEnginesFree(t *testing.T) {
 	var engines []Engine
 	for i := range 8 {
@@ -130,16 +132,16 @@
 	}
 	commands := Decide(Input{Class: testClass(), Engines: engines, Demand: map[string]Demand{"m": {Waiting: 1, OldestWait: time.Second}}})
 	if free := len(engines) - len(commands); free < 4 {
-		t.Errorf("%d of 8 engines are left free: %v", free, commandsText(commands))
+		t.Errorf("%d of 8 engines are free, want at least 4: %v", free, formatCommands(commands))
 	}
 	if len(commands) == 0 || commands[0].Load != "m" {
-		t.Errorf("the model that a request waits for is not loaded first: %v", commandsText(commands))
+		t.Errorf("commands %v, want the model with the waiting request loaded first", formatCommands(commands))
 	}
 }
 
-// Pattern: a burst for rare models comes while one engine carries all requests of a busy model, more than its batch holds. Each
-// engine that became free was given to a rare model with a request or two, for eight seconds, and some 220 requests of the busy
-// model were late.
+// Guards against serving rare models first while one engine carries more requests of a busy model than its batch holds.
+// Each engine that became free used to load a rare model for one or two requests, which took eight seconds, and about
+// 220 requests of the busy model were late.
 func TestOverloadedModelGetsAnEngineBeforeRareOnes(t *testing.T) {
 	overloaded := testEngine("1", "mab", allOnDisk)
 	overloaded.Running = 80
@@ -155,12 +157,12 @@
 		loads[c.Load]++
 	}
 	if loads["m"] != 1 || len(loads) < 2 {
-		t.Errorf("loads %v, want one of the overloaded model and others for the waiting ones", loads)
+		t.Errorf("loads %v, want one load of the overloaded model and others for models with waiting requests", loads)
 	}
 }
 
-// Pattern: a rare model is asked for while two engines have a copy. At one the surplus replica of a busy model would make way, whose
-// streams have to end first, which took 2.2 s; at the other a model that nobody uses.
+// Guards against evicting a surplus replica of a busy model, whose streams have to end first (2.2 s), when another
+// engine with a copy of the requested model holds an idle one.
 func TestIdleModelMakesWayBeforeABusyReplica(t *testing.T) {
 	in := Input{
 		Class:   testClass(),
@@ -173,12 +175,12 @@
 	in.Engines[0].Running, in.Engines[1].Running, in.Engines[2].Running = 3, 3, 3
 	got := Decide(in)
 	if len(got) != 1 || got[0].Load != "r" || slices.Contains(got[0].Unload, "b") {
-		t.Errorf("commands %v, want r loaded in the place of a model that nobody uses", commandsText(got))
+		t.Errorf("commands %v, want r loaded in place of an idle model", formatCommands(got))
 	}
 }
 
-// Pattern: a model becomes busy while the engines with copies of it carry out short orders. A load from the weight store takes
-// an engine from all others for 6 s, and the copies are free in one.
+// Guards against loading a busy model from the weight store, which blocks an engine for 6 s, when an engine with a copy
+// on disk finishes its current command in one second.
 func TestBusyModelWaitsForTheEngineThatHasACopy(t *testing.T) {
 	soon := testEngine("1", "abc", "m")
 	soon.Free, soon.Loading, soon.Remaining = false, "d", time.Second
@@ -188,18 +190,18 @@
 	}
 	for _, c := range Decide(in) {
 		if c.Load == "m" {
-			t.Errorf("%v", commandsText([]Command{c}))
+			t.Errorf("busy model loaded without waiting for the engine with a copy: %v", formatCommands([]Command{c}))
 		}
 	}
 }
 
-// Pattern: rare models are asked for about evenly, a few times a day each, and most are on no host when processes start. The
-// store's loads must go on as long as a model is nowhere, without taking a busy model's place.
+// Guards against unused store capacity. Rare models get a few requests per day each, and at start most have no copy on
+// any host. Prefetching must continue until every model has a copy, without evicting busy models.
 func TestFetchAheadFillsTheStore(t *testing.T) {
 	engines := []Engine{testEngine("1", "abc", ""), testEngine("2", "ade", ""), testEngine("3", "fgh", "")}
 	got := Decide(Input{Class: testClass(), Engines: engines, Demand: map[string]Demand{"a": {Running: 25, Peak: 25, Rate: 15}}, StoreLoads: 2})
 	if len(got) != 2 {
-		t.Fatalf("%d commands %v, want the two that the store has room for", len(got), commandsText(got))
+		t.Fatalf("%d commands %v, want the two loads that the store allows", len(got), formatCommands(got))
 	}
 	for _, c := range got {
 		if c.Source != FromStore || slices.Contains(c.Unload, "a") {
@@ -208,8 +210,8 @@
 	}
 }
 
-// Pattern: demand moves from one busy model to the next over some five seconds, and both swing. The replicas of a model whose
-// requests pause for two seconds must not be given away: each costs a load when it comes back.
+// Guards against evicting the replicas of a model whose requests pause for 2 s. Demand moves between busy models over
+// about 5 s and oscillates, and each evicted replica costs another load.
 func TestReplicasOutlastAPause(t *testing.T) {
 	r := &rates{}
 	now := time.Unix(0, 0)
@@ -221,50 +223,51 @@
 		r.update(now, nil)
 	}
 	p := plan{Input: Input{Class: testClass(), Engines: make([]Engine, 9), Demand: map[string]Demand{"a": {Running: 5, Peak: int(r.peak + 0.5)}}}}
-	if n := p.wanted("a", batchShare); n < 2 {
-		t.Errorf("%d replicas wanted 2 s after 40 requests ran, want some of the four that they needed", n)
+	if n := p.targetReplicas("a", scaleOutShare); n < 2 {
+		t.Errorf("%d replicas wanted 2 s after a peak of 40 requests, want at least 2", n)
 	}
 }
 
-// Story: the store runs one load at once at full speed, and four are begun. Each takes four times as long, and whoever waits
-// for one waits four times as long. The limit must fall to what the store does, and rise again where loads are on time.
-// Pattern: a site wakes up with half of its models in no host's copies, and the weight store runs four loads at once. The
-// store must be used fully from the second round of loads on: each further round costs models that requests wait for in vain.
-func TestPipeIsFullAfterOneRoundOfLoads(t *testing.T) {
-	const nominal, atOnce = 6 * time.Second, 4
-	p := newPipe()
+// Guards against a slow increase of the limit. Half of a site's models have no copy on any host, and the weight store
+// serves four loads at once. The store must be fully used from the second round of loads on, since each further round
+// makes requests wait longer than their clients do.
+func TestStoreLimiterIsFullAfterOneRoundOfLoads(t *testing.T) {
+	const nominal, concurrency = 6 * time.Second, 4
+	l := newStoreLimiter()
 	now := time.Unix(0, 0)
 	for _, e := range []string{"a", "b"} {
-		p.begin(now, e, "m", nominal)
+		l.acquire(now, e, "m", nominal)
 	}
 	now = now.Add(nominal)
 	for _, e := range []string{"a", "b"} {
-		p.end(now, e, true)
+		l.release(now, e, true)
 	}
-	if room := p.room(now, 100); room != atOnce {
-		t.Errorf("%d loads begin in the second round, want %d", room, atOnce)
+	if available := l.available(now, 100); available != concurrency {
+		t.Errorf("%d loads start in the second round, want %d", available, concurrency)
 	}
 }
 
-func TestPipeLearnsItsLimit(t *testing.T) {
+// The limit must fall if the store slows down: if it serves one load at full speed and four are started, each takes
+// four times as long. It must rise again when loads take their nominal time.
+func TestStoreLimiterFindsTheLimit(t *testing.T) {
 	const nominal = 6 * time.Second
-	for _, atOnce := range []int{1, 4, 8} {
-		p := newPipe()
+	for _, concurrency := range []int{1, 4, 8} {
+		l := newStoreLimiter()
 		now := time.Unix(0, 0)
 		for range 12 {
 			var engines []string
-			for i := range max(0, p.room(now, 100)) {
+			for i := range max(0, l.available(now, 100)) {
 				engine := fmt.Sprint(i)
-				p.begin(now, engine, "m", nominal)
+				l.acquire(now, engine, "m", nominal)
 				engines = append(engines, engine)
 			}
-			now = now.Add(max(nominal, nominal*time.Duration(len(engines))/time.Duration(atOnce)))
+			now = now.Add(max(nominal, nominal*time.Duration(len(engines))/time.Duration(concurrency)))
 			for _, e := range engines {
-				p.end(now, e, true)
+				l.release(now, e, true)
 			}
 		}
-		if p.limit < atOnce || p.limit > atOnce+atOnce/2+1 {
-			t.Errorf("limit %d for a store that runs %d at full speed", p.limit, atOnce)
+		if l.limit < concurrency || l.limit > concurrency+concurrency/2+1 {
+			t.Errorf("limit %d for a store that serves %d loads at full speed", l.limit, concurrency)
 		}
 	}
 }
--- a/internal/placement/rates.go
+++ b/internal/placement/rates.go
@@ -6,39 +6,39 @@
 )
 
 const (
-	// rateWindow and longRateWindow are the time constants of the two rates of a model's requests: the short one sees a
-	// rising model within a second or two, the long one tells models apart that are asked for a few times a minute.
+	// rateWindow and longRateWindow are the time constants of a model's two request rates. The short one detects a rise
+	// within a second or two; the long one distinguishes models with a few requests per minute.
 	rateWindow     = 2 * time.Second
 	longRateWindow = 30 * time.Second
-	// peakWindow is for how long the most requests at once count. Demand moves from one model to the next over some five
-	// seconds and swings over some ten.
+	// peakWindow is the time constant of the decaying peak. Demand moves between models over about 5 s and oscillates
+	// with a period of about 10 s.
 	peakWindow = 6 * time.Second
 )
 
-// rates follows the requests for one model over all gateways.
+// rates tracks the requests for one model over all gateways.
 type rates struct {
 	arrived     map[string]int64
 	short, long float64
-	at          time.Time
+	updatedAt   time.Time
 	lastArrival time.Time
-	// peak falls by one part in e over peakWindow.
+	// peak decays by a factor of e per peakWindow.
 	peak float64
 }
 
-// observe takes in how many requests run or wait now.
+// observe updates the peak with the current number of running and waiting requests.
 func (r *rates) observe(now time.Time, requests int) {
-	r.peak = max(float64(requests), decay(r.peak, now.Sub(r.at), peakWindow))
+	r.peak = max(float64(requests), decay(r.peak, now.Sub(r.updatedAt), peakWindow))
 }
 
-// update takes in how many requests each gateway has counted since its start.
+// update updates the rates from each gateway's request counter, which counts from the gateway's start.
 func (r *rates) update(now time.Time, counts map[string]int64) {
 	arrivals := int64(0)
 	for gateway, count := range counts {
-		before, known := r.arrived[gateway]
-		if known && count >= before {
-			arrivals += count - before
-		} else if !known && !r.at.IsZero() || count < before {
-			// A gateway that was just met, or restarted: its count so far came at an unknown time.
+		previous, known := r.arrived[gateway]
+		if known && count >= previous {
+			arrivals += count - previous
+		} else if !known && !r.updatedAt.IsZero() || count < previous {
+			// The gateway is new or has restarted: the arrival times of the requests counted so far are unknown.
 			arrivals += min(count, 1)
 		}
 	}
@@ -46,14 +46,14 @@
 	if arrivals > 0 {
 		r.lastArrival = now
 	}
-	if !r.at.IsZero() {
-		passed := now.Sub(r.at)
-		r.short = decay(r.short, passed, rateWindow) + float64(arrivals)/rateWindow.Seconds()
-		r.long = decay(r.long, passed, longRateWindow) + float64(arrivals)/longRateWindow.Seconds()
+	if !r.updatedAt.IsZero() {
+		elapsed := now.Sub(r.updatedAt)
+		r.short = decay(r.short, elapsed, rateWindow) + float64(arrivals)/rateWindow.Seconds()
+		r.long = decay(r.long, elapsed, longRateWindow) + float64(arrivals)/longRateWindow.Seconds()
 	}
-	r.at = now
+	r.updatedAt = now
 }
 
-func decay(rate float64, passed, window time.Duration) float64 {
-	return rate * math.Exp(-passed.Seconds()/window.Seconds())
+func decay(rate float64, elapsed, window time.Duration) float64 {
+	return rate * math.Exp(-elapsed.Seconds()/window.Seconds())
 }
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// adapterRoom is the memory that is left to adapters when models are placed.
-func (p *plan) adapterRoom() float64 {
+// adapterMemory returns the memory, in MB, that is reserved for adapters.
+func (p *plan) adapterMemory() float64 {
 	largest := 0.0
 	for _, m := range p.Class.Models {
 		largest = max(largest, m.AdapterMB)
@@ -14,81 +14,84 @@
 	return largest * float64(p.Class.AdapterPlaces)
 }
 
-// room is the memory of an engine that no model takes.
-func (p *plan) room(e *Engine) float64 {
-	free := p.Class.MemoryMB - p.adapterRoom()
-	for m := range e.Holds {
+// freeMemory returns the memory of an engine, in MB, that no model or adapter reservation uses.
+func (p *plan) freeMemory(e *Engine) float64 {
+	free := p.Class.MemoryMB - p.adapterMemory()
+	for m := range e.Loaded {
 		free -= p.Class.Models[m].SizeMB
 	}
 	return free
 }
 
-// makeRoom chooses the models that make way for another one, those with the least loss first.
-func (p *plan) makeRoom(e *Engine, model string, urgent bool) (unload []string, loss float64, ok bool) {
-	room := p.room(e)
+// chooseEvictions returns the models to unload to make room for another one, cheapest first, and their total cost.
+// Without urgent, it doesn't evict replicas that cost avoidEvictCost or more.
+func (p *plan) chooseEvictions(e *Engine, model string, urgent bool) (unload []string, cost float64, ok bool) {
+	free := p.freeMemory(e)
 	need := p.Class.Models[model].SizeMB
-	if room >= need {
+	if free >= need {
 		return nil, 0, true
 	}
-	held := make([]string, 0, len(e.Holds))
-	for m := range e.Holds {
-		held = append(held, m)
+	loaded := make([]string, 0, len(e.Loaded))
+	for m := range e.Loaded {
+		loaded = append(loaded, m)
 	}
-	slices.SortFunc(held, func(a, b string) int {
-		return cmp.Or(cmp.Compare(p.loss(e, a), p.loss(e, b)), cmp.Compare(p.interactive(a), p.interactive(b)), p.Demand[a].LastArrival.Compare(p.Demand[b].LastArrival), cmp.Compare(a, b))
+	slices.SortFunc(loaded, func(a, b string) int {
+		return cmp.Or(cmp.Compare(p.evictionCost(e, a), p.evictionCost(e, b)), cmp.Compare(p.latencyRank(a), p.latencyRank(b)), p.Demand[a].LastArrival.Compare(p.Demand[b].LastArrival), cmp.Compare(a, b))
 	})
-	for _, m := range held {
-		l := p.loss(e, m)
-		if l >= neverEvict || !urgent && l >= dearEvict {
+	for _, m := range loaded {
+		c := p.evictionCost(e, m)
+		if c >= neverEvictCost || !urgent && c >= avoidEvictCost {
 			return nil, 0, false
 		}
-		unload, loss, room = append(unload, m), loss+l, room+p.Class.Models[m].SizeMB
-		if room >= need {
-			return unload, loss, true
+		unload, cost, free = append(unload, m), cost+c, free+p.Class.Models[m].SizeMB
+		if free >= need {
+			return unload, cost, true
 		}
 	}
 	return nil, 0, false
 }
 
 const (
-	// neverEvict marks a replica that requests need now, dearEvict one that is kept unless requests wait for another model.
-	neverEvict = 1000.0
-	dearEvict  = 100.0
-	// drainLoss is what a surplus replica costs whose streams have to end before the load can begin: their usual length, in
-	// seconds. A load for a waiting request began 2.2 s late for them where a model that nobody used lay beside.
-	drainLoss = 1.5
+	// neverEvictCost marks a replica that current requests need. avoidEvictCost marks one that is evicted only for a
+	// model that requests wait for.
+	neverEvictCost = 1000.0
+	avoidEvictCost = 100.0
+	// drainCost is the typical time, in seconds, until the running streams of a surplus replica have ended. The load
+	// starts only then, which delayed one for a waiting request by 2.2 s where an idle model could have been evicted.
+	drainCost = 1.5
 )
 
-// loss is what the loss of a model's replica at an engine costs, in seconds of load time that requests will likely wait.
+// evictionCost returns the cost of evicting a model's replica from an engine, in seconds of load time that requests are
+// expected to wait.
 //
-// Replicas that are still being loaded do not make another one superfluous: the only one that serves was taken away for them
-// with 31 requests running, and all of these had to end before the engine could go on.
-func (p *plan) loss(e *Engine, model string) float64 {
+// A replica counts as surplus only if enough others are ready. Counting replicas still being loaded evicted the only
+// ready one with 31 requests running, and the engine was blocked until all of these had ended.
+func (p *plan) evictionCost(e *Engine, model string) float64 {
 	d := p.Demand[model]
-	surplus := p.ready[model] - max(1, p.wanted(model, batchShare))
+	surplus := p.ready[model] - max(1, p.targetReplicas(model, scaleOutShare))
 	switch {
 	case surplus > 0 && d.Waiting == 0:
-		loss := min(1, float64(e.Running)/float64(max(1, p.Class.Batch)))
+		cost := min(1, float64(e.Running)/float64(max(1, p.Class.Batch)))
 		if d.Running > 0 && e.Running > 0 {
-			loss += drainLoss
+			cost += drainCost
 		}
-		return loss
-	case d.Waiting > 0 || p.wanted(model, batchShare) > 1:
-		return neverEvict
+		return cost
+	case d.Waiting > 0 || p.targetReplicas(model, scaleOutShare) > 1:
+		return neverEvictCost
 	case d.Running > 0:
-		// The unload would wait for them, and the load behind it.
-		return dearEvict
-	case d.Rate >= busyRate || p.ready[model] <= 1 && p.tooTight(model):
-		return dearEvict / 2
+		// The unload, and the load after it, would wait for the running requests to end.
+		return avoidEvictCost
+	case d.Rate >= protectedRate || p.ready[model] <= 1 && p.needsPreloading(model):
+		return avoidEvictCost / 2
 	}
 	return 1 + d.LongRate
 }
 
-// interactive ranks how likely a model is to get requests that can't wait for a load: those that have had them come first, then
-// those for which operators declare adapters, which they do for models that many callers use.
-func (p *plan) interactive(model string) int {
+// latencyRank ranks how likely a model is to get requests that can't wait for a load. Models that have had such
+// requests rank highest, then models with declared adapters, which operators declare for models with many users.
+func (p *plan) latencyRank(model string) int {
 	switch {
-	case p.tooTight(model):
+	case p.needsPreloading(model):
 		return 2
 	case p.Class.Models[model].Adapters > 0:
 		return 1
@@ -96,12 +99,11 @@
 	return 0
 }
 
-// tooTight reports whether a model's requests can't be on time unless it is loaded when they come.
+// needsPreloading reports whether a model's requests meet their target only if it is loaded before they arrive.
 //
-// Demand comes back to models that had it before. Where requests have a target of half a second, those that find their model
-// asleep are all late; a model whose requests allow three seconds can be loaded from disk in time, so that its place is worth
-// less, however often it is asked for.
-func (p *plan) tooTight(model string) bool {
+// Demand returns to models that had it before. A request with a target of 0.5 s is late if its model is not loaded; one
+// with a target of 3 s can be served by a load from disk, so evicting its model costs less, whatever its request rate.
+func (p *plan) needsPreloading(model string) bool {
 	target := p.Demand[model].Target
-	return target > 0 && target < p.Class.Models[model].DiskTime+decisionTime
+	return target > 0 && target < p.Class.Models[model].DiskTime+decisionLatency
 }
