--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -229,8 +229,8 @@
 // together delay a step by at most 150 ms; a pause counts as late from 250 ms.
 const maxPendingPromptTokens = 1500
 
-// crowdedShare is the fraction of an engine's batch from which it counts as crowded: each new prompt delays all
-// running streams, and load reports are up to 200 ms old.
+// crowdedShare is the fraction of an engine's batch from which it counts as crowded: the more streams run, the more of
+// them each new prompt delays, and load reports are up to 200 ms old.
 const crowdedShare = 0.75
 
 // belowPromptLimit returns the candidates that are not crowded and have few prompt tokens of this gateway pending.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -22,8 +22,8 @@
 // crashed endpoint expires after three heartbeats of 1.2 s.
 const refusedBackoff = time.Second
 
-// absentTTL is the time for which an engine that rejected a request because the model is not loaded gets no request for
-// that model, unless its agent reports a change first. Reports are up to 200 ms old.
+// absentTTL is the time for which an engine that rejected a request because the model or adapter is not loaded gets no
+// request for it, unless its agent reports a change first. Reports are up to 200 ms old.
 const absentTTL = 300 * time.Millisecond
 
 // EngineState is the state of an engine as reported by its agent.
