--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -21,7 +21,7 @@
 	return list
 }
 
-// observedRouter returns a router that has seen each endpoint.
+// observedRouter returns a router that has an observation of each endpoint.
 func observedRouter(list []Candidate) *Router {
 	r := NewRouter(Options{Seed: 1})
 	for _, c := range list {
@@ -30,7 +30,7 @@
 	return r
 }
 
-// BenchmarkPick measures a choice that goes over all candidates.
+// BenchmarkPick measures a choice by a scan of all candidates.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range candidateCounts {
 		b.Run(fmt.Sprintf("candidates=%d", n), func(b *testing.B) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkIndexPut measures one load report.
+// BenchmarkIndexPut measures the update of an index by one load report.
 func BenchmarkIndexPut(b *testing.B) {
 	for _, n := range candidateCounts {
 		b.Run(fmt.Sprintf("candidates=%d", n), func(b *testing.B) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// BenchmarkObserve measures the report of one attempt.
+// BenchmarkObserve measures recording the outcome of one attempt.
 func BenchmarkObserve(b *testing.B) {
 	for _, n := range candidateCounts {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -13,24 +13,24 @@
 
 // BudgetOptions are the settings of a RetryBudget.
 type BudgetOptions struct {
-	// Share is how many retries each success allows (0: 0.2).
+	// Share is the number of retries added for each success (0: 0.2).
 	Share float64
-	// FloorPerSecond retries are allowed without any success, so that an entry with little traffic can retry at all
-	// (0: 1).
+	// FloorPerSecond is the number of retries added per second without any success, so that an entry with little
+	// traffic can retry at all (0: 1).
 	FloorPerSecond float64
-	// Burst bounds the saved-up retries (0: 20).
+	// Burst bounds the number of saved-up retries (0: 20).
 	Burst float64
 }
 
-// RetryBudget bounds retries to a share of the successes, so that retries cannot multiply an overload: when nothing
-// succeeds any more, the retries stop but for the floor. It is not safe for concurrent use.
+// RetryBudget is a token bucket that bounds retries to a share of the successes, so that retries cannot multiply an
+// overload: when no request succeeds any more, only the floor is left. It is not safe for concurrent use.
 type RetryBudget struct {
-	options BudgetOptions
-	tokens  float64
-	filled  time.Time
+	options    BudgetOptions
+	tokens     float64
+	refilledAt time.Time
 }
 
-// NewRetryBudget returns a budget that is full.
+// NewRetryBudget returns a full budget.
 func NewRetryBudget(options BudgetOptions) *RetryBudget {
 	options.Share = cmp.Or(options.Share, defaultBudgetShare)
 	options.FloorPerSecond = cmp.Or(options.FloorPerSecond, defaultBudgetFloor)
@@ -38,23 +38,23 @@
 	return &RetryBudget{options: options, tokens: options.Burst}
 }
 
-// SetShare changes how many retries each success allows from now on.
+// SetShare changes the number of retries added for each success.
 func (b *RetryBudget) SetShare(share float64) { b.options.Share = cmp.Or(share, defaultBudgetShare) }
 
-// Resize changes how many retries can be saved up, for a budget that several processes share by their number.
+// Resize changes the burst, for example when the number of processes that share it changes.
 func (b *RetryBudget) Resize(burst float64) {
 	b.options.Burst = burst
 	b.tokens = min(b.tokens, burst)
 }
 
-// Success notes a request that was served.
+// Success adds the share of one successful request.
 func (b *RetryBudget) Success() {
 	b.tokens = min(b.options.Burst, b.tokens+b.options.Share)
 }
 
-// Spend takes one retry out of the budget, or reports that none is left.
+// Spend takes one retry out of the budget. It returns false if none is left.
 func (b *RetryBudget) Spend(now time.Time) bool {
-	b.fill(now)
+	b.refill(now)
 	if b.tokens < 1 {
 		return false
 	}
@@ -62,12 +62,12 @@
 	return true
 }
 
-// fill adds the floor for the time that passed.
-func (b *RetryBudget) fill(now time.Time) {
-	if passed := now.Sub(b.filled); !b.filled.IsZero() && passed > 0 {
-		b.tokens = min(b.options.Burst, b.tokens+passed.Seconds()*b.options.FloorPerSecond)
+// refill adds the floor for the time since the last call.
+func (b *RetryBudget) refill(now time.Time) {
+	if elapsed := now.Sub(b.refilledAt); !b.refilledAt.IsZero() && elapsed > 0 {
+		b.tokens = min(b.options.Burst, b.tokens+elapsed.Seconds()*b.options.FloorPerSecond)
 	}
-	if now.After(b.filled) {
-		b.filled = now
+	if now.After(b.refilledAt) {
+		b.refilledAt = now
 	}
 }
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -6,31 +6,31 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// RequestState is what Decide must know of a request beside the attempt that just ended. Decide itself keeps Attempts and
-// MayHaveRun.
+// RequestState is the state of a request that Decide needs besides the attempt that just ended. Decide itself updates
+// Attempts and MayHaveRun.
 type RequestState struct {
 	// Idempotent requests may run more than once.
 	Idempotent bool
 	Deadline   time.Time
-	// AnswerBegun is set when answer bytes went to the caller.
+	// AnswerBegun is set if bytes of the answer were forwarded to the caller.
 	AnswerBegun bool
-	// Untried is set when a candidate that was not tried yet may be used.
+	// Untried is set if a usable candidate has not been tried yet.
 	Untried bool
 	// MaxAttempts bounds the attempts.
 	MaxAttempts int
-	// Budget is the entry's retry budget; nil means no retries are allowed that need it.
+	// Budget is the entry's retry budget; if nil, retries that need the budget are not allowed.
 	Budget *RetryBudget
 
-	// Attempts counts the attempts that ended.
+	// Attempts counts the attempts that have ended.
 	Attempts int
-	// MayHaveRun is set when an attempt ended without a definite end.
+	// MayHaveRun is set if an attempt ended without a definite outcome.
 	MayHaveRun bool
 }
 
-// Decide says what follows from the end of an attempt and notes it in the request's state.
+// Decide returns what to do after an attempt and records the attempt in the request's state.
 //
-// It answers "not run" only when no attempt of the request can have run: a refusal of the last attempt says nothing of an
-// earlier one that broke.
+// It returns VerdictRefuse ("not run") only if no attempt of the request can have run: a refusal of the last attempt
+// says nothing about an earlier one that failed without a definite outcome.
 func Decide(now time.Time, a Attempt, s *RequestState) Verdict {
 	s.Attempts++
 	s.MayHaveRun = s.MayHaveRun || a.mayHaveRun(s.Idempotent)
@@ -49,11 +49,11 @@
 	return Verdict{Kind: VerdictRefuse, Reason: a.reason(), RetryAfter: max(a.RetryAfter, minRetryAfter)}
 }
 
-// minRetryAfter is the shortest time to come back that a caller is told.
+// minRetryAfter is the shortest Retry-After returned to a caller.
 const minRetryAfter = 100 * time.Millisecond
 
-// mayHaveRun reports whether the endpoint may have run the request without a definite answer. A two-step request cannot
-// have run before its commit.
+// mayHaveRun reports whether the endpoint may have run the request without a definite answer. A two-step request
+// (offer, then commit) cannot have run before its commit.
 func (a Attempt) mayHaveRun(idempotent bool) bool {
 	switch a.Outcome {
 	case OutcomeBroken, OutcomeCut:
@@ -63,7 +63,7 @@
 	}
 }
 
-// reason is the refusal's reason; an attempt that ended without a word from the agent counts as unreachable.
+// reason returns the reason of a refusal; an attempt that ended without a reply from the agent counts as unreachable.
 func (a Attempt) reason() wirepb.RefusalReason {
 	if a.Reason == wirepb.RefusalReason_REFUSAL_REASON_UNSPECIFIED {
 		return wirepb.RefusalReason_ENDPOINT_UNREACHABLE
@@ -71,8 +71,8 @@
 	return a.Reason
 }
 
-// mayRetry decides about another attempt and how long to wait before it. With a wait, candidates that were tried may be
-// tried again.
+// mayRetry reports whether another attempt is allowed, and how long to wait before it. After a wait, candidates that
+// were tried may be tried again.
 func mayRetry(now time.Time, a Attempt, s *RequestState) (time.Duration, bool) {
 	if s.MayHaveRun && !s.Idempotent {
 		return 0, false
@@ -83,34 +83,35 @@
 	wait := time.Duration(0)
 	if !s.Untried {
 		wait = a.RetryAfter
-		if s.mayGoBack(a) {
+		if s.mayRetryTried(a) {
 			wait = max(wait, minRetryAfter)
-		} else if !a.passes() {
+		} else if !a.isTransient() {
 			return 0, false
 		}
 		if wait <= 0 || wait > s.Deadline.Sub(now)/2 {
 			return 0, false
 		}
 	}
-	if a.isMove() {
+	if a.isStaleView() {
 		return wait, true
 	}
 	return wait, s.Budget != nil && s.Budget.Spend(now)
 }
 
-// mayGoBack reports whether a request that may run more than once, and was refused after an earlier attempt broke, may be sent
-// to an endpoint that it has tried.
+// mayRetryTried reports whether a request that may run more than once, and was refused after an earlier attempt without
+// a definite outcome, may be sent to an endpoint that it has already tried.
 //
-// A waiting request is withdrawn in the moment in which its endpoint begins it: the load that it waited for is done. No other
-// endpoint has room for its model, and without this its caller was told that the outcome is unknown, with the time left and the
-// model loaded.
-func (s *RequestState) mayGoBack(a Attempt) bool {
+// This covers a race: a queued request is withdrawn at the moment when its endpoint starts it, because the model load
+// that it waited for has ended. No other endpoint has room for the model, so that without another attempt the caller
+// would get an unknown outcome although time is left and the model is loaded.
+func (s *RequestState) mayRetryTried(a Attempt) bool {
 	return s.Idempotent && s.MayHaveRun && a.Outcome == OutcomeRefused
 }
 
-// passes reports whether the reason of a refusal is one that passes within the time to come back, on the same endpoint or
-// on the one that takes its place: waiting for it serves the request, where an overload would only be kept up by it.
-func (a Attempt) passes() bool {
+// isTransient reports whether the reason of a refusal goes away within its Retry-After, on the same endpoint or on its
+// replacement. Waiting then gets the request served, whereas after a refusal due to overload it would only sustain the
+// overload.
+func (a Attempt) isTransient() bool {
 	switch a.Reason {
 	case wirepb.RefusalReason_NOT_READY, wirepb.RefusalReason_LEAVING, wirepb.RefusalReason_NOT_GRANTED:
 		return true
@@ -119,9 +120,10 @@
 	}
 }
 
-// isMove reports whether the attempt was refused because this entry's view of the endpoint was late. Moving on is then
-// part of finding the endpoint, not a retry that loads the system twice, and takes nothing from the budget.
-func (a Attempt) isMove() bool {
+// isStaleView reports whether the attempt was refused because this entry's view of the endpoint was stale. Trying
+// another endpoint is then part of finding the right one, not a retry that adds load, so it takes nothing from the
+// budget.
+func (a Attempt) isStaleView() bool {
 	switch a.Reason {
 	case wirepb.RefusalReason_NOT_READY, wirepb.RefusalReason_LEAVING, wirepb.RefusalReason_NOT_GRANTED,
 		wirepb.RefusalReason_NO_MEMORY, wirepb.RefusalReason_UNKNOWN_TARGET:
@@ -131,36 +133,38 @@
 	}
 }
 
-// Stage is how far an attempt has come.
+// Stage is the stage of an attempt that has not started to run.
 type Stage int
 
-// The stages of an attempt that still waits.
+// The stages of a waiting attempt.
 const (
-	// StageOffered: nothing came back yet.
+	// StageOffered: no reply has arrived yet.
 	StageOffered Stage = iota
-	// StageAccepted: the request waits in the agent's queue.
+	// StageAccepted: the request is in the agent's queue.
 	StageAccepted
 )
 
 const (
-	// minAnswerPatience and maxAnswerPatience bound the wait for the first word of an agent, which needs no more than
-	// the way there and back.
-	minAnswerPatience = 100 * time.Millisecond
-	maxAnswerPatience = time.Second
-	// answerShare is the part of the time left that a silent agent may cost.
-	answerShare = 10
-	// minStartPatience and startFactor bound the wait for the start beyond what the agent expected.
-	minStartPatience = time.Second
-	startFactor      = 2
+	// minOfferTimeout and maxOfferTimeout bound the wait for an agent's first reply, which takes no longer than a
+	// network round trip.
+	minOfferTimeout = 100 * time.Millisecond
+	maxOfferTimeout = time.Second
+	// offerTimeoutDivisor gives the part of the time left (one tenth) that an agent that does not reply may cost.
+	offerTimeoutDivisor = 10
+	// minStartTimeout and startTimeoutFactor bound the wait for the start of a queued request: the agent's estimate
+	// times the factor, but no less than the minimum.
+	minStartTimeout    = time.Second
+	startTimeoutFactor = 2
 )
 
-// PatienceFor returns how long to wait for the next frame of an attempt that has not begun to run before moving on to
-// another endpoint; left is the time to the deadline, and expected the wait that the agent told. A frozen agent keeps its
-// connections and says nothing: without a bound each request would wait for it until its deadline.
+// PatienceFor returns the timeout for the next frame of an attempt that has not started to run, after which the request
+// moves on to another endpoint. left is the time to the deadline and expected the queueing time that the agent
+// reported. A frozen agent keeps its connections open without replying: without this timeout each request would wait
+// for it until its deadline.
 func PatienceFor(stage Stage, left, expected time.Duration) time.Duration {
-	patience := max(startFactor*expected, minStartPatience)
+	timeout := max(startTimeoutFactor*expected, minStartTimeout)
 	if stage == StageOffered {
-		patience = min(max(left/answerShare, minAnswerPatience), maxAnswerPatience)
+		timeout = min(max(left/offerTimeoutDivisor, minOfferTimeout), maxOfferTimeout)
 	}
-	return max(0, min(patience, left))
+	return max(0, min(timeout, left))
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -18,7 +18,7 @@
 	unloading   = wirepb.ReplicaState_UNLOADING
 )
 
-// engine makes a candidate that may be used.
+// engine returns a usable candidate.
 func engine(name string, slot int, state wirepb.ReplicaState, change func(*Candidate)) Candidate {
 	c := Candidate{Endpoint: name, SlotIndex: slot, State: state, HasAdapter: true, ReportedAt: start, Reachable: true}
 	if change != nil {
@@ -44,14 +44,14 @@
 		{"loaded before loading", []Candidate{engine("a", 0, loading, nil), engine("b", 1, loaded, noAdapter)}, nil, "b"},
 		{"loading before absent", []Candidate{engine("a", 0, absent, nil), engine("b", 1, loading, nil)}, nil, "b"},
 		{"absent before unloading", []Candidate{engine("a", 0, unloading, nil), engine("b", 1, absent, nil)}, nil, "b"},
-		{"first slot of the absent", []Candidate{engine("a", 1, absent, nil), engine("b", 0, absent, nil), engine("c", 2, absent, nil)}, nil, "b"},
+		{"lowest slot among absent ones", []Candidate{engine("a", 1, absent, nil), engine("b", 0, absent, nil), engine("c", 2, absent, nil)}, nil, "b"},
 		{"next slot after a refusal", []Candidate{engine("a", 0, absent, nil), engine("b", 1, absent, nil)}, []string{"a"}, "b"},
-		{"never leaving", []Candidate{engine("a", 0, loaded, leaving), engine("b", 1, absent, nil)}, nil, "b"},
-		{"never unreachable", []Candidate{engine("a", 0, loaded, cut), engine("b", 1, absent, nil)}, nil, "b"},
+		{"leaving is not usable", []Candidate{engine("a", 0, loaded, leaving), engine("b", 1, absent, nil)}, nil, "b"},
+		{"unreachable is not usable", []Candidate{engine("a", 0, loaded, cut), engine("b", 1, absent, nil)}, nil, "b"},
 		{"all tried", []Candidate{engine("a", 0, loaded, nil)}, []string{"a"}, ""},
 		{"shorter wait", []Candidate{engine("a", 0, loaded, busy), engine("b", 1, loaded, nil)}, nil, "b"},
 		{"own failure domain breaks a tie", []Candidate{engine("a", 0, loaded, nil), engine("b", 1, loaded, near)}, nil, "b"},
-		{"own failure domain does not beat a shorter wait",
+		{"own failure domain does not outweigh a shorter wait",
 			[]Candidate{engine("a", 0, loaded, func(c *Candidate) { near(c); busy(c) }), engine("b", 1, loaded, nil)}, nil, "b"},
 	}
 	for _, c := range cases {
@@ -75,24 +75,25 @@
 	}
 }
 
-// On a cold morning the first requests for an idle model reach three entries at once. If each entry drew a slot at random
-// the model would be loaded on several engines; all must choose the first slot, whatever their seeds and views of load.
+// The first requests for a model that is not loaded reach several entries at once. If each entry chose a slot at
+// random, the model would be loaded on several engines; all must choose the first slot, whatever their seeds and views
+// of the load.
 func TestBurstOfFirstRequestsJoinsOneLoad(t *testing.T) {
 	for seed := range uint64(50) {
 		slots := []Candidate{engine("a", 2, absent, nil), engine("b", 0, absent, nil), engine("c", 1, absent, nil)}
 		slots[int(seed)%3].Sent = 40
 		if i, _ := NewRouter(Options{Seed: seed}).Pick(start, slots, nil, interactive); slots[i].Endpoint != "b" {
-			t.Fatalf("entry with seed %d chose %s, want the first slot", seed, slots[i].Endpoint)
+			t.Fatalf("seed %d: picked %s, want b in the first slot", seed, slots[i].Endpoint)
 		}
 	}
 }
 
-// An engine hangs: each attempt ends in silence, and each request that is sent there loses its patience. After three
-// failures in a row it must get no more than one request per probe, until one is served.
+// An engine hangs: each attempt there runs into its timeout. After three consecutive failures the engine must get only
+// one request per probe until one succeeds.
 func TestFailingEndpointIsEjectedAndProbed(t *testing.T) {
 	r := NewRouter(Options{Seed: 1})
 	engines := []Candidate{engine("hangs", 0, loaded, nil), engine("works", 1, loaded, nil)}
-	chosen := func(now time.Time) (n int) {
+	timesPicked := func(now time.Time) (n int) {
 		for range 100 {
 			if i, _ := r.Pick(now, engines, nil, interactive); engines[i].Endpoint == "hangs" {
 				n++
@@ -107,33 +108,33 @@
 		report(start, OutcomeBroken)
 		report(start, OutcomeRefused)
 	}
-	if chosen(start) == 0 {
+	if timesPicked(start) == 0 {
 		t.Error("ejected before the third failure")
 	}
 	report(start, OutcomeBroken)
-	if n := chosen(start.Add(defaultEjectFor / 2)); n != 0 {
-		t.Errorf("chosen %d times while ejected", n)
+	if n := timesPicked(start.Add(defaultEjectFor / 2)); n != 0 {
+		t.Errorf("picked %d times while ejected, want 0", n)
 	}
 	later := start.Add(2 * defaultEjectFor)
-	if n := chosen(later); n != 1 {
-		t.Errorf("chosen %d times for a probe, want 1", n)
+	if n := timesPicked(later); n != 1 {
+		t.Errorf("picked %d times for the first probe, want 1", n)
 	}
 	report(later, OutcomeBroken)
-	if n := chosen(later.Add(defaultEjectFor * 3 / 2)); n != 0 {
-		t.Errorf("chosen %d times after a failed probe, want a longer ejection", n)
+	if n := timesPicked(later.Add(defaultEjectFor * 3 / 2)); n != 0 {
+		t.Errorf("picked %d times after a failed probe, want 0 during the longer ejection", n)
 	}
 	later = later.Add(3 * defaultEjectFor)
-	if n := chosen(later); n != 1 {
-		t.Errorf("chosen %d times for the second probe, want 1", n)
+	if n := timesPicked(later); n != 1 {
+		t.Errorf("picked %d times for the second probe, want 1", n)
 	}
 	report(later, OutcomeServed)
-	if chosen(later) == 0 {
-		t.Error("not chosen after it served a request")
+	if timesPicked(later) == 0 {
+		t.Error("not picked after it served a request")
 	}
 }
 
-// All engines of a model fail at once, for example behind a broken switch. Refusing everything would outlast the fault; the
-// last candidates must still be tried.
+// All engines of a model fail at once, for example because of a broken switch. If the router then refused all requests,
+// it would go on doing so after the fault ends; ejected candidates must still be tried if there are no others.
 func TestAllEjectedAreStillTried(t *testing.T) {
 	r := NewRouter(Options{})
 	engines := []Candidate{engine("a", 0, loaded, nil), engine("b", 1, loaded, nil)}
@@ -170,19 +171,19 @@
 	}
 	for i := range 50 {
 		c := x.Get(fmt.Sprint(i))
-		gone := i%3 == 0 || i%3 == 2 && i%2 == 0
-		if gone != (c == nil) {
+		removed := i%3 == 0 || i%3 == 2 && i%2 == 0
+		if removed != (c == nil) {
 			t.Errorf("%d: %+v", i, c)
 		}
-		if c != nil && (c.Endpoint != fmt.Sprint(i) || TierOf(c) != x.places[c.Endpoint].tier) {
-			t.Errorf("%d: %+v in tier %d", i, c, x.places[c.Endpoint].tier)
+		if c != nil && (c.Endpoint != fmt.Sprint(i) || TierOf(c) != x.positions[c.Endpoint].tier) {
+			t.Errorf("endpoint %d: got %+v in tier %d", i, c, x.positions[c.Endpoint].tier)
 		}
 	}
-	listed := 0
+	indexed := 0
 	for _, tier := range x.tiers {
-		listed += len(tier)
+		indexed += len(tier)
 	}
-	if x.Len() != 17+8 || listed != x.Len() {
-		t.Errorf("%d candidates, %d in tiers", x.Len(), listed)
+	if x.Len() != 17+8 || indexed != x.Len() {
+		t.Errorf("%d candidates by name, %d in tiers", x.Len(), indexed)
 	}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,4 +1,5 @@
-// Package routing chooses the endpoint of each request at an entry, decides about retries, and bounds them by a budget.
+// Package routing chooses the endpoint for each request at an entry, decides about retries and bounds them by a retry
+// budget.
 package routing
 
 import (
@@ -7,72 +8,73 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// Candidate is an endpoint that may serve a target, as the entry sees it now.
+// Candidate is an endpoint that may serve a target, as the entry currently sees it.
 type Candidate struct {
 	Endpoint      string
 	FailureDomain string
-	// SlotIndex is the place of the endpoint's slot in the model's row (0 = first); 0 for plain services.
+	// SlotIndex is the position of the endpoint's slot in the model's list of slots (0 = first); 0 for plain services.
 	SlotIndex int
 	State     wirepb.ReplicaState
-	// HasAdapter is set when the requested adapter is loaded, or none was requested.
+	// HasAdapter is set if the requested adapter is loaded or no adapter was requested.
 	HasAdapter bool
-	// Running and Queued are of the target, and Wait the endpoint's expected wait, as last told at ReportedAt.
+	// Running and Queued count the target's requests at the endpoint and Wait is the endpoint's expected queueing time,
+	// as last reported at ReportedAt.
 	Running, Queued int
 	Wait            time.Duration
 	ReportedAt      time.Time
-	// Sent is how many requests this entry has in flight there.
+	// Sent is the number of requests that this entry has in flight at the endpoint.
 	Sent int
-	// Cached is set when the checkpoint is in the host's memory or on its disk.
+	// Cached is set if the checkpoint is in the host's memory or on its disk.
 	Cached bool
-	// Leaving endpoints get no new work.
+	// Leaving is set if the endpoint is leaving and gets no new requests.
 	Leaving bool
-	// Reachable is false while the entry has no working connection.
+	// Reachable is false while the entry has no working connection to the endpoint.
 	Reachable bool
 }
 
-// Outcome is how one attempt ended.
+// Outcome is the outcome of one attempt.
 type Outcome int
 
 // The outcomes of an attempt.
 const (
-	// OutcomeServed: the whole answer arrived.
+	// OutcomeServed: the complete answer arrived.
 	OutcomeServed Outcome = iota
-	// OutcomeRefused: not run, the endpoint said so.
+	// OutcomeRefused: the endpoint stated that it did not run the request.
 	OutcomeRefused
-	// OutcomeNotSent: not run, the offer never left or was withdrawn uncommitted.
+	// OutcomeNotSent: the request did not run, because the offer was never sent or was withdrawn before its commit.
 	OutcomeNotSent
-	// OutcomeBroken: the attempt ended without a definite end before the first answer byte.
+	// OutcomeBroken: the attempt ended without a definite outcome before the first byte of the answer.
 	OutcomeBroken
-	// OutcomeCut: the attempt broke after answer bytes went to the caller.
+	// OutcomeCut: the attempt failed after bytes of the answer were forwarded to the caller.
 	OutcomeCut
-	// OutcomeFailedClean: the agent says that the endpoint certainly did not run the request.
+	// OutcomeFailedClean: the attempt failed, and the agent confirmed that the endpoint did not run the request.
 	OutcomeFailedClean
 )
 
-// Attempt is the report of one attempt.
+// Attempt is the result of one attempt.
 type Attempt struct {
 	Endpoint   string
 	Outcome    Outcome
 	Reason     wirepb.RefusalReason
 	RetryAfter time.Duration
-	// Committed is set when the endpoint may have begun a request that may run only once.
+	// Committed is set if a request that must run only once was committed, so that the endpoint may have started it.
 	Committed bool
 }
 
-// VerdictKind is what to do after an attempt.
+// VerdictKind is what the entry does after an attempt.
 type VerdictKind int
 
-// The verdicts.
+// The kinds of verdicts.
 const (
 	// VerdictDone: the answer is complete.
 	VerdictDone VerdictKind = iota
-	// VerdictRetry: try another endpoint, or the same after Wait.
+	// VerdictRetry: try another endpoint, or the same one after Wait.
 	VerdictRetry
-	// VerdictRefuse: answer "not run".
+	// VerdictRefuse: answer that the request did not run.
 	VerdictRefuse
-	// VerdictUnknown: answer "outcome unknown".
+	// VerdictUnknown: answer that the outcome is unknown.
 	VerdictUnknown
-	// VerdictAbort: cut the caller's body, which already began.
+	// VerdictAbort: abort the response, of which the caller already has a part.
 	VerdictAbort
 )
 
