--- a/internal/sendonce/sendonce.go
+++ b/internal/sendonce/sendonce.go
@@ -1,4 +1,4 @@
-// Package sendonce sends HTTP requests that must not be sent twice, and tells whether a failed one was sent at all.
+// Package sendonce sends HTTP requests at most once and reports whether a failed request may have been sent.
 package sendonce
 
 import (
@@ -14,25 +14,26 @@
 	"github.com/pkg/errors"
 )
 
-// ErrRepeated is the cause of the failure of a request that net/http was about to send a second time.
-var ErrRepeated = errors.New("sendonce: the connection broke after bytes of the request went out; it is not sent again")
+// ErrRepeated is the error of a request that net/http tried to send a second time.
+var ErrRepeated = errors.New("sendonce: the connection failed after part of the request was written; the request is not sent again")
 
 // Client sends each request at most once.
 //
-// The failure that it guards against: http.Transport repeats a request on its own when a kept connection breaks before
-// the first byte of the answer, if the method is GET, HEAD, OPTIONS or TRACE or the header holds an Idempotency-Key,
-// and http.Client repeats a request that is answered with a 307 or 308. The endpoint may have run the first one: a
-// penalty notice goes out twice and nobody sees an error. The guard holds because every attempt must first obtain a
-// connection, which the transport reports through httptrace.GotConn before it writes to it: the second connection
-// after a byte went out over the first is closed there and then. An attempt of which no byte went out may be
-// followed by another. Redirects are handed to the caller as they are.
+// http.Transport retries a request on its own if a reused connection fails before the first byte of the response and
+// the method is GET, HEAD, OPTIONS or TRACE or the header contains an Idempotency-Key. http.Client repeats a request
+// that is answered with a 307 or 308. The endpoint may have run the first one, so that the request takes effect twice
+// without any error.
+//
+// Client prevents this as follows: for every attempt the transport has to obtain a connection, which it reports through
+// httptrace.GotConn before it writes to the connection. If bytes were written to an earlier connection, the new one is
+// closed at once. If none were written, the retry is allowed. Redirects are returned to the caller.
 type Client struct {
 	transport http.RoundTripper
-	// traced says that the transport is known to report its connections.
+	// traced is set if the transport is known to report its connections through httptrace.
 	traced bool
 }
 
-// New returns a client over a copy of the given transport, or over a default one if it is nil. A transport of a type
+// New returns a client that uses a copy of the given transport, or a default one if it is nil. A transport of a type
 // other than *http.Transport is used as it is.
 func New(transport http.RoundTripper) *Client {
 	if transport == nil {
@@ -42,19 +43,19 @@
 	if !ok {
 		return &Client{transport: transport}
 	}
-	counted := base.Clone()
+	clone := base.Clone()
 	dial := base.DialContext
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
-	counted.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
+	clone.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
 		return &countedConn{Conn: conn}, nil
 	}
-	return &Client{transport: counted, traced: true}
+	return &Client{transport: clone, traced: true}
 }
 
 const (
@@ -63,8 +64,8 @@
 	dialTimeout  = 2 * time.Second
 )
 
-// NewTransport returns a transport for calls between hosts of one system: no proxy, no HTTP/2, no compression of its
-// own, and as many kept connections as there may be calls at once.
+// NewTransport returns a transport for calls between the hosts of a system: without proxies, HTTP/2 and automatic
+// compression, and with as many idle connections as there may be concurrent calls.
 func NewTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -79,13 +80,13 @@
 type Result struct {
 	// Response is nil if Do failed.
 	Response *http.Response
-	// MaybeSent is false only if it is certain that not a byte of the request went out.
+	// MaybeSent is false only if it is certain that no byte of the request was sent.
 	MaybeSent bool
 
 	attempt *attempt
 }
 
-// Discard closes the connection of the answer, so that no later request can read what is left on it.
+// Discard closes the response's connection, so that no later request can read the data left on it.
 func (r Result) Discard() {
 	if r.Response != nil {
 		r.Response.Body.Close()
@@ -114,20 +115,20 @@
 	return Result{Response: resp, MaybeSent: true, attempt: a}, nil
 }
 
-// attempt follows the connections that the transport obtains for one request.
+// attempt tracks the connections that the transport obtains for one request.
 type attempt struct {
 	cancel context.CancelCauseFunc
 
-	mu     sync.Mutex
-	asked  bool
-	conn   net.Conn
-	before int64
+	mu            sync.Mutex
+	connRequested bool
+	conn          net.Conn
+	writtenBefore int64
 }
 
 func (a *attempt) getConn(string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked = true
+	a.connRequested = true
 }
 
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
@@ -140,16 +141,16 @@
 	}
 	a.conn = info.Conn
 	if counted, ok := info.Conn.(*countedConn); ok {
-		a.before = counted.written.Load()
+		a.writtenBefore = counted.written.Load()
 	}
 }
 
-// wrote says whether a byte may have gone out over the connection. It closes the connection first, after which no
-// write begins, so that the count is final.
+// wrote reports whether a byte may have been written to the connection. It first closes the connection, which prevents
+// further writes, so that the count is final.
 func (a *attempt) wrote() bool {
 	a.conn.Close()
 	counted, ok := a.conn.(*countedConn)
-	return !ok || counted.written.Load() != a.before
+	return !ok || counted.written.Load() != a.writtenBefore
 }
 
 func (a *attempt) maybeSent(traced bool) bool {
@@ -158,7 +159,7 @@
 	if a.conn != nil {
 		return a.wrote()
 	}
-	return !traced && !a.asked
+	return !traced && !a.connRequested
 }
 
 func (a *attempt) closeConn() {
@@ -169,7 +170,7 @@
 	}
 }
 
-// countedConn counts the bytes that writes were begun with.
+// countedConn counts the bytes passed to Write.
 type countedConn struct {
 	net.Conn
 	written atomic.Int64
@@ -178,7 +179,7 @@
 	closed bool
 }
 
-// Write implements net.Conn. It counts before it writes: a write that fails may have sent a part.
+// Write implements net.Conn. It counts before it writes, because a failed write may have sent some of the bytes.
 func (c *countedConn) Write(p []byte) (int, error) {
 	c.mu.RLock()
 	closed := c.closed
@@ -200,7 +201,7 @@
 	return c.Conn.Close()
 }
 
-// cancelBody frees the request's context with the body.
+// cancelBody cancels the request's context when the body is closed.
 type cancelBody struct {
 	io.ReadCloser
 	cancel context.CancelCauseFunc
--- a/internal/sendonce/sendonce_test.go
+++ b/internal/sendonce/sendonce_test.go
@@ -23,9 +23,9 @@
 	pathCall = "/call"
 )
 
-// breaker is a raw server that answers pathWarm, and reads each other request whole, counts it and closes its
-// connection without an answer.
-type breaker struct {
+// abortServer is a raw TCP server that answers pathWarm. It reads and counts each other request and then closes its
+// connection without a response.
+type abortServer struct {
 	listener net.Listener
 	handlers sync.WaitGroup
 
@@ -33,32 +33,32 @@
 	calls int
 }
 
-func newBreaker(t *testing.T) *breaker {
+func newAbortServer(t *testing.T) *abortServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &breaker{listener: listener}
-	b.handlers.Go(b.accept)
+	s := &abortServer{listener: listener}
+	s.handlers.Go(s.accept)
 	t.Cleanup(func() {
 		listener.Close()
-		b.handlers.Wait()
+		s.handlers.Wait()
 	})
-	return b
+	return s
 }
 
-func (b *breaker) accept() {
+func (s *abortServer) accept() {
 	for {
-		conn, err := b.listener.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		b.handlers.Go(func() { b.serve(conn) })
+		s.handlers.Go(func() { s.serve(conn) })
 	}
 }
 
-func (b *breaker) serve(conn net.Conn) {
+func (s *abortServer) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -70,22 +70,22 @@
 			return
 		}
 		if req.URL.Path == pathCall {
-			b.mu.Lock()
-			b.calls++
-			b.mu.Unlock()
+			s.mu.Lock()
+			s.calls++
+			s.mu.Unlock()
 			return
 		}
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
 }
 
-func (b *breaker) count() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.calls
+func (s *abortServer) count() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.calls
 }
 
-func (b *breaker) url(path string) string { return "http://" + b.listener.Addr().String() + path }
+func (s *abortServer) url(path string) string { return "http://" + s.listener.Addr().String() + path }
 
 func newRequest(t *testing.T, method, url, body, header string) *http.Request {
 	t.Helper()
@@ -99,7 +99,7 @@
 	return req
 }
 
-func warm(t *testing.T, transport http.RoundTripper, url string) {
+func warmUp(t *testing.T, transport http.RoundTripper, url string) {
 	t.Helper()
 	resp, err := transport.RoundTrip(newRequest(t, http.MethodGet, url, "", ""))
 	if err != nil {
@@ -109,9 +109,9 @@
 	resp.Body.Close()
 }
 
-// A contractor is billed twice. The endpoint takes the notice over a kept connection, runs it and dies before it
-// answers; http.Transport takes the broken connection for one that idled out, and sends the notice once more to the
-// endpoint's successor. Nobody sees an error. The cases without guard show that net/http does so to this day.
+// The endpoint receives a request over a reused connection, runs it and crashes before it responds. http.Transport
+// treats this like an idle connection that was closed and sends the request again, so that it runs twice and no error
+// is reported. The cases without Client show that net/http still does this.
 func TestBrokenConnectionDoesNotRepeat(t *testing.T) {
 	cases := []struct {
 		name, method, body, header string
@@ -120,46 +120,46 @@
 		{"OPTIONS", http.MethodOptions, "", ""},
 		{"POST with key and body", http.MethodPost, "notice", "Idempotency-Key"},
 		{"POST with key, no body", http.MethodPost, "", "Idempotency-Key"},
-		{"PUT with the other key", http.MethodPut, "notice", "X-Idempotency-Key"},
+		{"PUT with X-Idempotency-Key", http.MethodPut, "notice", "X-Idempotency-Key"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			t.Run("without guard", func(t *testing.T) {
-				b := newBreaker(t)
+			t.Run("http.Transport alone", func(t *testing.T) {
+				b := newAbortServer(t)
 				transport := NewTransport()
 				defer transport.CloseIdleConnections()
-				warm(t, transport, b.url(pathWarm))
+				warmUp(t, transport, b.url(pathWarm))
 				resp, err := transport.RoundTrip(newRequest(t, c.method, b.url(pathCall), c.body, c.header))
 				if err == nil {
 					resp.Body.Close()
-					t.Fatal("an answer came from a server that gives none")
+					t.Fatal("got a response from a server that sends none")
 				}
 				if got := b.count(); got < 2 {
-					t.Errorf("the request arrived %d times: net/http no longer repeats it", got)
+					t.Errorf("the request arrived %d times, want at least 2: net/http no longer retries it", got)
 				}
 			})
-			t.Run("guarded", func(t *testing.T) {
-				b := newBreaker(t)
+			t.Run("Client", func(t *testing.T) {
+				b := newAbortServer(t)
 				client := New(nil)
 				defer client.transport.(*http.Transport).CloseIdleConnections()
-				warm(t, client.transport, b.url(pathWarm))
+				warmUp(t, client.transport, b.url(pathWarm))
 				result, err := client.Do(newRequest(t, c.method, b.url(pathCall), c.body, c.header))
 				if err == nil {
-					t.Fatal("an answer came from a server that gives none")
+					t.Fatal("got a response from a server that sends none")
 				}
 				if got := b.count(); got != 1 {
 					t.Errorf("the request arrived %d times, want once", got)
 				}
 				if !result.MaybeSent {
-					t.Error("a request that arrived was said not to be sent")
+					t.Error("MaybeSent is false for a request that arrived")
 				}
 			})
 		})
 	}
 }
 
-// Two aircraft are sent to one pad. A service confirms the slot and answers 307 with its own address; http.Client takes
-// the redirect as a wish to get the call there, body and all.
+// A service runs a request and responds with a 307 that names another address. http.Client would send the request there
+// again, including its body; Client must return the redirect.
 func TestRedirectIsAnAnswer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -183,43 +183,43 @@
 	}
 	result.Response.Body.Close()
 	if result.Response.StatusCode != http.StatusTemporaryRedirect || calls != 1 {
-		t.Errorf("status %d after %d calls, want the redirect after one", result.Response.StatusCode, calls)
+		t.Errorf("status %d after %d calls, want 307 after 1 call", result.Response.StatusCode, calls)
 	}
 }
 
-// A caller is told "not run" and asks again, while the first call still runs: that must not happen, so that a request
-// counts as not sent only on proof.
+// If a request that still runs were reported as not sent, its caller would retry it and it would run twice. MaybeSent
+// may be false only if it is certain that nothing was sent.
 func TestMaybeSent(t *testing.T) {
-	b := newBreaker(t)
-	closed, err := net.Listen("tcp", "127.0.0.1:0")
+	b := newAbortServer(t)
+	closedListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	closed.Close()
+	closedListener.Close()
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	plain := func() context.Context { return t.Context() }
-	short := func() context.Context {
+	background := func() context.Context { return t.Context() }
+	withTimeout := func() context.Context {
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		t.Cleanup(cancel)
 		return ctx
 	}
-	breaksBeforeWrite := httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{
+	closesBeforeWrite := httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) { info.Conn.Close() },
 	})
-	silent := func(context.Context, string, string) (net.Conn, error) {
+	dialNoResponse := func(context.Context, string, string) (net.Conn, error) {
 		client, server := net.Pipe()
 		go io.Copy(io.Discard, server)
 		return client, nil
 	}
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
-	// The transport goes on dialling when the request is given up.
-	never := func(context.Context, string, string) (net.Conn, error) {
-		<-over
+	testDone := make(chan struct{})
+	t.Cleanup(func() { close(testDone) })
+	// The transport continues dialing after the request was cancelled.
+	dialHangs := func(context.Context, string, string) (net.Conn, error) {
+		<-testDone
 		return nil, net.ErrClosed
 	}
-	fake := roundTripper(func(*http.Request) (*http.Response, error) { return nil, errors.New("fake") })
+	failingTransport := roundTripper(func(*http.Request) (*http.Response, error) { return nil, errors.New("fake") })
 	cases := []struct {
 		name      string
 		ctx       func() context.Context
@@ -227,23 +227,23 @@
 		url       string
 		want      bool
 	}{
-		{"nobody listens", plain, nil, "http://" + closed.Addr().String(), false},
-		{"given up before the start", func() context.Context { return cancelled }, nil, b.url(pathCall), false},
-		{"given up while connecting", short, &http.Transport{DialContext: never}, b.url(pathCall), false},
-		{"connection breaks before the first byte", func() context.Context { return breaksBeforeWrite }, nil, b.url(pathCall), false},
-		{"connection breaks after the request", plain, nil, b.url(pathCall), true},
-		{"no answer in time", short, &http.Transport{DialContext: silent}, b.url(pathCall), true},
-		{"transport of another type", plain, fake, b.url(pathCall), true},
+		{"connection refused", background, nil, "http://" + closedListener.Addr().String(), false},
+		{"cancelled before the start", func() context.Context { return cancelled }, nil, b.url(pathCall), false},
+		{"timeout while connecting", withTimeout, &http.Transport{DialContext: dialHangs}, b.url(pathCall), false},
+		{"connection closed before the first byte", func() context.Context { return closesBeforeWrite }, nil, b.url(pathCall), false},
+		{"connection closed after the request", background, nil, b.url(pathCall), true},
+		{"timeout waiting for the response", withTimeout, &http.Transport{DialContext: dialNoResponse}, b.url(pathCall), true},
+		{"transport of another type", background, failingTransport, b.url(pathCall), true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			req := newRequest(t, http.MethodPost, c.url, "notice", "")
 			result, err := New(c.transport).Do(req.WithContext(c.ctx()))
 			if err == nil {
-				t.Fatal("no error")
+				t.Fatal("Do succeeded, want an error")
 			}
 			if result.MaybeSent != c.want {
-				t.Errorf("maybe sent %t after %v, want %t", result.MaybeSent, err, c.want)
+				t.Errorf("MaybeSent is %t after error %v, want %t", result.MaybeSent, err, c.want)
 			}
 		})
 	}
@@ -253,10 +253,10 @@
 
 func (f roundTripper) RoundTrip(req *http.Request) (*http.Response, error) { return f(req) }
 
-// An inspector reads another's narration. The engine crosses answers; the one on this connection belongs to somebody
-// else, and so may whatever follows on it, which the next request would take for its own.
+// An engine sends a response to another request. Whatever follows on its connection may also belong to other requests,
+// and the next request on it would read that as its own response.
 func TestDiscardClosesTheConnection(t *testing.T) {
-	b := newBreaker(t)
+	b := newAbortServer(t)
 	client := New(nil)
 	reused := false
 	for range 2 {
@@ -270,6 +270,6 @@
 		result.Discard()
 	}
 	if reused {
-		t.Error("a discarded connection was used again")
+		t.Error("a discarded connection was reused")
 	}
 }
