--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -97,8 +97,8 @@
 
 // StopBy announces that the process exits at the given time. Requests that wait for an endpoint keep waiting until
 // shortly before; then they are refused as not run, so that their clients try another gateway. Requests that endpoints
-// have not answered by then get an answer that the outcome is unknown, because a closed connection alone wouldn't say
-// whether the request may have run.
+// have not answered by then get an answer that the outcome is unknown; from a closed connection alone, clients could
+// not distinguish the two cases.
 func (g *Gateway) StopBy(exitAt time.Time) {
 	g.waitDeadline.Store(exitAt.Add(-refuseWaitingBeforeExit).UnixNano())
 	time.AfterFunc(time.Until(exitAt.Add(-abortBeforeExit)), g.abort)
@@ -140,18 +140,18 @@
 }
 
 // readBody reads the whole request body, so that the request can be sent again.
-func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request, limits catalog.ClientLimits, arrived time.Time, patience time.Duration) ([]byte, *refusal) {
+func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request, limits catalog.ClientLimits, arrived time.Time, timeout time.Duration) ([]byte, *refusal) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
 	}
 	if limits.MaxBodyBytes > 0 && r.ContentLength > limits.MaxBodyBytes {
 		return nil, &refusal{status: http.StatusRequestEntityTooLarge, reason: reasonBodyTooLarge}
 	}
-	if patience == 0 {
-		patience = bodyTimeout
+	if timeout == 0 {
+		timeout = bodyTimeout
 	}
 	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(arrived.Add(patience)); err != nil {
+	if err := control.SetReadDeadline(arrived.Add(timeout)); err != nil {
 		g.logger.Debug("cannot change the read deadline of the request body", "error", err)
 	}
 	source := io.Reader(r.Body)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -181,14 +181,15 @@
 }
 
 // A gateway shuts down while one request waits for a model that no engine has loaded and another is at an endpoint that
-// does not respond. Both connections used to be closed without an answer, so that the clients did not know whether
-// their requests had run. The first must be refused with Retry-After, the second answered with an unknown outcome.
+// does not respond. Both connections used to be closed without an answer, so that the clients could not determine
+// whether their requests had run. The first must be refused with Retry-After, the second answered with an unknown
+// outcome.
 func TestStopAnswersWhatItHolds(t *testing.T) {
-	silent := func(_ http.ResponseWriter, r *http.Request) {
+	noResponse := func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	}
-	r := newRig(t, map[string]endpointScript{"engine-1": good, "plain-1": silent})
+	r := newRig(t, map[string]endpointScript{"engine-1": good, "plain-1": noResponse})
 	waiting, running := make(chan answer, 1), make(chan answer, 1)
 	go func() { waiting <- r.send("w", "/chat/x", "sleeping") }()
 	go func() { running <- r.send("r", "/plain/x", "") }()
@@ -208,11 +209,11 @@
 // A client disconnects while its request is at an endpoint. The endpoint's request must be cancelled at once.
 func TestClientLeaves(t *testing.T) {
 	cancelled := make(chan struct{})
-	silent := func(_ http.ResponseWriter, r *http.Request) {
+	noResponse := func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(cancelled)
 	}
-	r := newRig(t, map[string]endpointScript{"plain-1": silent})
+	r := newRig(t, map[string]endpointScript{"plain-1": noResponse})
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, r.server.URL+"/plain/x", nil)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -37,7 +37,7 @@
 	done verdict = iota
 	// retry: the request may be sent to another endpoint.
 	retry
-	// failed: the request can't be sent again; request.mayHaveRun says whether it may have run.
+	// failed: the request can't be sent again; request.mayHaveRun is set if it may have run.
 	failed
 )
 
@@ -127,8 +127,9 @@
 	return true
 }
 
-// loadsTooLate reports whether the request's model will be loaded only after the client's timeout. Refusing the request
-// at once with the load time as Retry-After lets the client come back and be served; holding it would be useless.
+// loadsTooLate reports whether the request's model will be loaded only after the client's timeout. If the request is
+// refused at once with the load time as Retry-After, the client can retry and be served; if it is held, it fails in any
+// case.
 func (g *Gateway) loadsTooLate(q *request, now time.Time) bool {
 	ready := g.fleet.ReadyIn(now, q.want.Target)
 	clientDeadline := q.deadline
@@ -171,7 +172,7 @@
 	return true
 }
 
-// giveUp ends a request that no endpoint has answered. The refusal says that the request did not run if that is
+// giveUp ends a request that no endpoint has answered. The refusal states that the request did not run if that is
 // certain.
 func (g *Gateway) giveUp(out *response, r *http.Request, q *request) {
 	if r.Context().Err() != nil {
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -38,7 +38,7 @@
 	// Expected is the queueing time that the candidate reported when it was picked. FirstByte is the time from the
 	// offer to the first byte of the answer; 0 if none arrived.
 	Expected, FirstByte time.Duration
-	// Cold is set if the request waited for a model load; its time then says nothing about the endpoint's speed.
+	// Cold is set if the request waited for a model load; its time then doesn't reflect the endpoint's speed.
 	Cold bool
 }
 
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -29,8 +29,8 @@
 
 // Decide returns what to do after an attempt and records the attempt in the request's state.
 //
-// It returns VerdictRefuse ("not run") only if no attempt of the request can have run: a refusal of the last attempt
-// says nothing about an earlier one that failed without a definite outcome.
+// It returns VerdictRefuse ("not run") only if no attempt of the request can have run: if the last attempt was refused,
+// an earlier one that failed without a definite outcome may still have run.
 func Decide(now time.Time, a Attempt, s *RequestState) Verdict {
 	s.Attempts++
 	s.MayHaveRun = s.MayHaveRun || a.mayHaveRun(s.Idempotent)
