--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,8 +1,9 @@
-// Package admission decides which requests wait at an endpoint, in which order they start, and which are refused at
-// once because they cannot be served in time.
+// Package admission decides which requests an endpoint queues, in which order they start, and which are refused
+// immediately because they cannot meet their deadline.
 //
-// Queue is the waiting line beside an endpoint, ServiceTimes learns how long requests take there, and Limiter bounds the
-// requests that an entry has in flight. All are deterministic and do no I/O: the time is an argument of each call.
+// Queue holds the requests waiting at one endpoint, ServiceTimes estimates how long requests take there, and Limiter
+// bounds the requests that an entry has in flight. All three are deterministic and do no I/O: the current time is an
+// argument of each call.
 package admission
 
 import (
@@ -11,7 +12,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// Target is what a request asks for: a model version with perhaps an adapter, or a plain service.
+// Target is what a request is addressed to: a model version with an optional adapter, or a plain service.
 type Target struct {
 	// Model is "name@version".
 	Model, Adapter string
@@ -26,11 +27,11 @@
 	Caller   string
 	Arrived  time.Time
 	Deadline time.Time
-	// Stream is set when the request makes its deadline with the first token; otherwise the whole answer must.
+	// Stream is set when the first token must arrive by the deadline; otherwise the whole answer must.
 	Stream bool
 }
 
-// Refusal says that a request certainly did not run.
+// Refusal is the rejection of a request. A refused request has not been executed.
 type Refusal struct {
 	ID         string
 	Reason     wirepb.RefusalReason
@@ -38,29 +39,31 @@
 	Detail     string
 }
 
-// Estimate is what the queue is told of a target when it judges a request.
+// Estimate describes the current state of a target; the queue's decisions are based on it.
 type Estimate struct {
 	// Ready is set when the target can run now; otherwise ReadyIn is the expected time until it can.
 	Ready   bool
 	ReadyIn time.Duration
-	// Service is the usual time of one request, and Concurrency how many run at once, Running of them now.
+	// Service is the mean time of one request, Concurrency is how many requests run at once, and Running is how many
+	// run now.
 	Service     time.Duration
 	Concurrency int
 	Running     int
-	// First and Whole are cautious times from the start of a request to its first token and to its end; 0 means Service.
+	// First and Whole are conservative estimates of the time from the start of a request to its first token and to its
+	// end; 0 means Service.
 	First, Whole time.Duration
 }
 
 // Options are the settings of a Queue.
 type Options struct {
-	// MaxWaiting bounds the waiting requests over all targets, and MaxPerTarget those of one.
+	// MaxWaiting bounds the waiting requests of all targets together, and MaxPerTarget those of each target.
 	MaxWaiting, MaxPerTarget int
-	// MaxPerCaller bounds one caller's share of the waiting requests (0: no bound).
+	// MaxPerCaller bounds the waiting requests of each caller (0: no bound).
 	MaxPerCaller int
-	// BatchEvery is the longest run of interactive starts while a batch request waits (0: 8).
+	// BatchEvery is the maximum number of consecutive interactive starts while a batch request waits (0: 8).
 	BatchEvery int
-	// MaxRetryAfter bounds the time to come back (0: 30 s).
+	// MaxRetryAfter bounds Refusal.RetryAfter (0: 30 s).
 	MaxRetryAfter time.Duration
-	// Seed seeds the jitter of retry times.
+	// Seed seeds the jitter of the retry delays.
 	Seed uint64
 }
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -18,7 +18,7 @@
 	requests := make([]Request, n+1)
 	for i := range requests {
 		left := time.Hour + time.Duration(random.Int64N(int64(time.Hour)))
-		requests[i] = ask(strconv.Itoa(i), fmt.Sprint("caller", i%997), interactive, left)
+		requests[i] = newRequest(strconv.Itoa(i), fmt.Sprint("caller", i%997), interactive, left)
 		if adapters > 0 {
 			requests[i].Target.Adapter = strconv.Itoa(i % adapters)
 		}
@@ -27,15 +27,15 @@
 		}
 	}
 	if q.Len() != n {
-		b.Fatalf("%d of %d wait", q.Len(), n)
+		b.Fatalf("%d of %d requests waiting", q.Len(), n)
 	}
 	return q, requests
 }
 
 var instant = Estimate{Ready: true, Service: time.Microsecond, Concurrency: 16, Running: 16}
 
-// BenchmarkQueue measures one offer and one removal in a queue that holds a steady number of requests; with adapters
-// their lines share one replica.
+// BenchmarkQueue measures one Offer and one Remove in a queue of constant length. With adapters, all target queues
+// share one replica.
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range waitingSizes {
 		for _, adapters := range []int{0, 50} {
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkQueueNext measures one start and one offer.
+// BenchmarkQueueNext measures one Next and one Offer.
 func BenchmarkQueueNext(b *testing.B) {
 	for _, n := range waitingSizes {
 		b.Run(fmt.Sprintf("waiting=%d", n), func(b *testing.B) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// BenchmarkQueueExpire measures a look for requests to refuse when there are none.
+// BenchmarkQueueExpire measures Expire when no request has to be refused.
 func BenchmarkQueueExpire(b *testing.B) {
 	estimate := func(Target) Estimate { return instant }
 	for _, n := range waitingSizes {
@@ -81,10 +81,10 @@
 	}
 }
 
-// BenchmarkQueueIdle measures a request that finds the queue empty and starts at once.
+// BenchmarkQueueIdle measures a request that is offered to an empty queue and starts immediately.
 func BenchmarkQueueIdle(b *testing.B) {
 	q := NewQueue(Options{MaxWaiting: 10})
-	r := ask("1", "a", interactive, time.Minute)
+	r := newRequest("1", "a", interactive, time.Minute)
 	b.ReportAllocs()
 	for b.Loop() {
 		q.Offer(start, r, steady)
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -5,58 +5,59 @@
 	"time"
 )
 
-// ready returns the expected time until the target can run.
-func (e Estimate) ready() time.Duration {
+// readyDelay returns the expected time until the target can run requests.
+func (e Estimate) readyDelay() time.Duration {
 	if e.Ready {
 		return 0
 	}
 	return e.ReadyIn
 }
 
-// spacing returns the usual time between two starts under full load.
+// spacing returns the mean time between two starts under full load.
 func (e Estimate) spacing() time.Duration {
 	return e.Service / time.Duration(max(1, e.Concurrency))
 }
 
-// unknownSpacing is the time between the places to come back while nothing is known of the service time: without it all
-// that a burst brings to a fresh endpoint would come back at one moment.
-const unknownSpacing = 50 * time.Millisecond
+// defaultSpacing is the time between two retries while the service time is unknown. Without it, all refused requests of
+// a burst at a new endpoint would be retried at the same moment.
+const defaultSpacing = 50 * time.Millisecond
 
-// returnSpacing returns the time between the places to come back.
-func (e Estimate) returnSpacing() time.Duration {
-	return cmp.Or(e.spacing(), unknownSpacing)
+// retrySpacing returns the time between the scheduled retries of two refused requests.
+func (e Estimate) retrySpacing() time.Duration {
+	return cmp.Or(e.spacing(), defaultSpacing)
 }
 
-// free returns how many more requests could start now.
-func (e Estimate) free() int {
+// freeCapacity returns how many more requests could start now.
+func (e Estimate) freeCapacity() int {
 	return max(0, max(1, e.Concurrency)-e.Running)
 }
 
-// delay returns the expected time until a request starts that has the given number of requests before it.
-func (e Estimate) delay(ahead int) time.Duration {
-	behind := max(0, ahead-e.free()+1)
-	return e.ready() + time.Duration(behind)*e.spacing()
+// startDelay returns the expected time until a request starts that has the given number of requests ahead of it.
+func (e Estimate) startDelay(ahead int) time.Duration {
+	waitFor := max(0, ahead-e.freeCapacity()+1)
+	return e.readyDelay() + time.Duration(waitFor)*e.spacing()
 }
 
-// need returns the cautious time from the start of a request until it makes its deadline.
-func (e Estimate) need(stream bool) time.Duration {
+// requiredTime returns a conservative estimate of the time from the start of a request to its first token if it
+// streams, or to its end.
+func (e Estimate) requiredTime(stream bool) time.Duration {
 	if stream {
 		return cmp.Or(e.First, e.Service)
 	}
 	return cmp.Or(e.Whole, e.Service)
 }
 
-// makes reports whether a request that starts after delay makes its deadline.
-func (e Estimate) makes(now time.Time, r Request, delay time.Duration) bool {
-	return !now.Add(delay + e.need(r.Stream)).After(r.Deadline)
+// meetsDeadline reports whether a request that starts after delay can meet its deadline.
+func (e Estimate) meetsDeadline(now time.Time, r Request, delay time.Duration) bool {
+	return !now.Add(delay + e.requiredTime(r.Stream)).After(r.Deadline)
 }
 
-// waitCaution is the factor on the expected wait of an offered request. Without it requests are accepted up to the edge
-// of what can be served in time, and half of those at the edge are refused after they waited.
-const waitCaution = 1.25
+// waitMargin is the safety factor on the expected queueing time of an offered request. Without it the queue accepts
+// requests that would only just meet their deadline, and half of those are refused after they have waited.
+const waitMargin = 1.25
 
-// promises reports whether a request with the given number of others before it can be accepted.
-func (e Estimate) promises(now time.Time, r Request, ahead int) bool {
-	queued := e.delay(ahead) - e.ready()
-	return e.makes(now, r, e.ready()+time.Duration(float64(queued)*waitCaution))
+// canAccept reports whether a request with the given number of requests ahead of it is expected to meet its deadline.
+func (e Estimate) canAccept(now time.Time, r Request, ahead int) bool {
+	queueDelay := e.startDelay(ahead) - e.readyDelay()
+	return e.meetsDeadline(now, r, e.readyDelay()+time.Duration(float64(queueDelay)*waitMargin))
 }
--- a/internal/admission/lane.go
+++ b/internal/admission/lane.go
@@ -7,103 +7,105 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// lane holds the waiting requests of one target and kind: class, and what makes the deadline. All of them need the same
-// time to make it, so that their order by deadline is their order by the latest time to start.
+// lane holds the waiting requests of one target that share a class and a deadline type (first token or whole answer).
+// They all have the same required time, so their order by deadline is also their order by due time.
 type lane struct {
-	line   *line
+	queue  *targetQueue
 	batch  bool
 	stream bool
-	// need is the time from a start until the deadline is made, as last estimated.
-	need  time.Duration
-	order ordered
-	// shares holds each caller's part of the lane, and largest ranks them.
-	shares  map[string]*share
-	largest ranking[*share]
-	random  *rand.Rand
-	// dueIndex and fullIndex are the lane's places in the queue's rankings.
-	dueIndex, fullIndex int
+	// requiredTime is the current estimate of the time from the start of a request to the event that its deadline
+	// applies to.
+	requiredTime time.Duration
+	waiters      treap
+	// shares holds each caller's requests in the lane, and shareHeap orders the shares by size, largest first.
+	shares    map[string]*share
+	shareHeap indexedHeap[*share]
+	random    *rand.Rand
+	// dueIndex and lengthIndex are the lane's positions in the queue's heaps.
+	dueIndex, lengthIndex int
 }
 
-func (l *lane) init(of *line, kind int, random *rand.Rand) {
-	l.line, l.random = of, random
-	l.batch, l.stream = kind&batchKind != 0, kind&streamKind != 0
-	l.order.random = random
+func (l *lane) init(tq *targetQueue, index int, random *rand.Rand) {
+	l.queue, l.random = tq, random
+	l.batch, l.stream = index&batchBit != 0, index&streamBit != 0
+	l.waiters.random = random
 	l.shares = make(map[string]*share)
-	l.largest.before = func(a, b *share) bool { return a.order.len() > b.order.len() }
-	l.dueIndex, l.fullIndex = notRanked, notRanked
+	l.shareHeap.before = func(a, b *share) bool { return a.waiters.len() > b.waiters.len() }
+	l.dueIndex, l.lengthIndex = notInHeap, notInHeap
 }
 
-func (l *lane) len() int { return l.order.len() }
+func (l *lane) len() int { return l.waiters.len() }
 
-// dueAt returns the latest time at which the lane's first request can start.
-func (l *lane) dueAt() time.Duration { return l.order.first().deadline - l.need }
+// dueAt returns the due time of the lane's first request: the latest time at which it can start and still meet its
+// deadline.
+func (l *lane) dueAt() time.Duration { return l.waiters.first().deadline - l.requiredTime }
 
-// like returns a waiter of this lane that must start at the same time as w of another lane of the line.
-func (l *lane) like(w *waiter, of *lane) *waiter {
-	return &waiter{deadline: w.deadline - of.need + l.need, sequence: w.sequence}
+// equivalent returns a waiter for comparison in this lane that has the same due time as w in lane from.
+func (l *lane) equivalent(w *waiter, from *lane) *waiter {
+	return &waiter{deadline: w.deadline - from.requiredTime + l.requiredTime, sequence: w.sequence}
 }
 
 func (l *lane) insert(w *waiter) {
 	w.lane = l
-	l.order.insert(w)
+	l.waiters.insert(w)
 	s := l.shares[w.request.Caller]
 	if s == nil {
-		s = &share{order: ordered{random: l.random}, index: notRanked}
+		s = &share{waiters: treap{random: l.random}, index: notInHeap}
 		l.shares[w.request.Caller] = s
 	}
-	s.order.insert(w)
-	l.largest.set(s, true)
+	s.waiters.insert(w)
+	l.shareHeap.update(s, true)
 }
 
 func (l *lane) remove(w *waiter) {
-	l.order.remove(w)
+	l.waiters.remove(w)
 	s := l.shares[w.request.Caller]
-	s.order.remove(w)
-	l.largest.set(s, s.order.len() > 0)
-	if s.order.len() == 0 {
+	s.waiters.remove(w)
+	l.shareHeap.update(s, s.waiters.len() > 0)
+	if s.waiters.len() == 0 {
 		delete(l.shares, w.request.Caller)
 	}
 }
 
-// held returns how many requests of a caller wait in the lane.
-func (l *lane) held(caller string) int {
+// callerCount returns how many requests of a caller wait in the lane.
+func (l *lane) callerCount(caller string) int {
 	if s := l.shares[caller]; s != nil {
-		return s.order.len()
+		return s.waiters.len()
 	}
 	return 0
 }
 
-// share is one caller's part of a lane.
+// share holds one caller's requests in a lane.
 type share struct {
-	order ordered
-	index int
+	waiters treap
+	index   int
 }
 
-func (s *share) place() *int { return &s.index }
+func (s *share) heapIndex() *int { return &s.index }
 
-// dueLane and fullLane are a lane as an element of the queue's two rankings.
+// laneByDue and laneByLength are the element types of the queue's heaps of lanes.
 type (
-	dueLane  struct{ *lane }
-	fullLane struct{ *lane }
+	laneByDue    struct{ *lane }
+	laneByLength struct{ *lane }
 )
 
-func (l dueLane) place() *int  { return &l.dueIndex }
-func (l fullLane) place() *int { return &l.fullIndex }
+func (l laneByDue) heapIndex() *int    { return &l.dueIndex }
+func (l laneByLength) heapIndex() *int { return &l.lengthIndex }
 
-// batchKind and streamKind are the bits of a lane's index in its line.
+// batchBit and streamBit are the bits of a lane's index in its target queue.
 const (
-	batchKind = 1 << iota
-	streamKind
-	kinds
+	batchBit = 1 << iota
+	streamBit
+	laneCount
 )
 
-func kindOf(r Request) int {
-	kind := 0
+func laneIndex(r Request) int {
+	index := 0
 	if r.Class == wirepb.Class_BATCH {
-		kind |= batchKind
+		index |= batchBit
 	}
 	if r.Stream {
-		kind |= streamKind
+		index |= streamBit
 	}
-	return kind
+	return index
 }
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -8,27 +8,27 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// firstReleaseSpacing is the time between two ends of requests that a Limiter believes in before it saw any.
-const firstReleaseSpacing = 10 * time.Millisecond
+// initialReleaseSpacing is the assumed time between two releases until one has been measured.
+const initialReleaseSpacing = 10 * time.Millisecond
 
 // LimiterOptions are the settings of a Limiter.
 type LimiterOptions struct {
-	// MaxInFlight bounds all requests in flight, and MaxBatch those of class batch, so that the rest is kept for
-	// interactive ones (0: no bound of its own).
+	// MaxInFlight bounds all requests in flight. MaxBatch bounds those of class batch and so reserves the remainder for
+	// interactive requests (0: no separate bound).
 	MaxInFlight, MaxBatch int
-	// MaxRetryAfter bounds the time to come back (0: 30 s).
+	// MaxRetryAfter bounds Refusal.RetryAfter (0: 30 s).
 	MaxRetryAfter time.Duration
-	// Seed seeds the jitter of retry times.
+	// Seed seeds the jitter of the retry delays.
 	Seed uint64
 }
 
 // Limiter bounds the requests that an entry has in flight. It is not safe for concurrent use.
 type Limiter struct {
-	options      LimiterOptions
-	total, batch int
-	spacing      moving
-	released     time.Time
-	returns      returns
+	options        LimiterOptions
+	total, batch   int
+	releaseSpacing movingAverage
+	lastRelease    time.Time
+	retries        retrySchedule
 }
 
 // NewLimiter returns a limiter with nothing in flight.
@@ -36,12 +36,12 @@
 	options.MaxRetryAfter = cmp.Or(options.MaxRetryAfter, defaultMaxRetryAfter)
 	options.MaxBatch = cmp.Or(options.MaxBatch, options.MaxInFlight)
 	l := &Limiter{options: options}
-	l.returns.random = rand.New(rand.NewPCG(options.Seed, 0))
-	l.spacing.mean = firstReleaseSpacing
+	l.retries.random = rand.New(rand.NewPCG(options.Seed, 0))
+	l.releaseSpacing.mean = initialReleaseSpacing
 	return l
 }
 
-// Acquire takes a place for a request of the class, or refuses it.
+// Acquire counts a request of the class as in flight, or refuses it if the limit is reached.
 func (l *Limiter) Acquire(now time.Time, class wirepb.Class) *Refusal {
 	full := l.total >= l.options.MaxInFlight
 	if class == wirepb.Class_BATCH {
@@ -57,35 +57,36 @@
 	return nil
 }
 
-// refuse tells the time to come back from the pace at which places were given back of late.
+// refuse derives the retry delay from the recent rate of releases.
 func (l *Limiter) refuse(now time.Time) *Refusal {
 	return &Refusal{
 		Reason:     wirepb.RefusalReason_QUEUE_FULL,
-		RetryAfter: l.returns.take(now, l.spacing.mean, l.spacing.mean, l.options.MaxRetryAfter),
+		RetryAfter: l.retries.reserve(now, l.releaseSpacing.mean, l.releaseSpacing.mean, l.options.MaxRetryAfter),
 		Detail:     "the entry has too many requests in flight",
 	}
 }
 
-// Release gives back the place of a request that ended at now.
+// Release records that a request in flight ended at now.
 func (l *Limiter) Release(now time.Time, class wirepb.Class) {
-	l.learnPace(now)
+	l.observeRelease(now)
 	l.total--
 	if class == wirepb.Class_BATCH {
 		l.batch--
 	}
 }
 
-// learnPace measures the time between two ends while all places are taken; only then is it the limiter's pace.
-func (l *Limiter) learnPace(now time.Time) {
+// observeRelease measures the time between two releases while the limit is reached; below the limit the time between
+// releases depends on the arrivals and not on the capacity.
+func (l *Limiter) observeRelease(now time.Time) {
 	if l.total < l.options.MaxInFlight {
-		l.released = time.Time{}
+		l.lastRelease = time.Time{}
 		return
 	}
-	if !l.released.IsZero() {
-		l.spacing.observe(now.Sub(l.released))
+	if !l.lastRelease.IsZero() {
+		l.releaseSpacing.observe(now.Sub(l.lastRelease))
 	}
-	l.released = now
+	l.lastRelease = now
 }
 
-// InFlight returns how many requests hold a place.
+// InFlight returns how many requests are in flight.
 func (l *Limiter) InFlight() int { return l.total }
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -21,21 +21,21 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			l := NewLimiter(LimiterOptions{MaxInFlight: 3, MaxBatch: 2})
-			hold(t, l, interactive, c.interactiveHeld)
-			hold(t, l, batch, c.batchHeld)
+			acquireN(t, l, interactive, c.interactiveHeld)
+			acquireN(t, l, batch, c.batchHeld)
 			if got := l.Acquire(start, batch) == nil; got != c.batchMore {
-				t.Errorf("one more batch request: %v", got)
+				t.Errorf("one more batch request accepted: %v", got)
 			} else if got {
 				l.Release(start, batch)
 			}
 			if got := l.Acquire(start, interactive) == nil; got != c.interactiveMore {
-				t.Errorf("one more interactive request: %v", got)
+				t.Errorf("one more interactive request accepted: %v", got)
 			}
 		})
 	}
 }
 
-func hold(t *testing.T, l *Limiter, class wirepb.Class, n int) {
+func acquireN(t *testing.T, l *Limiter, class wirepb.Class, n int) {
 	t.Helper()
 	for range n {
 		if refused := l.Acquire(start, class); refused != nil {
@@ -44,23 +44,23 @@
 	}
 }
 
-// A full entry refuses a hundred requests at once while one request ends every 100 ms. Told the same time they would all
-// be refused again; told the limiter's pace they come back one by one.
+// A full entry refuses a hundred requests at once while one request ends every 100 ms. With equal retry delays nearly
+// all of them would be refused again, so the delays must be spread at the limiter's release rate.
 func TestLimiterTellsItsPace(t *testing.T) {
 	l := NewLimiter(LimiterOptions{MaxInFlight: 1, Seed: 1})
 	now := start
 	for range 50 {
-		hold(t, l, interactive, 1)
+		acquireN(t, l, interactive, 1)
 		now = now.Add(100 * time.Millisecond)
 		l.Release(now, interactive)
 	}
-	hold(t, l, interactive, 1)
+	acquireN(t, l, interactive, 1)
 	latest := time.Duration(0)
 	for range 100 {
 		latest = max(latest, l.Acquire(now, interactive).RetryAfter)
 	}
 	if latest < 8*time.Second || latest > 15*time.Second {
-		t.Errorf("the last of 100 comes back after %v, want about 10 s", latest)
+		t.Errorf("longest of 100 retry delays is %v, want about 10 s", latest)
 	}
 }
 
@@ -80,9 +80,9 @@
 	}
 	s.Observe(adapter, time.Minute)
 	if got := s.Expected(adapter); got != time.Minute {
-		t.Errorf("the adapter's own time is %v", got)
+		t.Errorf("adapter with one sample of 1 m: expected time %v", got)
 	}
 	if got := s.Expected(Target{Model: "never seen"}); got != 0 {
-		t.Errorf("a model never seen takes %v", got)
+		t.Errorf("model without samples: expected time %v, want 0", got)
 	}
 }
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -5,169 +5,172 @@
 	"time"
 )
 
-// pool holds the lines whose requests share one replica's concurrency: those of a model version with and without
-// adapters, or that of a plain service.
-type pool struct{ lines []*line }
+// pool holds the target queues whose requests share the concurrency of one replica: those of a model version with and
+// without adapters, or that of a plain service.
+type pool struct{ queues []*targetQueue }
 
-// poolKey names a pool: the model version, or the service.
+// poolKey identifies a pool by its model version or its service.
 type poolKey struct{ model, service string }
 
 func (t Target) pool() poolKey { return poolKey{model: t.Model, service: t.Service} }
 
-// line is what waits for one target: a lane for each kind of request.
-type line struct {
+// targetQueue holds the waiting requests of one target, in one lane per combination of class and deadline type.
+type targetQueue struct {
 	target Target
 	pool   *pool
-	lanes  [kinds]lane
-	// ready is what the last estimate said: a line that waits for a load takes no turns from the others of its pool.
+	lanes  [laneCount]lane
+	// ready is Estimate.Ready as last reported. Requests of a target that is still loading do not delay other targets
+	// of the pool.
 	ready bool
-	// sinceBatch counts the interactive starts in a row while a batch request waited.
+	// sinceBatch counts the consecutive interactive starts while a batch request waits.
 	sinceBatch int
-	// returns spreads the times at which refused requests come back.
-	returns returns
+	// retries schedules the retries of refused requests.
+	retries retrySchedule
 }
 
-func newLine(target Target, of *pool, random *rand.Rand) *line {
-	l := &line{target: target, pool: of, returns: returns{random: random}}
-	of.lines = append(of.lines, l)
-	for kind := range l.lanes {
-		l.lanes[kind].init(l, kind, random)
+func newTargetQueue(target Target, p *pool, random *rand.Rand) *targetQueue {
+	tq := &targetQueue{target: target, pool: p, retries: retrySchedule{random: random}}
+	p.queues = append(p.queues, tq)
+	for index := range tq.lanes {
+		tq.lanes[index].init(tq, index, random)
 	}
-	return l
+	return tq
 }
 
-func (l *line) lane(r Request) *lane { return &l.lanes[kindOf(r)] }
+func (tq *targetQueue) lane(r Request) *lane { return &tq.lanes[laneIndex(r)] }
 
-func (l *line) len() int {
-	interactive, batch := l.count()
+func (tq *targetQueue) len() int {
+	interactive, batch := tq.count()
 	return interactive + batch
 }
 
-func (l *line) count() (interactive, batch int) {
-	for i := range l.lanes {
-		if l.lanes[i].batch {
-			batch += l.lanes[i].len()
+func (tq *targetQueue) count() (interactive, batch int) {
+	for i := range tq.lanes {
+		if tq.lanes[i].batch {
+			batch += tq.lanes[i].len()
 		} else {
-			interactive += l.lanes[i].len()
+			interactive += tq.lanes[i].len()
 		}
 	}
 	return interactive, batch
 }
 
-// first returns the lane of a class whose first request must start earliest, or nil.
-func (l *line) first(batch bool) *lane {
+// firstLane returns the lane of a class whose first request has the earliest due time, or nil.
+func (tq *targetQueue) firstLane(batch bool) *lane {
 	var first *lane
-	for i := range l.lanes {
-		candidate := &l.lanes[i]
+	for i := range tq.lanes {
+		candidate := &tq.lanes[i]
 		if candidate.batch != batch || candidate.len() == 0 {
 			continue
 		}
-		if first == nil || candidate.goesBefore(first) {
+		if first == nil || candidate.startsBefore(first) {
 			first = candidate
 		}
 	}
 	return first
 }
 
-// goesBefore compares the first requests of two lanes that are not empty.
-func (l *lane) goesBefore(other *lane) bool {
+// startsBefore compares the first requests of two non-empty lanes.
+func (l *lane) startsBefore(other *lane) bool {
 	if a, b := l.dueAt(), other.dueAt(); a != b {
 		return a < b
 	}
-	return l.order.first().sequence < other.order.first().sequence
+	return l.waiters.first().sequence < other.waiters.first().sequence
 }
 
-// turn returns the lane whose first request starts next, or nil when nothing waits.
+// nextLane returns the lane whose first request starts next, or nil when no request waits.
 //
-// Under a lasting load of interactive requests batch ones would wait until their deadline, so one of them starts after
-// each run of batchEvery interactive starts.
-func (l *line) turn(batchEvery int) *lane {
-	interactive, batch := l.first(false), l.first(true)
-	if interactive == nil || batch != nil && l.sinceBatch >= batchEvery {
+// Under sustained interactive load batch requests would wait until their deadline, so one of them starts after every
+// batchEvery interactive starts.
+func (tq *targetQueue) nextLane(batchEvery int) *lane {
+	interactive, batch := tq.firstLane(false), tq.firstLane(true)
+	if interactive == nil || batch != nil && tq.sinceBatch >= batchEvery {
 		return batch
 	}
 	return interactive
 }
 
-// started counts the starts for turn.
-func (l *line) started(from *lane) {
-	if !from.batch && l.first(true) != nil {
-		l.sinceBatch++
+// recordStart updates the count of consecutive interactive starts that nextLane uses.
+func (tq *targetQueue) recordStart(from *lane) {
+	if !from.batch && tq.firstLane(true) != nil {
+		tq.sinceBatch++
 		return
 	}
-	l.sinceBatch = 0
+	tq.sinceBatch = 0
 }
 
-// ahead returns how many requests of the pool start before w, which need not wait yet.
-func (l *line) ahead(w *waiter, in *lane, batchEvery int) int {
+// ahead returns how many requests of the pool start before w, which need not be queued yet.
+func (tq *targetQueue) ahead(w *waiter, ln *lane, batchEvery int) int {
 	interactive, batch, rank := 0, 0, 0
-	for _, other := range l.pool.lines {
-		if other != l && !other.ready {
+	for _, other := range tq.pool.queues {
+		if other != tq && !other.ready {
 			continue
 		}
 		i, b := other.count()
 		interactive += i
 		batch += b
-		rank += other.rank(w, in)
+		rank += other.rank(w, ln)
 	}
-	if in.batch {
+	if ln.batch {
 		return rank + min(interactive, (rank+1)*batchEvery)
 	}
 	return rank + min(batch, rank/batchEvery)
 }
 
-// rank returns how many requests of the line start before w among those of its class.
-func (l *line) rank(w *waiter, in *lane) int {
+// rank returns how many waiting requests of this target and of w's class start before w.
+func (tq *targetQueue) rank(w *waiter, ln *lane) int {
 	rank := 0
-	for i := range l.lanes {
-		if other := &l.lanes[i]; other.batch == in.batch && other.len() > 0 {
-			rank += other.order.rank(other.like(w, in))
+	for i := range tq.lanes {
+		if other := &tq.lanes[i]; other.batch == ln.batch && other.len() > 0 {
+			rank += other.waiters.rank(other.equivalent(w, ln))
 		}
 	}
 	return rank
 }
 
-// held returns how many requests of a caller and class wait in the line.
-func (l *line) held(caller string, batch bool) int {
-	held := 0
-	for i := range l.lanes {
-		if l.lanes[i].batch == batch {
-			held += l.lanes[i].held(caller)
+// callerCount returns how many requests of a caller and class wait for the target.
+func (tq *targetQueue) callerCount(caller string, batch bool) int {
+	count := 0
+	for i := range tq.lanes {
+		if tq.lanes[i].batch == batch {
+			count += tq.lanes[i].callerCount(caller)
 		}
 	}
-	return held
+	return count
 }
 
-// largest returns the largest share of a caller in a lane of the class, with its lane, or nil.
-func (l *line) largest(batch bool) (*share, *lane) {
+// largestShare returns the largest share of any caller in a lane of the class, with its lane, or nil.
+func (tq *targetQueue) largestShare(batch bool) (*share, *lane) {
 	var largest *share
-	var in *lane
-	for i := range l.lanes {
-		s, ok := l.lanes[i].largest.top()
-		if l.lanes[i].batch == batch && ok && (largest == nil || s.order.len() > largest.order.len()) {
-			largest, in = s, &l.lanes[i]
+	var ln *lane
+	for i := range tq.lanes {
+		s, ok := tq.lanes[i].shareHeap.peek()
+		if tq.lanes[i].batch == batch && ok && (largest == nil || s.waiters.len() > largest.waiters.len()) {
+			largest, ln = s, &tq.lanes[i]
 		}
 	}
-	return largest, in
+	return largest, ln
 }
 
-// fairFactor is how many times a caller's share another's must be before it gives up a place. With 1, callers with equal
-// needs push each other out by the mere chance of their arrivals, after they waited.
-const fairFactor = 2
+// fairShareFactor is how many times larger than the new caller's share another caller's share must be before one of its
+// requests is displaced. With 1, callers with equal demand would displace each other's waiting requests depending only
+// on the order of arrival.
+const fairShareFactor = 2
 
-// heaviest returns the largest share of a class when a caller may displace a request from it, or nil.
-func (l *line) heaviest(caller string, batch bool) (*share, *lane) {
-	s, in := l.largest(batch)
-	if s == nil || s.order.len() < fairFactor*(l.held(caller, batch)+1) {
+// displaceableShare returns the largest share of the class if it is large enough for the caller to displace a request
+// from it, or nil.
+func (tq *targetQueue) displaceableShare(caller string, batch bool) (*share, *lane) {
+	s, ln := tq.largestShare(batch)
+	if s == nil || s.waiters.len() < fairShareFactor*(tq.callerCount(caller, batch)+1) {
 		return nil, nil
 	}
-	return s, in
+	return s, ln
 }
 
-// earliest returns the latest time at which the request can start that must start first; the line is not empty.
-func (l *line) earliest() time.Duration {
-	interactive, batch := l.first(false), l.first(true)
-	if interactive == nil || batch != nil && batch.goesBefore(interactive) {
+// earliestDue returns the earliest due time; the target queue must not be empty.
+func (tq *targetQueue) earliestDue() time.Duration {
+	interactive, batch := tq.firstLane(false), tq.firstLane(true)
+	if interactive == nil || batch != nil && batch.startsBefore(interactive) {
 		return batch.dueAt()
 	}
 	return interactive.dueAt()
--- a/internal/admission/ordered.go
+++ b/internal/admission/ordered.go
@@ -21,12 +21,13 @@
 	return w.sequence < other.sequence
 }
 
-// ordered is a set of waiters by deadline: a treap whose nodes know the size of their subtree, so that a waiter's rank
-// is found in O(log n), and the least slack in it, so that a waiter whose rank is hopeless is found in O(log n).
+// treap is a set of waiters ordered by deadline. Each node stores the size of its subtree, so that a rank is found in
+// O(log n), and the minimum slack in it, so that a waiter that cannot meet its deadline at its rank is found in O(log
+// n).
 //
-// The slack of the waiter at rank r is deadline - r*spacing: the time by which the first must be done for this one to be
-// in time when one is done every spacing.
-type ordered struct {
+// The slack of the waiter at rank r is deadline - r*spacing: the time by which the first waiter must be done for this
+// one to meet its deadline when one is done every spacing.
+type treap struct {
 	root    *node
 	spacing time.Duration
 	random  *rand.Rand
@@ -47,81 +48,81 @@
 	return n.size
 }
 
-// renew computes what a node knows of its subtree.
-func (o *ordered) renew(n *node) *node {
+// updateNode recomputes a node's size and slack from its children.
+func (t *treap) updateNode(n *node) *node {
 	rank := n.left.count()
 	n.size = rank + 1 + n.right.count()
-	n.slack = n.waiter.deadline - time.Duration(rank)*o.spacing
+	n.slack = n.waiter.deadline - time.Duration(rank)*t.spacing
 	if n.left != nil {
 		n.slack = min(n.slack, n.left.slack)
 	}
 	if n.right != nil {
-		n.slack = min(n.slack, n.right.slack-time.Duration(rank+1)*o.spacing)
+		n.slack = min(n.slack, n.right.slack-time.Duration(rank+1)*t.spacing)
 	}
 	return n
 }
 
-// split parts a subtree into the waiters before w and the rest.
-func (o *ordered) split(n *node, w *waiter) (before, rest *node) {
+// split divides a subtree into the waiters before w and the others.
+func (t *treap) split(n *node, w *waiter) (before, rest *node) {
 	if n == nil {
 		return nil, nil
 	}
 	if n.waiter.before(w) {
-		n.right, rest = o.split(n.right, w)
-		return o.renew(n), rest
+		n.right, rest = t.split(n.right, w)
+		return t.updateNode(n), rest
 	}
-	before, n.left = o.split(n.left, w)
-	return before, o.renew(n)
+	before, n.left = t.split(n.left, w)
+	return before, t.updateNode(n)
 }
 
 // merge joins two subtrees, all of a before all of b.
-func (o *ordered) merge(a, b *node) *node {
+func (t *treap) merge(a, b *node) *node {
 	switch {
 	case a == nil:
 		return b
 	case b == nil:
 		return a
 	case a.priority > b.priority:
-		a.right = o.merge(a.right, b)
-		return o.renew(a)
+		a.right = t.merge(a.right, b)
+		return t.updateNode(a)
 	default:
-		b.left = o.merge(a, b.left)
-		return o.renew(b)
+		b.left = t.merge(a, b.left)
+		return t.updateNode(b)
 	}
 }
 
-func (o *ordered) len() int { return o.root.count() }
+func (t *treap) len() int { return t.root.count() }
 
-func (o *ordered) insert(w *waiter) {
-	added := o.renew(&node{waiter: w, priority: o.random.Uint64()})
-	before, rest := o.split(o.root, w)
-	o.root = o.merge(o.merge(before, added), rest)
+func (t *treap) insert(w *waiter) {
+	added := t.updateNode(&node{waiter: w, priority: t.random.Uint64()})
+	before, rest := t.split(t.root, w)
+	t.root = t.merge(t.merge(before, added), rest)
 }
 
-func (o *ordered) remove(w *waiter) {
-	o.root = o.removeFrom(o.root, w)
+func (t *treap) remove(w *waiter) {
+	t.root = t.removeFrom(t.root, w)
 }
 
-func (o *ordered) removeFrom(n *node, w *waiter) *node {
+func (t *treap) removeFrom(n *node, w *waiter) *node {
 	switch {
 	case n == nil:
 		return nil
 	case n.waiter == w:
-		return o.merge(n.left, n.right)
+		return t.merge(n.left, n.right)
 	case w.before(n.waiter):
-		n.left = o.removeFrom(n.left, w)
+		n.left = t.removeFrom(n.left, w)
 	default:
-		n.right = o.removeFrom(n.right, w)
+		n.right = t.removeFrom(n.right, w)
 	}
-	return o.renew(n)
+	return t.updateNode(n)
 }
 
 // first returns the waiter with the earliest deadline, or nil.
-func (o *ordered) first() *waiter {
-	if o.root == nil {
+func (t *treap) first() *waiter {
+	if t.root == nil {
 		return nil
 	}
-	n := o.root
+	n := t.root
 	for n.left != nil {
 		n = n.left
 	}
@@ -129,11 +130,11 @@
 }
 
 // last returns the waiter with the latest deadline, or nil.
-func (o *ordered) last() *waiter {
-	if o.root == nil {
+func (t *treap) last() *waiter {
+	if t.root == nil {
 		return nil
 	}
-	n := o.root
+	n := t.root
 	for n.right != nil {
 		n = n.right
 	}
@@ -141,9 +142,9 @@
 }
 
 // rank returns how many waiters come before w, which need not be in the set.
-func (o *ordered) rank(w *waiter) int {
+func (t *treap) rank(w *waiter) int {
 	rank := 0
-	for n := o.root; n != nil; {
+	for n := t.root; n != nil; {
 		if n.waiter.before(w) {
 			rank += n.left.count() + 1
 			n = n.right
@@ -155,9 +156,9 @@
 }
 
 // lastBefore returns the latest waiter that comes before w, or nil.
-func (o *ordered) lastBefore(w *waiter) *waiter {
+func (t *treap) lastBefore(w *waiter) *waiter {
 	var found *waiter
-	for n := o.root; n != nil; {
+	for n := t.root; n != nil; {
 		if n.waiter.before(w) {
 			found = n.waiter
 			n = n.right
@@ -168,19 +169,19 @@
 	return found
 }
 
-// hopeless returns the first waiter whose slack ended before now, or nil.
-func (o *ordered) hopeless(now time.Duration) *waiter {
+// firstInfeasible returns the first waiter whose slack is before now, or nil.
+func (t *treap) firstInfeasible(now time.Duration) *waiter {
 	rank := 0
-	for n := o.root; n != nil; {
-		if n.slack-time.Duration(rank)*o.spacing >= now {
+	for n := t.root; n != nil; {
+		if n.slack-time.Duration(rank)*t.spacing >= now {
 			return nil
 		}
-		if n.left != nil && n.left.slack-time.Duration(rank)*o.spacing < now {
+		if n.left != nil && n.left.slack-time.Duration(rank)*t.spacing < now {
 			n = n.left
 			continue
 		}
 		rank += n.left.count()
-		if n.waiter.deadline-time.Duration(rank)*o.spacing < now {
+		if n.waiter.deadline-time.Duration(rank)*t.spacing < now {
 			return n.waiter
 		}
 		rank++
@@ -189,25 +190,25 @@
 	return nil
 }
 
-// spacingTolerance is the factor by which the spacing may change before the slacks are computed anew, which takes O(n).
+// spacingTolerance is the factor by which the spacing may change before all slacks are recomputed, which takes O(n).
 const spacingTolerance = 1.25
 
-// respace changes the spacing when it moved beyond the tolerance.
-func (o *ordered) respace(spacing time.Duration) {
-	low := time.Duration(float64(o.spacing) / spacingTolerance)
-	high := time.Duration(float64(o.spacing) * spacingTolerance)
+// setSpacing changes the spacing if it differs from the current one by more than the tolerance.
+func (t *treap) setSpacing(spacing time.Duration) {
+	low := time.Duration(float64(t.spacing) / spacingTolerance)
+	high := time.Duration(float64(t.spacing) * spacingTolerance)
 	if spacing >= low && spacing <= high {
 		return
 	}
-	o.spacing = spacing
-	o.renewAll(o.root)
+	t.spacing = spacing
+	t.updateAll(t.root)
 }
 
-func (o *ordered) renewAll(n *node) {
+func (t *treap) updateAll(n *node) {
 	if n == nil {
 		return
 	}
-	o.renewAll(n.left)
-	o.renewAll(n.right)
-	o.renew(n)
+	t.updateAll(n.left)
+	t.updateAll(n.right)
+	t.updateNode(n)
 }
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -11,19 +11,19 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// The measure of the admission policy: one endpoint that serves 20 requests a second, four at once, under more than that.
+// The simulated endpoint serves 20 requests a second, four at once, and is offered more than that.
 const (
-	servers         = 4
-	serviceTime     = 200 * time.Millisecond
-	capacity        = float64(servers) / 0.2
-	interactiveLeft = 2 * time.Second
-	batchLeft       = 20 * time.Second
-	loadTime        = 2 * time.Minute
-	queueBound      = 64
-	maxReturns      = 3
+	servers            = 4
+	serviceTime        = 200 * time.Millisecond
+	capacity           = float64(servers) / 0.2
+	interactiveTimeout = 2 * time.Second
+	batchTimeout       = 20 * time.Second
+	simulatedTime      = 2 * time.Minute
+	queueBound         = 64
+	maxRetries         = 3
 )
 
-// policy keeps the waiting requests of the endpoint.
+// policy queues the requests of the endpoint.
 type policy interface {
 	offer(now time.Time, r Request) []Refusal
 	next(now time.Time) (Request, []Refusal, bool)
@@ -31,8 +31,8 @@
 	ended(took time.Duration)
 }
 
-// fifo is the baseline: first come, first served, with the same bound and a fixed time to come back. With skips set it
-// refuses requests whose deadline has passed when their turn comes.
+// fifo is the baseline: first come, first served, with the same bound on the queue and a fixed retry delay. If skips is
+// set, it refuses requests whose deadline has passed when they reach the head of the queue.
 type fifo struct {
 	skips   bool
 	waiting []Request
@@ -62,24 +62,24 @@
 func (f *fifo) expire(time.Time) []Refusal { return nil }
 func (f *fifo) ended(time.Duration)        {}
 
-// byDeadlinePolicy is the queue as the agent drives it.
-type byDeadlinePolicy struct {
+// deadlinePolicy uses Queue in the same way as the agent.
+type deadlinePolicy struct {
 	queue *Queue
 	times *ServiceTimes
 	busy  int
 }
 
-func newByDeadlinePolicy() *byDeadlinePolicy {
-	return &byDeadlinePolicy{queue: NewQueue(Options{MaxWaiting: queueBound, Seed: 3}), times: NewServiceTimes()}
+func newDeadlinePolicy() *deadlinePolicy {
+	return &deadlinePolicy{queue: NewQueue(Options{MaxWaiting: queueBound, Seed: 3}), times: NewServiceTimes()}
 }
 
-func (p *byDeadlinePolicy) estimate(Target) Estimate {
+func (p *deadlinePolicy) estimate(Target) Estimate {
 	e := Estimate{Ready: true, Concurrency: servers, Running: p.busy}
 	p.times.Fill(target, &e)
 	return e
 }
 
-func (p *byDeadlinePolicy) offer(now time.Time, r Request) []Refusal {
+func (p *deadlinePolicy) offer(now time.Time, r Request) []Refusal {
 	displaced, refused := p.queue.Offer(now, r, p.estimate(target))
 	if refused != nil {
 		return []Refusal{*refused}
@@ -87,7 +87,7 @@
 	return displaced
 }
 
-func (p *byDeadlinePolicy) next(now time.Time) (Request, []Refusal, bool) {
+func (p *deadlinePolicy) next(now time.Time) (Request, []Refusal, bool) {
 	r, refused, ok := p.queue.Next(now, target, p.estimate(target))
 	if ok {
 		p.busy++
@@ -95,19 +95,19 @@
 	return r, refused, ok
 }
 
-func (p *byDeadlinePolicy) expire(now time.Time) []Refusal { return p.queue.Expire(now, p.estimate) }
+func (p *deadlinePolicy) expire(now time.Time) []Refusal { return p.queue.Expire(now, p.estimate) }
 
-func (p *byDeadlinePolicy) ended(took time.Duration) {
+func (p *deadlinePolicy) ended(took time.Duration) {
 	p.busy--
 	p.times.Observe(target, took)
 }
 
-// event is an arrival, or the end of a request when took is set.
+// event is an arrival, or the end of a request if took is set.
 type event struct {
 	at      time.Time
 	request Request
 	took    time.Duration
-	returns int
+	retries int
 }
 
 type events []event
@@ -122,122 +122,123 @@
 	return last
 }
 
-// bench is a small event loop around one policy and one endpoint.
-type bench struct {
-	random  *rand.Rand
-	policy  policy
-	events  events
-	asked   map[string]event
-	busy    int
-	spread  float64
-	result  figures
-	comings map[time.Duration]int
+// simulation is a discrete-event simulation of one policy and one endpoint.
+type simulation struct {
+	random       *rand.Rand
+	policy       policy
+	events       events
+	requests     map[string]event
+	busy         int
+	spread       float64
+	result       outcome
+	returnCounts map[time.Duration]int
 }
 
-// figures are what a run showed.
-type figures struct {
+// outcome is the result of a simulation run.
+type outcome struct {
 	inTime, late, batchInTime, refused int
-	// waits are the times that interactive requests waited before they were refused all the same.
+	// waits holds how long interactive requests waited in the queue before they were refused.
 	waits []time.Duration
-	// peak is the most refused requests that came back in one tenth of a second, and returned all of them.
+	// peak is the largest number of retries within a tenth of a second, and returned the number of all retries.
 	peak, returned int
-	lasted         time.Duration
+	duration       time.Duration
 }
 
 // perSecond returns the rate of interactive requests answered in time.
-func (f *figures) perSecond() float64 { return float64(f.inTime) / f.lasted.Seconds() }
+func (o *outcome) perSecond() float64 { return float64(o.inTime) / o.duration.Seconds() }
 
-func (f *figures) waitedLongest() time.Duration {
-	if len(f.waits) == 0 {
+func (o *outcome) waitP99() time.Duration {
+	if len(o.waits) == 0 {
 		return 0
 	}
-	slices.Sort(f.waits)
-	return f.waits[len(f.waits)*99/100]
+	slices.Sort(o.waits)
+	return o.waits[len(o.waits)*99/100]
 }
 
-func (f *figures) String() string {
-	return fmt.Sprintf("in time %.1f/s (batch %.1f/s), late %d, refused %d (%d interactive ones after a wait of p99 %v), back in 0.1 s at most %d of %d",
-		f.perSecond(), float64(f.batchInTime)/f.lasted.Seconds(), f.late, f.refused, len(f.waits),
-		f.waitedLongest().Round(time.Millisecond), f.peak, f.returned)
+func (o *outcome) String() string {
+	return fmt.Sprintf("in time %.1f/s (batch %.1f/s), late %d, refused %d (%d interactive ones after waiting, p99 %v), at most %d of %d retries within 0.1 s",
+		o.perSecond(), float64(o.batchInTime)/o.duration.Seconds(), o.late, o.refused, len(o.waits),
+		o.waitP99().Round(time.Millisecond), o.peak, o.returned)
 }
 
-// measure runs a policy under arrivals at the given multiple of the capacity; service times vary evenly by the spread.
-func measure(p policy, arrivals []event, spread float64) figures {
-	b := &bench{
+// simulate runs a policy on the given arrivals. Service times are distributed uniformly around the mean; spread is the
+// maximum deviation as a fraction of the mean.
+func simulate(p policy, arrivals []event, spread float64) outcome {
+	s := &simulation{
 		random: rand.New(rand.NewPCG(5, 5)), policy: p, events: slices.Clone(arrivals),
-		asked: map[string]event{}, spread: spread, comings: map[time.Duration]int{},
+		requests: map[string]event{}, spread: spread, returnCounts: map[time.Duration]int{},
 	}
-	heap.Init(&b.events)
-	for len(b.events) > 0 {
-		e := heap.Pop(&b.events).(event)
-		b.result.lasted = e.at.Sub(start)
-		b.step(e)
+	heap.Init(&s.events)
+	for len(s.events) > 0 {
+		e := heap.Pop(&s.events).(event)
+		s.result.duration = e.at.Sub(start)
+		s.step(e)
 	}
-	for _, n := range b.comings {
-		b.result.peak = max(b.result.peak, n)
+	for _, n := range s.returnCounts {
+		s.result.peak = max(s.result.peak, n)
 	}
-	return b.result
+	return s.result
 }
 
-func (b *bench) step(e event) {
+func (s *simulation) step(e event) {
 	if e.took > 0 {
-		b.finish(e)
+		s.finish(e)
 	} else {
-		b.asked[e.request.ID] = e
-		b.refuse(e.at, b.policy.offer(e.at, e.request))
+		s.requests[e.request.ID] = e
+		s.refuse(e.at, s.policy.offer(e.at, e.request))
 	}
-	b.refuse(e.at, b.policy.expire(e.at))
-	for b.busy < servers {
-		r, refused, ok := b.policy.next(e.at)
-		b.refuse(e.at, refused)
+	s.refuse(e.at, s.policy.expire(e.at))
+	for s.busy < servers {
+		r, refused, ok := s.policy.next(e.at)
+		s.refuse(e.at, refused)
 		if !ok {
 			return
 		}
-		b.busy++
-		took := time.Duration(float64(serviceTime) * (1 + b.spread*(2*b.random.Float64()-1)))
-		heap.Push(&b.events, event{at: e.at.Add(took), request: r, took: took})
+		s.busy++
+		took := time.Duration(float64(serviceTime) * (1 + s.spread*(2*s.random.Float64()-1)))
+		heap.Push(&s.events, event{at: e.at.Add(took), request: r, took: took})
 	}
 }
 
-func (b *bench) finish(e event) {
-	b.busy--
-	b.policy.ended(e.took)
+func (s *simulation) finish(e event) {
+	s.busy--
+	s.policy.ended(e.took)
 	switch {
 	case e.at.After(e.request.Deadline):
-		b.result.late++
+		s.result.late++
 	case e.request.Class == batch:
-		b.result.batchInTime++
+		s.result.batchInTime++
 	default:
-		b.result.inTime++
+		s.result.inTime++
 	}
 }
 
-// refuse tells callers to come back, which they do a few times.
-func (b *bench) refuse(now time.Time, refusals []Refusal) {
+// refuse schedules the retries of refused requests, at most maxRetries for each.
+func (s *simulation) refuse(now time.Time, refusals []Refusal) {
 	for _, f := range refusals {
-		e := b.asked[f.ID]
-		b.result.refused++
+		e := s.requests[f.ID]
+		s.result.refused++
 		if e.request.Class == interactive && now.After(e.at) {
-			b.result.waits = append(b.result.waits, now.Sub(e.at))
+			s.result.waits = append(s.result.waits, now.Sub(e.at))
 		}
-		if e.returns >= maxReturns {
+		if e.retries >= maxRetries {
 			continue
 		}
-		e.returns++
+		e.retries++
 		e.at = now.Add(f.RetryAfter)
 		e.request.Deadline = e.at.Add(e.request.Deadline.Sub(e.request.Arrived))
 		e.request.Arrived = e.at
-		b.result.returned++
-		b.comings[e.at.Sub(start).Truncate(100*time.Millisecond)]++
-		heap.Push(&b.events, e)
+		s.result.returned++
+		s.returnCounts[e.at.Sub(start).Truncate(100*time.Millisecond)]++
+		heap.Push(&s.events, e)
 	}
 }
 
-// poisson makes arrivals at a multiple of the capacity, a quarter of them batch.
+// poisson generates arrivals at a multiple of the capacity, a quarter of them batch.
 func poisson(load float64) []event {
 	random := rand.New(rand.NewPCG(9, 9))
 	var arrivals []event
-	for at := time.Duration(0); at < loadTime; {
+	for at := time.Duration(0); at < simulatedTime; {
 		at += time.Duration(random.ExpFloat64() / (load * capacity) * float64(time.Second))
 		arrivals = append(arrivals, arrival(len(arrivals), at, random.IntN(4) == 0))
 	}
@@ -245,31 +246,32 @@
 }
 
 func arrival(i int, at time.Duration, isBatch bool) event {
-	class, left := wirepb.Class_INTERACTIVE, interactiveLeft
+	class, timeout := wirepb.Class_INTERACTIVE, interactiveTimeout
 	if isBatch {
-		class, left = batch, batchLeft
+		class, timeout = batch, batchTimeout
 	}
-	r := ask(fmt.Sprint(i), fmt.Sprint("caller", i%10), class, at+left)
+	r := newRequest(fmt.Sprint(i), fmt.Sprint("caller", i%10), class, at+timeout)
 	r.Arrived = start.Add(at)
 	return event{at: r.Arrived, request: r}
 }
 
-// Under two and five times the capacity a plain queue answers nearly everyone, late: by the time a request starts its
-// caller has gone. The policy must answer in time as many as the endpoint can serve, refuse the rest at once, answer
-// nobody late, and not call all back at one moment. Run with -v for the figures.
+// At two and five times the capacity a FIFO queue answers nearly all requests late, when their callers have already
+// given up. The policy must answer as many requests in time as the endpoint can serve, refuse the rest early, answer
+// none late, and spread the retries. Run with -v for the results.
 func TestPolicyUnderOverload(t *testing.T) {
 	cases := []struct {
 		name     string
 		arrivals []event
-		// spread is how far service times lie from the mean, evenly.
+		// spread is the maximum deviation of the service times as a fraction of their mean.
 		spread float64
-		// leastInTime is the least rate of interactive answers in time, where the endpoint serves 20 requests a second,
-		// a ninth of them batch.
-		leastInTime float64
-		// mostBack is the most requests that may come back in one tenth of a second (0: not judged).
-		mostBack int
-		// mostLate is the most late answers: a request that takes far longer than those before cannot be foreseen.
-		mostLate int
+		// minInTime is the minimum rate of interactive answers in time. The endpoint serves 20 requests a second, a
+		// ninth of them batch.
+		minInTime float64
+		// maxReturning is the maximum number of retries within a tenth of a second (0: not checked).
+		maxReturning int
+		// maxLate is the maximum number of late answers; a request that takes far longer than all previous ones cannot
+		// be predicted.
+		maxLate int
 	}{
 		{"2 times capacity", poisson(2), 0.2, 15, 0, 0},
 		{"5 times capacity", poisson(5), 0.2, 15, 0, 0},
@@ -278,20 +280,20 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			plain := measure(&fifo{}, c.arrivals, c.spread)
-			got := measure(newByDeadlinePolicy(), c.arrivals, c.spread)
-			skipping := measure(&fifo{skips: true}, c.arrivals, c.spread)
-			t.Logf("first come first served: %v", &plain)
-			t.Logf("  the same, skipping:    %v", &skipping)
-			t.Logf("by deadline:             %v", &got)
-			if got.late > c.mostLate {
-				t.Errorf("%d late answers, want at most %d", got.late, c.mostLate)
+			plain := simulate(&fifo{}, c.arrivals, c.spread)
+			got := simulate(newDeadlinePolicy(), c.arrivals, c.spread)
+			skipping := simulate(&fifo{skips: true}, c.arrivals, c.spread)
+			t.Logf("FIFO:                   %v", &plain)
+			t.Logf("FIFO, skipping expired: %v", &skipping)
+			t.Logf("by deadline:            %v", &got)
+			if got.late > c.maxLate {
+				t.Errorf("%d late answers, want at most %d", got.late, c.maxLate)
 			}
-			if got.perSecond() < c.leastInTime || got.perSecond() <= max(plain.perSecond(), skipping.perSecond()) {
-				t.Errorf("%.1f/s in time, want %.1f/s", got.perSecond(), c.leastInTime)
+			if got.perSecond() < c.minInTime || got.perSecond() <= max(plain.perSecond(), skipping.perSecond()) {
+				t.Errorf("%.1f/s in time, want %.1f/s", got.perSecond(), c.minInTime)
 			}
-			if c.mostBack > 0 && got.peak > c.mostBack {
-				t.Errorf("%d came back in 0.1 s, want at most %d", got.peak, c.mostBack)
+			if c.maxReturning > 0 && got.peak > c.maxReturning {
+				t.Errorf("%d retries within 0.1 s, want at most %d", got.peak, c.maxReturning)
 			}
 		})
 	}
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -20,7 +20,7 @@
 	propertySteps = 120
 )
 
-// forAllSeeds runs check with fixed seeds.
+// forAllSeeds runs check with random seeds from a generator that has a fixed seed itself.
 func forAllSeeds(t *testing.T, check func(seed uint64) error) {
 	t.Helper()
 	parameters := gopter.DefaultTestParametersWithSeed(propertySeed)
@@ -33,8 +33,8 @@
 	properties.TestingRun(t)
 }
 
-// world drives one queue with random calls and keeps account of each request.
-type world struct {
+// harness calls one queue at random and tracks the state of each request.
+type harness struct {
 	random  *rand.Rand
 	now     time.Time
 	queue   *Queue
@@ -42,11 +42,11 @@
 	waiting map[string]Request
 	ended   map[string]bool
 	offered int
-	// interactiveRun counts interactive starts of a target while its batch requests wait.
+	// interactiveRun counts the consecutive interactive starts of a target while its batch requests wait.
 	interactiveRun map[Target]int
 }
 
-func newWorld(seed uint64) *world {
+func newHarness(seed uint64) *harness {
 	random := rand.New(rand.NewPCG(seed, 1))
 	bounds := Options{
 		MaxWaiting:   1 + random.IntN(12),
@@ -55,7 +55,7 @@
 		BatchEvery:   1 + random.IntN(4),
 		Seed:         seed,
 	}
-	return &world{
+	return &harness{
 		random: random, now: start, queue: NewQueue(bounds), bounds: bounds,
 		waiting: map[string]Request{}, ended: map[string]bool{}, interactiveRun: map[Target]int{},
 	}
@@ -63,83 +63,83 @@
 
 var targets = []Target{{Model: "m"}, {Model: "m", Adapter: "a"}, {Model: "n"}, {Service: "ledger"}}
 
-func (w *world) step() error {
-	w.now = w.now.Add(time.Duration(w.random.IntN(400)) * time.Millisecond)
-	target := targets[w.random.IntN(len(targets))]
-	switch w.random.IntN(10) {
+func (h *harness) step() error {
+	h.now = h.now.Add(time.Duration(h.random.IntN(400)) * time.Millisecond)
+	target := targets[h.random.IntN(len(targets))]
+	switch h.random.IntN(10) {
 	case 0:
-		return w.end(w.queue.Expire(w.now, func(Target) Estimate { return w.estimate() }), "expire")
+		return h.recordLeft(h.queue.Expire(h.now, func(Target) Estimate { return h.estimate() }), "expire")
 	case 1:
-		return w.remove()
+		return h.remove()
 	case 2, 3, 4:
-		return w.next(target)
+		return h.next(target)
 	case 5:
-		r, refused, ok := w.queue.NextAny(w.now, func(Target) (Estimate, bool) { return steady, w.random.IntN(3) > 0 })
-		return cmp.Or(w.end(refused, "next any"), w.started(r, ok))
+		r, refused, ok := h.queue.NextAny(h.now, func(Target) (Estimate, bool) { return steady, h.random.IntN(3) > 0 })
+		return cmp.Or(h.recordLeft(refused, "next any"), h.checkStart(r, ok))
 	default:
-		return w.offer(target)
+		return h.offer(target)
 	}
 }
 
-// estimate draws estimates that jump about.
-func (w *world) estimate() Estimate {
+// estimate returns a random estimate, unrelated to the previous one.
+func (h *harness) estimate() Estimate {
 	return Estimate{
-		Ready:       w.random.IntN(2) == 0,
-		ReadyIn:     time.Duration(w.random.IntN(3000)) * time.Millisecond,
-		Service:     time.Duration(1+w.random.IntN(2000)) * time.Millisecond,
-		Concurrency: w.random.IntN(4),
-		Running:     w.random.IntN(4),
+		Ready:       h.random.IntN(2) == 0,
+		ReadyIn:     time.Duration(h.random.IntN(3000)) * time.Millisecond,
+		Service:     time.Duration(1+h.random.IntN(2000)) * time.Millisecond,
+		Concurrency: h.random.IntN(4),
+		Running:     h.random.IntN(4),
 	}
 }
 
-func (w *world) offer(target Target) error {
-	w.offered++
-	r := ask(fmt.Sprint(w.offered), fmt.Sprint("caller", w.random.IntN(4)), interactive, 0)
+func (h *harness) offer(target Target) error {
+	h.offered++
+	r := newRequest(fmt.Sprint(h.offered), fmt.Sprint("caller", h.random.IntN(4)), interactive, 0)
 	r.Target = target
-	r.Stream = w.random.IntN(2) == 0
-	if w.random.IntN(3) == 0 {
+	r.Stream = h.random.IntN(2) == 0
+	if h.random.IntN(3) == 0 {
 		r.Class = batch
 	}
-	r.Deadline = w.now.Add(time.Duration(w.random.IntN(10_000)) * time.Millisecond)
-	displaced, refused := w.queue.Offer(w.now, r, steady)
-	w.waiting[r.ID] = r
+	r.Deadline = h.now.Add(time.Duration(h.random.IntN(10_000)) * time.Millisecond)
+	displaced, refused := h.queue.Offer(h.now, r, steady)
+	h.waiting[r.ID] = r
 	if refused != nil {
-		return w.end([]Refusal{*refused}, "offer")
+		return h.recordLeft([]Refusal{*refused}, "offer")
 	}
-	return w.end(displaced, "displaced")
+	return h.recordLeft(displaced, "displaced")
 }
 
-func (w *world) remove() error {
-	if len(w.waiting) > 0 {
-		id := slices.Sorted(maps.Keys(w.waiting))[w.random.IntN(len(w.waiting))]
-		if !w.queue.Remove(id) {
-			return fmt.Errorf("waiting %s was not removed", id)
+func (h *harness) remove() error {
+	if len(h.waiting) > 0 {
+		id := slices.Sorted(maps.Keys(h.waiting))[h.random.IntN(len(h.waiting))]
+		if !h.queue.Remove(id) {
+			return fmt.Errorf("waiting request %s was not removed", id)
 		}
-		w.ended[id] = true
-		delete(w.waiting, id)
+		h.ended[id] = true
+		delete(h.waiting, id)
 	}
-	if w.queue.Remove("none") {
-		return fmt.Errorf("removed a request that does not wait")
+	if h.queue.Remove("none") {
+		return fmt.Errorf("removed a request that was not waiting")
 	}
 	return nil
 }
 
-func (w *world) next(target Target) error {
-	before := w.ofTarget(target)
-	r, refused, ok := w.queue.Next(w.now, target, steady)
-	if err := w.end(refused, "next"); err != nil {
+func (h *harness) next(target Target) error {
+	before := h.waitingFor(target)
+	r, refused, ok := h.queue.Next(h.now, target, steady)
+	if err := h.recordLeft(refused, "next"); err != nil {
 		return err
 	}
 	if ok {
-		if err := w.inOrder(before, refused, r); err != nil {
+		if err := h.checkOrder(before, refused, r); err != nil {
 			return err
 		}
 	}
-	return w.started(r, ok)
+	return h.checkStart(r, ok)
 }
 
-// inOrder checks the choice of Next against a plain search.
-func (w *world) inOrder(before []Request, refused []Refusal, chosen Request) error {
+// checkOrder compares the choice of Next with a linear search.
+func (h *harness) checkOrder(before []Request, refused []Refusal, chosen Request) error {
 	before = slices.DeleteFunc(before, func(r Request) bool {
 		return slices.ContainsFunc(refused, func(f Refusal) bool { return f.ID == r.ID })
 	})
@@ -150,44 +150,44 @@
 	}
 	batchWaits := slices.ContainsFunc(before, func(r Request) bool { return r.Class == batch })
 	if chosen.Class == batch || !batchWaits {
-		w.interactiveRun[chosen.Target] = 0
+		h.interactiveRun[chosen.Target] = 0
 		return nil
 	}
-	w.interactiveRun[chosen.Target]++
-	if w.interactiveRun[chosen.Target] > w.bounds.BatchEvery {
-		return fmt.Errorf("%d interactive starts in a row before a waiting batch request", w.interactiveRun[chosen.Target])
+	h.interactiveRun[chosen.Target]++
+	if h.interactiveRun[chosen.Target] > h.bounds.BatchEvery {
+		return fmt.Errorf("%d interactive starts in a row while a batch request waits", h.interactiveRun[chosen.Target])
 	}
 	return nil
 }
 
-func (w *world) started(r Request, ok bool) error {
+func (h *harness) checkStart(r Request, ok bool) error {
 	if !ok {
 		return nil
 	}
-	if w.now.Add(steady.need(r.Stream)).After(r.Deadline) {
+	if h.now.Add(steady.requiredTime(r.Stream)).After(r.Deadline) {
 		return fmt.Errorf("%s started too late", r.ID)
 	}
-	return w.end([]Refusal{{ID: r.ID, RetryAfter: minRetryAfter}}, "start")
+	return h.recordLeft([]Refusal{{ID: r.ID, RetryAfter: minRetryAfter}}, "start")
 }
 
-// end notes requests that left the queue: each was waiting, and none leaves twice.
-func (w *world) end(refused []Refusal, how string) error {
+// recordLeft records requests that left the queue, and checks that each was waiting and leaves only once.
+func (h *harness) recordLeft(refused []Refusal, how string) error {
 	for _, r := range refused {
-		if _, ok := w.waiting[r.ID]; !ok || w.ended[r.ID] {
-			return fmt.Errorf("%s: %s left the queue but did not wait", how, r.ID)
+		if _, ok := h.waiting[r.ID]; !ok || h.ended[r.ID] {
+			return fmt.Errorf("%s: %s left the queue but was not waiting", how, r.ID)
 		}
 		if r.RetryAfter < minRetryAfter || r.RetryAfter > defaultMaxRetryAfter {
-			return fmt.Errorf("%s: time to come back %v", how, r.RetryAfter)
+			return fmt.Errorf("%s: retry delay %v is out of bounds", how, r.RetryAfter)
 		}
-		w.ended[r.ID] = true
-		delete(w.waiting, r.ID)
+		h.ended[r.ID] = true
+		delete(h.waiting, r.ID)
 	}
 	return nil
 }
 
-func (w *world) ofTarget(target Target) []Request {
+func (h *harness) waitingFor(target Target) []Request {
 	var found []Request
-	for _, r := range w.waiting {
+	for _, r := range h.waiting {
 		if r.Target == target {
 			found = append(found, r)
 		}
@@ -195,55 +195,56 @@
 	return found
 }
 
-// account checks the queue's own numbers and bounds.
-func (w *world) account() error {
-	if w.queue.Len() != len(w.waiting) || w.queue.Len() > w.bounds.MaxWaiting {
-		return fmt.Errorf("%d wait, want %d of at most %d", w.queue.Len(), len(w.waiting), w.bounds.MaxWaiting)
+// checkCounts checks the queue's counts and bounds.
+func (h *harness) checkCounts() error {
+	if h.queue.Len() != len(h.waiting) || h.queue.Len() > h.bounds.MaxWaiting {
+		return fmt.Errorf("%d requests waiting, want %d and at most %d", h.queue.Len(), len(h.waiting), h.bounds.MaxWaiting)
 	}
 	perCaller := map[string]int{}
-	for _, r := range w.waiting {
+	for _, r := range h.waiting {
 		perCaller[r.Caller]++
-		if w.bounds.MaxPerCaller > 0 && perCaller[r.Caller] > w.bounds.MaxPerCaller {
-			return fmt.Errorf("%s has %d waiting", r.Caller, perCaller[r.Caller])
+		if h.bounds.MaxPerCaller > 0 && perCaller[r.Caller] > h.bounds.MaxPerCaller {
+			return fmt.Errorf("caller %s has %d requests waiting", r.Caller, perCaller[r.Caller])
 		}
 	}
 	for _, target := range targets {
-		n := len(w.ofTarget(target))
+		n := len(h.waitingFor(target))
 		if n == 0 {
-			w.interactiveRun[target] = 0
+			h.interactiveRun[target] = 0
 		}
-		if w.queue.Waiting(target) != n || n > w.bounds.MaxPerTarget {
-			return fmt.Errorf("%d wait for %v, want %d of at most %d", w.queue.Waiting(target), target, n, w.bounds.MaxPerTarget)
+		if h.queue.Waiting(target) != n || n > h.bounds.MaxPerTarget {
+			return fmt.Errorf("%d requests waiting for %v, want %d and at most %d", h.queue.Waiting(target), target, n, h.bounds.MaxPerTarget)
 		}
 	}
 	return nil
 }
 
-// A waiting request is served or refused in time and never dropped: whatever the order of offers, starts, cancellations
-// and expiries, each request leaves the queue exactly once, none starts too late, and the bounds and the order hold.
+// A waiting request must be started or refused in time and never be lost: for any sequence of offers, starts,
+// cancellations and expiries, each request leaves the queue exactly once, none starts too late, and the bounds and the
+// order hold.
 func TestQueueNeverDropsARequest(t *testing.T) {
 	forAllSeeds(t, func(seed uint64) error {
-		w := newWorld(seed)
+		h := newHarness(seed)
 		for range propertySteps {
-			if err := cmp.Or(w.step(), w.account()); err != nil {
+			if err := cmp.Or(h.step(), h.checkCounts()); err != nil {
 				return err
 			}
 		}
-		if err := w.end(w.queue.Drain(0), "drain"); err != nil {
+		if err := h.recordLeft(h.queue.Drain(0), "drain"); err != nil {
 			return err
 		}
-		if len(w.waiting) > 0 || len(w.ended) != w.offered {
-			return fmt.Errorf("%d of %d requests never ended", len(w.waiting), w.offered)
+		if len(h.waiting) > 0 || len(h.ended) != h.offered {
+			return fmt.Errorf("%d of %d requests never left the queue", len(h.waiting), h.offered)
 		}
 		return nil
 	})
 }
 
-// The treap must agree with a sorted slice in order, rank and hopeless requests.
-func TestOrderedAgreesWithASortedSlice(t *testing.T) {
+// The treap must agree with a sorted slice on order, rank and the first infeasible waiter.
+func TestTreapAgreesWithASortedSlice(t *testing.T) {
 	forAllSeeds(t, func(seed uint64) error {
 		random := rand.New(rand.NewPCG(seed, 2))
-		set := ordered{random: random}
+		set := treap{random: random}
 		var sorted []*waiter
 		for i := range 60 {
 			if len(sorted) > 0 && random.IntN(3) == 0 {
@@ -257,9 +258,9 @@
 				slices.SortFunc(sorted, byDeadline)
 			}
 			if random.IntN(4) == 0 {
-				set.respace(time.Duration(random.IntN(20)))
+				set.setSpacing(time.Duration(random.IntN(20)))
 			}
-			if err := agree(&set, sorted, time.Duration(random.IntN(100))); err != nil {
+			if err := checkTreap(&set, sorted, time.Duration(random.IntN(100))); err != nil {
 				return err
 			}
 		}
@@ -271,11 +272,11 @@
 	return cmp.Or(cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.sequence, b.sequence))
 }
 
-func agree(set *ordered, sorted []*waiter, now time.Duration) error {
+func checkTreap(set *treap, sorted []*waiter, now time.Duration) error {
 	if set.len() != len(sorted) {
 		return fmt.Errorf("length %d, want %d", set.len(), len(sorted))
 	}
-	var hopeless *waiter
+	var infeasible *waiter
 	for rank, w := range sorted {
 		if got := set.rank(w); got != rank {
 			return fmt.Errorf("rank %d, want %d", got, rank)
@@ -283,15 +284,15 @@
 		if rank > 0 && set.lastBefore(w) != sorted[rank-1] {
 			return fmt.Errorf("wrong waiter before rank %d", rank)
 		}
-		if hopeless == nil && w.deadline-time.Duration(rank)*set.spacing < now {
-			hopeless = w
+		if infeasible == nil && w.deadline-time.Duration(rank)*set.spacing < now {
+			infeasible = w
 		}
 	}
-	if got := set.hopeless(now); got != hopeless {
-		return fmt.Errorf("hopeless %+v, want %+v", got, hopeless)
+	if got := set.firstInfeasible(now); got != infeasible {
+		return fmt.Errorf("first infeasible waiter %+v, want %+v", got, infeasible)
 	}
 	if len(sorted) > 0 && (set.first() != sorted[0] || set.last() != sorted[len(sorted)-1]) {
-		return fmt.Errorf("wrong first or last")
+		return fmt.Errorf("wrong first or last waiter")
 	}
 	return nil
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -11,43 +11,48 @@
 
 const (
 	defaultBatchEvery = 8
-	// hopelessFactor is how much faster than estimated a target would have to serve for a waiting request to be kept: an
-	// estimate that jumps for a moment must not throw out the queue.
-	hopelessFactor = 2
+	// infeasibleFactor is how many times faster than estimated a target may turn out to be: a waiting request is
+	// refused because of its position only if it would be late even then. This keeps a brief jump of the estimate from
+	// emptying the queue.
+	infeasibleFactor = 2
 )
 
-// The details of refusals.
+// Details of refusals.
 const (
 	detailDuplicate   = "another request with this identifier waits"
-	detailCallerBound = "the caller has too many waiting requests"
+	detailCallerLimit = "the caller has too many waiting requests"
 	detailFull        = "the queue is full"
 	detailDisplaced   = "made room for another caller or class"
-	detailHopeless    = "cannot start before the deadline"
+	detailCannotStart = "cannot start before the deadline"
 )
 
 // Queue holds the requests that wait at one endpoint. It is not safe for concurrent use.
 //
-// Within a target and class the request that must start earliest goes first; for requests of one kind that is the
-// earliest deadline first. Interactive requests go before batch, but for a bounded share that keeps batch moving. Offer,
-// Next and Remove take O(log n) of the waiting requests; NextAny and Expire go over the targets for which any wait.
+// The due time of a request is the latest time at which it can start and still meet its deadline. Within a target and
+// class the request with the earliest due time goes first; among requests with the same deadline type this is earliest
+// deadline first. Interactive requests go before batch requests, except for a fixed share of starts that prevents
+// starvation of batch. Offer, Next and Remove take O(log n) in the number of waiting requests; NextAny and Expire
+// iterate over all targets with waiting requests.
 type Queue struct {
 	options  Options
 	random   *rand.Rand
 	epoch    time.Time
 	sequence uint64
 	waiting  map[string]*waiter
-	lines    map[Target]*line
-	// inOrder holds the lines in a fixed order: that of a map would make the queue's answers differ from run to run.
-	inOrder []*line
-	pools   map[poolKey]*pool
-	callers map[string]int
-	// latest is the last time that a call told.
-	latest time.Time
-	// due ranks the lanes by the time at which their first request must start, and full those of each class by length.
-	due             ranking[dueLane]
-	fullInteractive ranking[fullLane]
-	fullBatch       ranking[fullLane]
-	// sinceBatch is for NextAny what a line's own count is for Next.
+	targets  map[Target]*targetQueue
+	// targetList holds the target queues in a fixed order, because the order of map iteration would make decisions
+	// nondeterministic.
+	targetList []*targetQueue
+	pools      map[poolKey]*pool
+	callers    map[string]int
+	// lastCall is the time passed to the latest call that had one.
+	lastCall time.Time
+	// byDue orders the non-empty lanes by due time; interactiveByLength and batchByLength order those of each class by
+	// length.
+	byDue               indexedHeap[laneByDue]
+	interactiveByLength indexedHeap[laneByLength]
+	batchByLength       indexedHeap[laneByLength]
+	// sinceBatch is the counterpart of targetQueue.sinceBatch for NextAny.
 	sinceBatch int
 }
 
@@ -59,173 +64,175 @@
 		options: options,
 		random:  rand.New(rand.NewPCG(options.Seed, 0)),
 		waiting: make(map[string]*waiter),
-		lines:   make(map[Target]*line),
+		targets: make(map[Target]*targetQueue),
 		pools:   make(map[poolKey]*pool),
 		callers: make(map[string]int),
 	}
-	q.due.before = func(a, b dueLane) bool { return a.dueAt() < b.dueAt() }
-	q.fullInteractive.before = func(a, b fullLane) bool { return a.len() > b.len() }
-	q.fullBatch.before = q.fullInteractive.before
+	q.byDue.before = func(a, b laneByDue) bool { return a.dueAt() < b.dueAt() }
+	q.interactiveByLength.before = func(a, b laneByLength) bool { return a.len() > b.len() }
+	q.batchByLength.before = q.interactiveByLength.before
 	return q
 }
 
-// Offer takes a request into the queue or refuses it. A displaced request made room for it and did not run. The
-// identifier must be unique among the waiting requests.
+// Offer adds a request to the queue or refuses it. Displaced requests were removed to make room for it and have not
+// been executed. The ID must be unique among the waiting requests.
 func (q *Queue) Offer(now time.Time, r Request, e Estimate) (displaced []Refusal, refused *Refusal) {
 	if q.epoch.IsZero() {
 		q.epoch = now
 	}
-	q.latest = now
-	l := q.lineOf(r.Target)
-	q.tell(l, e)
-	w := q.waiterFor(r)
-	victim, reason, detail := q.judge(now, l, w, e)
+	q.lastCall = now
+	tq := q.targetQueueFor(r.Target)
+	q.updateEstimate(tq, e)
+	w := q.newWaiter(r)
+	victim, reason, detail := q.admit(now, tq, w, e)
 	if detail != "" {
-		refusal := q.refuse(now, w, l, e, reason, detail)
-		q.forget(l, now)
+		refusal := q.refuse(now, w, tq, e, reason, detail)
+		q.dropIdle(tq, now)
 		return nil, &refusal
 	}
 	if victim != nil {
 		q.remove(victim)
-		displaced = append(displaced, q.refuse(now, victim, victim.lane.line, e, wirepb.RefusalReason_QUEUE_FULL, detailDisplaced))
+		displaced = append(displaced, q.refuse(now, victim, victim.lane.queue, e, wirepb.RefusalReason_QUEUE_FULL, detailDisplaced))
 	}
-	q.insert(l.lane(r), w)
+	q.insert(tq.lane(r), w)
 	return displaced, nil
 }
 
-// judge finds whether a new request may wait: alone, in the place of a victim, or, with a reason and detail, not.
-func (q *Queue) judge(now time.Time, l *line, w *waiter, e Estimate) (*waiter, wirepb.RefusalReason, string) {
+// admit decides whether a new request may be queued: without further action, in place of a victim, or not at all, which
+// is returned as a reason and a detail.
+func (q *Queue) admit(now time.Time, tq *targetQueue, w *waiter, e Estimate) (*waiter, wirepb.RefusalReason, string) {
 	r := w.request
 	if q.waiting[r.ID] != nil {
 		return nil, wirepb.RefusalReason_CANCELLED, detailDuplicate
 	}
 	if q.options.MaxPerCaller > 0 && q.callers[r.Caller] >= q.options.MaxPerCaller {
-		return nil, wirepb.RefusalReason_QUEUE_FULL, detailCallerBound
+		return nil, wirepb.RefusalReason_QUEUE_FULL, detailCallerLimit
 	}
-	victim, ok := q.makeRoom(l, w)
+	victim, ok := q.chooseVictim(tq, w)
 	if !ok {
 		return nil, wirepb.RefusalReason_QUEUE_FULL, detailFull
 	}
-	victim, ok = q.inTime(now, l, w, e, victim)
+	victim, ok = q.checkDeadline(now, tq, w, e, victim)
 	if !ok {
-		return nil, wirepb.RefusalReason_DEADLINE, detailHopeless
+		return nil, wirepb.RefusalReason_DEADLINE, detailCannotStart
 	}
 	return victim, 0, ""
 }
 
-// makeRoom finds the request that a new one displaces when a bound is reached, nil when none is, or false when it may
-// displace nobody: interactive requests displace batch ones, and callers with few those with many.
-func (q *Queue) makeRoom(l *line, w *waiter) (*waiter, bool) {
+// chooseVictim returns the request that a new one displaces when a bound is reached, nil when no bound is reached, or
+// false when no request may be displaced. Interactive requests displace batch requests, and callers with few waiting
+// requests displace those of callers with many.
+func (q *Queue) chooseVictim(tq *targetQueue, w *waiter) (*waiter, bool) {
 	isBatch := w.request.Class == wirepb.Class_BATCH
-	same, batch := l, l
+	sameClass, batch := tq, tq
 	switch {
-	case q.options.MaxPerTarget > 0 && l.len() >= q.options.MaxPerTarget:
+	case q.options.MaxPerTarget > 0 && tq.len() >= q.options.MaxPerTarget:
 	case q.options.MaxWaiting > 0 && len(q.waiting) >= q.options.MaxWaiting:
-		same, batch = q.fullest(isBatch), q.fullest(true)
+		sameClass, batch = q.longest(isBatch), q.longest(true)
 	default:
 		return nil, true
 	}
 	if !isBatch && batch != nil {
-		if s, _ := batch.largest(true); s != nil {
-			return s.order.last(), true
+		if s, _ := batch.largestShare(true); s != nil {
+			return s.waiters.last(), true
 		}
 	}
-	if same == nil {
+	if sameClass == nil {
 		return nil, false
 	}
-	s, _ := same.heaviest(w.request.Caller, isBatch)
+	s, _ := sameClass.displaceableShare(w.request.Caller, isBatch)
 	if s == nil {
 		return nil, false
 	}
-	return s.order.last(), true
+	return s.waiters.last(), true
 }
 
-// inTime checks that the requests ahead leave a new one enough time, given the victim that is already chosen. A caller
-// who fills the queue up to what can be served in time would keep all others out; so where one request ahead belongs to a
-// caller with a larger share, that one is the victim.
-func (q *Queue) inTime(now time.Time, l *line, w *waiter, e Estimate, victim *waiter) (*waiter, bool) {
-	in := l.lane(w.request)
-	ahead := l.ahead(w, in, q.options.BatchEvery)
-	if victim != nil && victim.lane == in && victim.before(w) {
+// checkDeadline checks that the requests ahead leave a new one enough time, given the victim that is already chosen. A
+// caller that queues as many requests as can be served in time would shut out all others, so if removing one request
+// ahead suffices and a caller with a larger share has one, that request becomes the victim.
+func (q *Queue) checkDeadline(now time.Time, tq *targetQueue, w *waiter, e Estimate, victim *waiter) (*waiter, bool) {
+	ln := tq.lane(w.request)
+	ahead := tq.ahead(w, ln, q.options.BatchEvery)
+	if victim != nil && victim.lane == ln && victim.before(w) {
 		ahead--
 	}
-	if e.promises(now, w.request, ahead) {
+	if e.canAccept(now, w.request, ahead) {
 		return victim, true
 	}
-	if victim != nil || !e.promises(now, w.request, ahead-1) {
+	if victim != nil || !e.canAccept(now, w.request, ahead-1) {
 		return nil, false
 	}
-	s, of := l.heaviest(w.request.Caller, in.batch)
+	s, from := tq.displaceableShare(w.request.Caller, ln.batch)
 	if s == nil {
 		return nil, false
 	}
-	victim = s.order.lastBefore(of.like(w, in))
+	victim = s.waiters.lastBefore(from.equivalent(w, ln))
 	return victim, victim != nil
 }
 
-// Next takes out the request of a target that should start now, and refuses those before it that cannot make their
-// deadline any more. The last result is false when none waits.
+// Next removes and returns the request of a target that should start now. It refuses those ahead of it that can no
+// longer meet their deadline. The last result is false when no request is left.
 func (q *Queue) Next(now time.Time, target Target, e Estimate) (Request, []Refusal, bool) {
-	l := q.lines[target]
-	if l == nil {
+	tq := q.targets[target]
+	if tq == nil {
 		return Request{}, nil, false
 	}
-	defer q.forget(l, now)
-	q.latest = now
-	q.tell(l, e)
+	defer q.dropIdle(tq, now)
+	q.lastCall = now
+	q.updateEstimate(tq, e)
 	var refusals []Refusal
 	for {
-		from := l.turn(q.options.BatchEvery)
+		from := tq.nextLane(q.options.BatchEvery)
 		if from == nil {
 			return Request{}, refusals, false
 		}
-		w := from.order.first()
+		w := from.waiters.first()
 		q.remove(w)
-		if e.makes(now, w.request, 0) {
-			l.started(from)
+		if e.meetsDeadline(now, w.request, 0) {
+			tq.recordStart(from)
 			return w.request, refusals, true
 		}
-		refusals = append(refusals, q.refuse(now, w, l, e, wirepb.RefusalReason_DEADLINE, detailHopeless))
+		refusals = append(refusals, q.refuse(now, w, tq, e, wirepb.RefusalReason_DEADLINE, detailCannotStart))
 	}
 }
 
-// NextAny is Next over all targets for which ready returns an estimate and true: the interactive request that must start
-// earliest, or after a run of them the batch request.
+// NextAny is Next over all targets for which ready returns an estimate and true. It picks the interactive request with
+// the earliest due time, or the batch request if BatchEvery interactive requests have started in a row.
 func (q *Queue) NextAny(now time.Time, ready func(Target) (Estimate, bool)) (Request, []Refusal, bool) {
-	q.latest = now
+	q.lastCall = now
 	var refusals []Refusal
 	for {
-		from, e := q.turnAny(ready)
+		from, e := q.nextLaneAny(ready)
 		if from == nil {
 			return Request{}, refusals, false
 		}
-		w := from.order.first()
+		w := from.waiters.first()
 		q.remove(w)
-		q.forget(from.line, now)
-		if e.makes(now, w.request, 0) {
-			q.countStart(from)
+		q.dropIdle(from.queue, now)
+		if e.meetsDeadline(now, w.request, 0) {
+			q.recordStart(from)
 			return w.request, refusals, true
 		}
-		refusals = append(refusals, q.refuse(now, w, from.line, e, wirepb.RefusalReason_DEADLINE, detailHopeless))
+		refusals = append(refusals, q.refuse(now, w, from.queue, e, wirepb.RefusalReason_DEADLINE, detailCannotStart))
 	}
 }
 
-// turnAny returns the lane whose first request starts next, or nil.
-func (q *Queue) turnAny(ready func(Target) (Estimate, bool)) (*lane, Estimate) {
+// nextLaneAny returns the lane whose first request starts next over all targets, or nil.
+func (q *Queue) nextLaneAny(ready func(Target) (Estimate, bool)) (*lane, Estimate) {
 	var first [2]*lane
 	var estimates [2]Estimate
-	for _, l := range q.inOrder {
-		if l.len() == 0 {
+	for _, tq := range q.targetList {
+		if tq.len() == 0 {
 			continue
 		}
-		e, ok := ready(l.target)
+		e, ok := ready(tq.target)
 		if !ok {
-			l.ready = false
+			tq.ready = false
 			continue
 		}
-		q.tell(l, e)
+		q.updateEstimate(tq, e)
 		for i, batch := range []bool{false, true} {
-			if from := l.first(batch); from != nil && (first[i] == nil || from.goesBefore(first[i])) {
+			if from := tq.firstLane(batch); from != nil && (first[i] == nil || from.startsBefore(first[i])) {
 				first[i], estimates[i] = from, e
 			}
 		}
@@ -236,15 +243,15 @@
 	return first[0], estimates[0]
 }
 
-func (q *Queue) countStart(from *lane) {
-	if from.batch || q.fullest(true) == nil {
+func (q *Queue) recordStart(from *lane) {
+	if from.batch || q.longest(true) == nil {
 		q.sinceBatch = 0
 		return
 	}
 	q.sinceBatch++
 }
 
-// Remove takes a request out, for example when its caller went away, and reports whether it waited.
+// Remove removes a request, for example because its caller disconnected, and reports whether it was waiting.
 func (q *Queue) Remove(id string) bool {
 	w := q.waiting[id]
 	if w == nil {
@@ -254,54 +261,54 @@
 	return true
 }
 
-// Wake returns the time at which Expire is next needed, the zero time when nothing waits. Expire is needed as well when
-// an estimate grows, for example because a load takes longer.
+// Wake returns the time at which Expire must be called next, or the zero time when no request waits. Expire must also
+// be called when an estimate grows, for example because a load takes longer.
 func (q *Queue) Wake() time.Time {
-	l, ok := q.due.top()
+	first, ok := q.byDue.peek()
 	if !ok {
 		return time.Time{}
 	}
-	// A start at the due time itself is still in time.
-	return q.epoch.Add(l.dueAt() + 1)
+	// A request that starts exactly at its due time is still in time.
+	return q.epoch.Add(first.dueAt() + 1)
 }
 
-// Waiting returns how many requests of a target wait.
+// Waiting returns how many requests of a target are waiting.
 func (q *Queue) Waiting(target Target) int {
-	l := q.lines[target]
-	if l == nil {
+	tq := q.targets[target]
+	if tq == nil {
 		return 0
 	}
-	return l.len()
+	return tq.len()
 }
 
-// Len returns how many requests wait.
+// Len returns how many requests are waiting.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Targets returns the targets for which requests wait, the one with the earliest request first.
+// Targets returns the targets with waiting requests, ordered by their earliest due time.
 func (q *Queue) Targets() []Target {
-	var waiting []*line
-	for _, l := range q.inOrder {
-		if l.len() > 0 {
-			waiting = append(waiting, l)
+	var waiting []*targetQueue
+	for _, tq := range q.targetList {
+		if tq.len() > 0 {
+			waiting = append(waiting, tq)
 		}
 	}
-	slices.SortStableFunc(waiting, func(a, b *line) int { return cmp.Compare(a.earliest(), b.earliest()) })
+	slices.SortStableFunc(waiting, func(a, b *targetQueue) int { return cmp.Compare(a.earliestDue(), b.earliestDue()) })
 	targets := make([]Target, len(waiting))
-	for i, l := range waiting {
-		targets[i] = l.target
+	for i, tq := range waiting {
+		targets[i] = tq.target
 	}
 	return targets
 }
 
-// Wait returns how long a new request would wait behind all those that wait now, for load reports.
+// Wait returns how long a new request would wait behind all those waiting now. It is used for load reports.
 func (q *Queue) Wait(target Target, class wirepb.Class, e Estimate) time.Duration {
-	l := q.lines[target]
-	if l == nil {
-		return e.delay(0)
+	tq := q.targets[target]
+	if tq == nil {
+		return e.startDelay(0)
 	}
-	last := &waiter{deadline: endOfTime}
-	return e.delay(l.ahead(last, l.lane(Request{Class: class}), q.options.BatchEvery))
+	last := &waiter{deadline: maxDeadline}
+	return e.startDelay(tq.ahead(last, tq.lane(Request{Class: class}), q.options.BatchEvery))
 }
 
-// endOfTime lies behind all deadlines, far enough from overflow.
-const endOfTime = time.Duration(1 << 62)
+// maxDeadline is later than all deadlines and leaves enough room to avoid overflow.
+const maxDeadline = time.Duration(1 << 62)
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -20,12 +20,12 @@
 	batch       = wirepb.Class_BATCH
 )
 
-// ask makes a request whose deadline lies the given time after start.
-func ask(id, caller string, class wirepb.Class, left time.Duration) Request {
+// newRequest returns a request whose deadline is the given time after start.
+func newRequest(id, caller string, class wirepb.Class, left time.Duration) Request {
 	return Request{ID: id, Target: target, Class: class, Caller: caller, Arrived: start, Deadline: start.Add(left)}
 }
 
-// drainInOrder takes out all that can start, one a second, and returns the identifiers in order.
+// drainInOrder calls Next until no request is left and returns the IDs in order.
 func drainInOrder(q *Queue) []string {
 	var ids []string
 	for {
@@ -44,17 +44,17 @@
 		want   []string
 	}{
 		{"earliest deadline first", []Request{
-			ask("late", "a", interactive, time.Minute), ask("early", "b", interactive, 10*time.Second),
+			newRequest("late", "a", interactive, time.Minute), newRequest("early", "b", interactive, 10*time.Second),
 		}, []string{"early", "late"}},
 		{"order of arrival among equals", []Request{
-			ask("1", "a", interactive, time.Minute), ask("2", "a", interactive, time.Minute),
+			newRequest("1", "a", interactive, time.Minute), newRequest("2", "a", interactive, time.Minute),
 		}, []string{"1", "2"}},
 		{"interactive before batch whatever the deadline", []Request{
-			ask("audit", "a", batch, 20*time.Second), ask("kerb", "b", interactive, time.Minute),
-		}, []string{"kerb", "audit"}},
+			newRequest("audit", "a", batch, 20*time.Second), newRequest("chat", "b", interactive, time.Minute),
+		}, []string{"chat", "audit"}},
 		{"batch after a run of two", []Request{
-			ask("audit", "a", batch, time.Minute), ask("1", "b", interactive, time.Minute),
-			ask("2", "b", interactive, time.Minute), ask("3", "b", interactive, time.Minute),
+			newRequest("audit", "a", batch, time.Minute), newRequest("1", "b", interactive, time.Minute),
+			newRequest("2", "b", interactive, time.Minute), newRequest("3", "b", interactive, time.Minute),
 		}, []string{"1", "2", "audit", "3"}},
 	}
 	for _, c := range cases {
@@ -72,8 +72,9 @@
 	}
 }
 
-// A caller sends far more requests than the endpoint can serve; another sends one now and then. Without fair shares the
-// first caller's requests hold all places, or all the time up to the deadline, and the second is always refused.
+// One caller sends far more requests than the endpoint can serve, another sends few. Without fair shares the first
+// caller's requests take up the whole queue, or all the time before the deadline, and the second caller is always
+// refused.
 func TestOfferKeepsPlacesForOthers(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -83,36 +84,36 @@
 		refused  wirepb.RefusalReason
 		displace string
 	}{
-		{"room left", Options{MaxWaiting: 4}, []Request{ask("1", "a", interactive, time.Minute)},
-			ask("x", "a", interactive, time.Minute), 0, ""},
-		{"full of one caller", Options{MaxWaiting: 2},
-			[]Request{ask("1", "flood", interactive, time.Minute), ask("2", "flood", interactive, time.Minute)},
-			ask("x", "b", interactive, time.Minute), 0, "2"},
-		{"full and the caller itself is the heaviest", Options{MaxWaiting: 2},
-			[]Request{ask("1", "a", interactive, time.Minute), ask("2", "a", interactive, time.Minute)},
-			ask("x", "a", interactive, time.Minute), wirepb.RefusalReason_QUEUE_FULL, ""},
-		{"full of equal callers", Options{MaxWaiting: 2},
-			[]Request{ask("1", "a", interactive, time.Minute), ask("2", "b", interactive, time.Minute)},
-			ask("x", "c", interactive, time.Minute), wirepb.RefusalReason_QUEUE_FULL, ""},
+		{"room left", Options{MaxWaiting: 4}, []Request{newRequest("1", "a", interactive, time.Minute)},
+			newRequest("x", "a", interactive, time.Minute), 0, ""},
+		{"full of one caller's requests", Options{MaxWaiting: 2},
+			[]Request{newRequest("1", "flood", interactive, time.Minute), newRequest("2", "flood", interactive, time.Minute)},
+			newRequest("x", "b", interactive, time.Minute), 0, "2"},
+		{"full and the caller itself has the largest share", Options{MaxWaiting: 2},
+			[]Request{newRequest("1", "a", interactive, time.Minute), newRequest("2", "a", interactive, time.Minute)},
+			newRequest("x", "a", interactive, time.Minute), wirepb.RefusalReason_QUEUE_FULL, ""},
+		{"full with equal shares", Options{MaxWaiting: 2},
+			[]Request{newRequest("1", "a", interactive, time.Minute), newRequest("2", "b", interactive, time.Minute)},
+			newRequest("x", "c", interactive, time.Minute), wirepb.RefusalReason_QUEUE_FULL, ""},
 		{"interactive displaces batch", Options{MaxPerTarget: 2},
-			[]Request{ask("1", "a", batch, time.Minute), ask("2", "a", interactive, time.Minute)},
-			ask("x", "b", interactive, time.Minute), 0, "1"},
+			[]Request{newRequest("1", "a", batch, time.Minute), newRequest("2", "a", interactive, time.Minute)},
+			newRequest("x", "b", interactive, time.Minute), 0, "1"},
 		{"batch does not displace interactive", Options{MaxPerTarget: 1},
-			[]Request{ask("1", "a", interactive, time.Minute)},
-			ask("x", "b", batch, time.Minute), wirepb.RefusalReason_QUEUE_FULL, ""},
-		{"bound of one caller", Options{MaxWaiting: 9, MaxPerCaller: 1},
-			[]Request{ask("1", "a", interactive, time.Minute)},
-			ask("x", "a", interactive, time.Minute), wirepb.RefusalReason_QUEUE_FULL, ""},
-		{"no time behind a heavy caller", Options{MaxWaiting: 9},
-			[]Request{ask("1", "flood", interactive, 2500*time.Millisecond), ask("2", "flood", interactive, 2500*time.Millisecond)},
-			ask("x", "b", interactive, 2500*time.Millisecond), 0, "2"},
-		{"no time behind equal callers", Options{MaxWaiting: 9},
-			[]Request{ask("1", "a", interactive, time.Second)},
-			ask("x", "b", interactive, time.Second), wirepb.RefusalReason_DEADLINE, ""},
-		{"no time at all", Options{MaxWaiting: 9}, nil,
-			ask("x", "a", interactive, time.Second-1), wirepb.RefusalReason_DEADLINE, ""},
-		{"identifier in use", Options{MaxWaiting: 9}, []Request{ask("x", "a", interactive, time.Minute)},
-			ask("x", "a", interactive, time.Minute), wirepb.RefusalReason_CANCELLED, ""},
+			[]Request{newRequest("1", "a", interactive, time.Minute)},
+			newRequest("x", "b", batch, time.Minute), wirepb.RefusalReason_QUEUE_FULL, ""},
+		{"caller at its bound", Options{MaxWaiting: 9, MaxPerCaller: 1},
+			[]Request{newRequest("1", "a", interactive, time.Minute)},
+			newRequest("x", "a", interactive, time.Minute), wirepb.RefusalReason_QUEUE_FULL, ""},
+		{"too late behind a caller with a larger share", Options{MaxWaiting: 9},
+			[]Request{newRequest("1", "flood", interactive, 2500*time.Millisecond), newRequest("2", "flood", interactive, 2500*time.Millisecond)},
+			newRequest("x", "b", interactive, 2500*time.Millisecond), 0, "2"},
+		{"too late behind a caller with an equal share", Options{MaxWaiting: 9},
+			[]Request{newRequest("1", "a", interactive, time.Second)},
+			newRequest("x", "b", interactive, time.Second), wirepb.RefusalReason_DEADLINE, ""},
+		{"deadline shorter than the service time", Options{MaxWaiting: 9}, nil,
+			newRequest("x", "a", interactive, time.Second-1), wirepb.RefusalReason_DEADLINE, ""},
+		{"identifier in use", Options{MaxWaiting: 9}, []Request{newRequest("x", "a", interactive, time.Minute)},
+			newRequest("x", "a", interactive, time.Minute), wirepb.RefusalReason_CANCELLED, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -137,12 +138,12 @@
 	case refused != nil && refused.Reason != want:
 		t.Errorf("refused with %v, want %v", refused.Reason, want)
 	case refused != nil && refused.RetryAfter < minRetryAfter:
-		t.Errorf("refused without a time to come back: %v", refused.RetryAfter)
+		t.Errorf("refused with a retry delay of %v, below the minimum", refused.RetryAfter)
 	}
 }
 
-// A narration waits for a model that is being woken. The load takes longer than expected, past the last moment at which
-// the narration could start; the inspector must hear so at that moment, not at the deadline and not never.
+// A request waits for a model that is being loaded, and the load takes longer than expected. As soon as the due time of
+// the request has passed it must be refused, not only at its deadline.
 func TestExpireRefusesAtOnceWhatCannotStartInTime(t *testing.T) {
 	cold := Estimate{ReadyIn: 2 * time.Second, Service: time.Second, Concurrency: 4}
 	cases := []struct {
@@ -152,16 +153,16 @@
 		want     []string
 	}{
 		{"still in time", 5 * time.Second, Estimate{Ready: true, Service: time.Second}, nil},
-		{"the last moment to start has passed", 7*time.Second + 1, cold, []string{"1", "2"}},
+		{"due time has passed", 7*time.Second + 1, cold, []string{"1", "2"}},
 		{"load takes too long", time.Second, Estimate{ReadyIn: 9 * time.Second, Service: time.Second}, []string{"1", "2"}},
-		{"place in the queue leaves no hope", 0, Estimate{Ready: true, Service: 10 * time.Second, Whole: time.Second, Running: 1}, []string{"2"}},
-		{"due later than was thought", 9*time.Second + 1, Estimate{Ready: true, Service: time.Millisecond}, nil},
+		{"too far back in the queue", 0, Estimate{Ready: true, Service: 10 * time.Second, Whole: time.Second, Running: 1}, []string{"2"}},
+		{"due time became later", 9*time.Second + 1, Estimate{Ready: true, Service: time.Millisecond}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			q := NewQueue(Options{MaxWaiting: 10})
-			q.Offer(start, ask("1", "a", interactive, 10*time.Second), cold)
-			q.Offer(start, ask("2", "b", interactive, 10*time.Second), cold)
+			q.Offer(start, newRequest("1", "a", interactive, 10*time.Second), cold)
+			q.Offer(start, newRequest("2", "b", interactive, 10*time.Second), cold)
 			var got []string
 			for _, r := range q.Expire(start.Add(c.at), func(Target) Estimate { return c.estimate }) {
 				got = append(got, r.ID)
@@ -170,7 +171,7 @@
 				t.Errorf("expired %v, want %v", got, c.want)
 			}
 			if q.Len() != 2-len(c.want) {
-				t.Errorf("%d wait, want %d", q.Len(), 2-len(c.want))
+				t.Errorf("%d requests waiting, want %d", q.Len(), 2-len(c.want))
 			}
 		})
 	}
@@ -179,9 +180,9 @@
 func TestWakeIsTheFirstMomentAtWhichExpireRefuses(t *testing.T) {
 	q := NewQueue(Options{MaxWaiting: 10})
 	if !q.Wake().IsZero() {
-		t.Fatal("an empty queue wants to be woken")
+		t.Fatal("Wake of an empty queue is not the zero time")
 	}
-	q.Offer(start, ask("1", "a", interactive, 10*time.Second), steady)
+	q.Offer(start, newRequest("1", "a", interactive, 10*time.Second), steady)
 	estimate := func(Target) Estimate { return steady }
 	if early := q.Expire(q.Wake().Add(-1), estimate); len(early) > 0 {
 		t.Errorf("refused before Wake: %+v", early)
@@ -193,9 +194,9 @@
 
 func TestWakeFollowsTheEstimates(t *testing.T) {
 	q := NewQueue(Options{MaxWaiting: 10})
-	slower := ask("slower", "a", interactive, 11*time.Second)
+	slower := newRequest("slower", "a", interactive, 11*time.Second)
 	slower.Target = Target{Service: "ledger"}
-	q.Offer(start, ask("1", "a", interactive, 10*time.Second), steady)
+	q.Offer(start, newRequest("1", "a", interactive, 10*time.Second), steady)
 	q.Offer(start, slower, steady)
 	q.Expire(start, func(t Target) Estimate {
 		e := steady
@@ -205,17 +206,18 @@
 		return e
 	})
 	if want := start.Add(6*time.Second + 1); !q.Wake().Equal(want) {
-		t.Errorf("wakes at %v, want %v", q.Wake(), want)
+		t.Errorf("Wake is %v, want %v", q.Wake(), want)
 	}
 }
 
-// Requests for the adapters of one model run in one replica. If each adapter's line were judged alone, twenty of them
-// would each promise the whole replica, and most of the accepted requests would be refused later.
+// Requests for all adapters of a model run on one replica. If each adapter's queue were judged alone, each of twenty
+// queues would be planned with the capacity of the whole replica, and most of the accepted requests would be refused
+// later.
 func TestOfferCountsAllAdaptersOfTheReplica(t *testing.T) {
 	q := NewQueue(Options{MaxWaiting: 100})
 	accepted := 0
 	for i := range 20 {
-		r := ask(fmt.Sprint(i), fmt.Sprint("caller", i), interactive, 5*time.Second)
+		r := newRequest(fmt.Sprint(i), fmt.Sprint("caller", i), interactive, 5*time.Second)
 		r.Target.Adapter = fmt.Sprint("adapter", i)
 		if _, refused := q.Offer(start, r, steady); refused == nil {
 			accepted++
@@ -224,7 +226,7 @@
 	if accepted != 4 {
 		t.Errorf("accepted %d requests of 1 s each within 5 s, want 4", accepted)
 	}
-	cold := ask("cold", "a", interactive, 20*time.Second)
+	cold := newRequest("cold", "a", interactive, 20*time.Second)
 	cold.Target.Model = "other@1"
 	if _, refused := q.Offer(start, cold, steady); refused != nil {
 		t.Errorf("another model's request was refused: %+v", refused)
@@ -240,30 +242,30 @@
 
 func allReady(Target) (Estimate, bool) { return steady, true }
 
-// An endpoint at five times its capacity refuses four of five requests. If all of them were told the same time they would
-// come back together; the check is that no half second gets more of them than the target serves in it, with some slack
-// for the jitter.
+// An endpoint at five times its capacity refuses four of five requests. With equal retry delays they would all return
+// at the same moment. No half second may get more retries than the target can serve in that time, with some slack for
+// the jitter.
 func TestRefusalsSpreadTheReturn(t *testing.T) {
 	quick := Estimate{Ready: true, Service: 100 * time.Millisecond, Concurrency: 2}
 	q := NewQueue(Options{MaxWaiting: 1, Seed: 7})
-	q.Offer(start, ask("first", "a", interactive, time.Minute), quick)
+	q.Offer(start, newRequest("first", "a", interactive, time.Minute), quick)
 	returning := map[time.Duration]int{}
 	for i := range 400 {
-		_, refused := q.Offer(start, ask(fmt.Sprint(i), "a", interactive, time.Minute), quick)
+		_, refused := q.Offer(start, newRequest(fmt.Sprint(i), "a", interactive, time.Minute), quick)
 		returning[refused.RetryAfter.Truncate(time.Second/2)]++
 	}
 	for at, n := range returning {
 		if n > 18 {
-			t.Errorf("%d requests come back within 0.5 s from %v, capacity is 10", n, at)
+			t.Errorf("%d retries within 0.5 s from %v, capacity is 10", n, at)
 		}
 	}
 }
 
 func TestDrainTargetsRefusesOnlyThose(t *testing.T) {
 	q := NewQueue(Options{MaxWaiting: 10})
-	other := ask("other", "a", batch, time.Minute)
+	other := newRequest("other", "a", batch, time.Minute)
 	other.Target = Target{Service: "ledger"}
-	q.Offer(start, ask("1", "a", interactive, time.Minute), steady)
+	q.Offer(start, newRequest("1", "a", interactive, time.Minute), steady)
 	q.Offer(start, other, steady)
 	refused := q.DrainTargets(func(t Target) bool { return t == target }, wirepb.RefusalReason_LOAD_FAILED, time.Second, "")
 	if len(refused) != 1 || refused[0].ID != "1" || refused[0].RetryAfter < time.Second {
@@ -274,17 +276,17 @@
 	}
 }
 
-func TestLinesOfPastTargetsAreForgotten(t *testing.T) {
+func TestIdleTargetQueuesAreDropped(t *testing.T) {
 	q := NewQueue(Options{MaxWaiting: 10})
-	for i := range 10 * keptLines {
-		r := ask(fmt.Sprint(i), "a", interactive, time.Minute)
+	for i := range 10 * maxIdleTargets {
+		r := newRequest(fmt.Sprint(i), "a", interactive, time.Minute)
 		r.Target.Adapter = fmt.Sprint(i)
 		q.Offer(start, r, steady)
 		if got, _, ok := q.Next(start, r.Target, steady); !ok || got.ID != r.ID {
 			t.Fatalf("request %d did not start", i)
 		}
 	}
-	if n := len(q.lines); n > keptLines || n != len(q.inOrder) || n != len(q.pools[target.pool()].lines) {
-		t.Errorf("%d lines kept, %d in order", n, len(q.inOrder))
+	if n := len(q.targets); n > maxIdleTargets || n != len(q.targetList) || n != len(q.pools[target.pool()].queues) {
+		t.Errorf("%d target queues kept, %d in the list", n, len(q.targetList))
 	}
 }
--- a/internal/admission/ranking.go
+++ b/internal/admission/ranking.go
@@ -2,67 +2,68 @@
 
 import "container/heap"
 
-// ranked is an element of a ranking; place is where it keeps its index.
-type ranked interface{ place() *int }
+// heapItem is an element of an indexedHeap; heapIndex points to the field that holds its index.
+type heapItem interface{ heapIndex() *int }
 
-// notRanked is the index of an element that is in no ranking.
-const notRanked = -1
+// notInHeap is the index of an element that is in no heap.
+const notInHeap = -1
 
-// ranking keeps the element that goes before all others at hand: a heap whose elements know their index.
-type ranking[T ranked] struct {
-	elements []T
-	before   func(a, b T) bool
+// indexedHeap is a priority queue whose elements store their own index, so that they can be updated and removed in
+// O(log n).
+type indexedHeap[T heapItem] struct {
+	items  []T
+	before func(a, b T) bool
 }
 
 // Len implements heap.Interface.
-func (r *ranking[T]) Len() int { return len(r.elements) }
+func (h *indexedHeap[T]) Len() int { return len(h.items) }
 
 // Less implements heap.Interface.
-func (r *ranking[T]) Less(i, j int) bool { return r.before(r.elements[i], r.elements[j]) }
+func (h *indexedHeap[T]) Less(i, j int) bool { return h.before(h.items[i], h.items[j]) }
 
 // Swap implements heap.Interface.
-func (r *ranking[T]) Swap(i, j int) {
-	r.elements[i], r.elements[j] = r.elements[j], r.elements[i]
-	*r.elements[i].place() = i
-	*r.elements[j].place() = j
+func (h *indexedHeap[T]) Swap(i, j int) {
+	h.items[i], h.items[j] = h.items[j], h.items[i]
+	*h.items[i].heapIndex() = i
+	*h.items[j].heapIndex() = j
 }
 
 // Push implements heap.Interface.
-func (r *ranking[T]) Push(x any) {
-	element := x.(T)
-	*element.place() = len(r.elements)
-	r.elements = append(r.elements, element)
+func (h *indexedHeap[T]) Push(x any) {
+	item := x.(T)
+	*item.heapIndex() = len(h.items)
+	h.items = append(h.items, item)
 }
 
 // Pop implements heap.Interface.
-func (r *ranking[T]) Pop() any {
-	end := len(r.elements) - 1
-	element := r.elements[end]
-	var none T
-	r.elements[end] = none
-	r.elements = r.elements[:end]
-	*element.place() = notRanked
-	return element
+func (h *indexedHeap[T]) Pop() any {
+	last := len(h.items) - 1
+	item := h.items[last]
+	var zero T
+	h.items[last] = zero
+	h.items = h.items[:last]
+	*item.heapIndex() = notInHeap
+	return item
 }
 
-// top returns the first element, or false when there is none.
-func (r *ranking[T]) top() (T, bool) {
-	if len(r.elements) == 0 {
-		var none T
-		return none, false
+// peek returns the first element, or false when there is none.
+func (h *indexedHeap[T]) peek() (T, bool) {
+	if len(h.items) == 0 {
+		var zero T
+		return zero, false
 	}
-	return r.elements[0], true
+	return h.items[0], true
 }
 
-// set puts an element at its place after a change, or takes it out when it is no longer wanted.
-func (r *ranking[T]) set(element T, wanted bool) {
-	index := *element.place()
+// update moves an element to its position after a change; it adds or removes the element as present requires.
+func (h *indexedHeap[T]) update(item T, present bool) {
+	index := *item.heapIndex()
 	switch {
-	case wanted && index == notRanked:
-		heap.Push(r, element)
-	case wanted:
-		heap.Fix(r, index)
-	case index != notRanked:
-		heap.Remove(r, index)
+	case present && index == notInHeap:
+		heap.Push(h, item)
+	case present:
+		heap.Fix(h, index)
+	case index != notInHeap:
+		heap.Remove(h, index)
 	}
 }
--- a/internal/admission/refuse.go
+++ b/internal/admission/refuse.go
@@ -7,109 +7,111 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// Expire refuses all requests that cannot make their deadline any more, whether by the time left or by the number of
-// requests before them. Call it at Wake and when an estimate grows.
+// Expire refuses all requests that can no longer meet their deadline, because of the remaining time or because of the
+// number of requests ahead of them. It must be called at the time returned by Wake and when an estimate grows.
 func (q *Queue) Expire(now time.Time, estimate func(Target) Estimate) []Refusal {
-	q.latest = now
+	q.lastCall = now
 	var refusals []Refusal
-	for _, l := range slices.Clone(q.inOrder) {
-		if l.len() > 0 {
-			e := estimate(l.target)
-			q.tell(l, e)
-			refusals = q.expireLine(refusals, now, l, e)
+	for _, tq := range slices.Clone(q.targetList) {
+		if tq.len() > 0 {
+			e := estimate(tq.target)
+			q.updateEstimate(tq, e)
+			refusals = q.expireTarget(refusals, now, tq, e)
 		}
-		q.forget(l, now)
+		q.dropIdle(tq, now)
 	}
 	return refusals
 }
 
-func (q *Queue) expireLine(refusals []Refusal, now time.Time, l *line, e Estimate) []Refusal {
-	for i := range l.lanes {
-		in := &l.lanes[i]
-		in.order.respace(e.spacing() / hopelessFactor)
-		for w := q.hopeless(now, in, e); w != nil; w = q.hopeless(now, in, e) {
+func (q *Queue) expireTarget(refusals []Refusal, now time.Time, tq *targetQueue, e Estimate) []Refusal {
+	for i := range tq.lanes {
+		ln := &tq.lanes[i]
+		ln.waiters.setSpacing(e.spacing() / infeasibleFactor)
+		for w := q.firstInfeasible(now, ln, e); w != nil; w = q.firstInfeasible(now, ln, e) {
 			q.remove(w)
-			refusals = append(refusals, q.refuse(now, w, l, e, wirepb.RefusalReason_DEADLINE, detailHopeless))
+			refusals = append(refusals, q.refuse(now, w, tq, e, wirepb.RefusalReason_DEADLINE, detailCannotStart))
 		}
 	}
 	return refusals
 }
 
-// hopeless returns a request that would be late if it started now, or is too far behind in its lane, or nil.
-func (q *Queue) hopeless(now time.Time, in *lane, e Estimate) *waiter {
-	done := now.Sub(q.epoch) + e.ready() + in.need
-	first := in.order.first()
-	if first != nil && first.deadline < done {
+// firstInfeasible returns a request that would be late even if it started now, or one that is too far back in its lane,
+// or nil.
+func (q *Queue) firstInfeasible(now time.Time, ln *lane, e Estimate) *waiter {
+	earliestEnd := now.Sub(q.epoch) + e.readyDelay() + ln.requiredTime
+	first := ln.waiters.first()
+	if first != nil && first.deadline < earliestEnd {
 		return first
 	}
-	return in.order.hopeless(done + time.Duration(1-e.free())*in.order.spacing)
+	return ln.waiters.firstInfeasible(earliestEnd + time.Duration(1-e.freeCapacity())*ln.waiters.spacing)
 }
 
-// Drain refuses all waiting requests, for example because the agent stops.
+// Drain refuses all waiting requests, for example because the agent is stopping.
 func (q *Queue) Drain(reason wirepb.RefusalReason) []Refusal {
 	return q.DrainTargets(func(Target) bool { return true }, reason, 0, "")
 }
 
-// DrainTargets refuses the waiting requests of the targets that match; they come back after retryAfter at the earliest.
+// DrainTargets refuses the waiting requests of the matching targets, with a retry delay of at least retryAfter.
 func (q *Queue) DrainTargets(match func(Target) bool, reason wirepb.RefusalReason, retryAfter time.Duration, detail string) []Refusal {
 	var refusals []Refusal
-	now := q.latest
-	for _, l := range slices.Clone(q.inOrder) {
-		if match(l.target) {
-			for i := range l.lanes {
-				refusals = q.drainLane(refusals, now, &l.lanes[i], reason, retryAfter, detail)
+	now := q.lastCall
+	for _, tq := range slices.Clone(q.targetList) {
+		if match(tq.target) {
+			for i := range tq.lanes {
+				refusals = q.drainLane(refusals, now, &tq.lanes[i], reason, retryAfter, detail)
 			}
 		}
-		q.forget(l, now)
+		q.dropIdle(tq, now)
 	}
 	return refusals
 }
 
-func (q *Queue) drainLane(refusals []Refusal, now time.Time, in *lane, reason wirepb.RefusalReason, after time.Duration, detail string) []Refusal {
-	e := Estimate{ReadyIn: after, Service: drainSpacing}
-	for w := in.order.first(); w != nil; w = in.order.first() {
+func (q *Queue) drainLane(refusals []Refusal, now time.Time, ln *lane, reason wirepb.RefusalReason, retryAfter time.Duration, detail string) []Refusal {
+	e := Estimate{ReadyIn: retryAfter, Service: drainSpacing}
+	for w := ln.waiters.first(); w != nil; w = ln.waiters.first() {
 		q.remove(w)
-		refusals = append(refusals, q.refuse(now, w, in.line, e, reason, detail))
+		refusals = append(refusals, q.refuse(now, w, ln.queue, e, reason, detail))
 	}
 	return refusals
 }
 
-// drainSpacing spreads the requests of a drained queue, whose service time is another endpoint's matter now.
+// drainSpacing is the time between the retries of requests from a drained queue. It replaces the service time because
+// the retries go to another endpoint.
 const drainSpacing = 10 * time.Millisecond
 
-// refuse makes the refusal of a request and gives it a time to come back.
-func (q *Queue) refuse(now time.Time, w *waiter, l *line, e Estimate, reason wirepb.RefusalReason, detail string) Refusal {
-	capacity := e.delay(l.len())
+// refuse returns the refusal of a request with its retry delay.
+func (q *Queue) refuse(now time.Time, w *waiter, tq *targetQueue, e Estimate, reason wirepb.RefusalReason, detail string) Refusal {
+	startDelay := e.startDelay(tq.len())
 	return Refusal{
 		ID:         w.request.ID,
 		Reason:     reason,
-		RetryAfter: l.returns.take(now, capacity, e.returnSpacing(), q.options.MaxRetryAfter),
+		RetryAfter: tq.retries.reserve(now, startDelay, e.retrySpacing(), q.options.MaxRetryAfter),
 		Detail:     detail,
 	}
 }
 
-func (q *Queue) waiterFor(r Request) *waiter {
+func (q *Queue) newWaiter(r Request) *waiter {
 	q.sequence++
 	return &waiter{request: r, deadline: r.Deadline.Sub(q.epoch), sequence: q.sequence}
 }
 
-// tell notes the estimate of a line.
-func (q *Queue) tell(l *line, e Estimate) {
-	l.ready = e.Ready
-	for i := range l.lanes {
-		in := &l.lanes[i]
-		if need := e.need(in.stream); need != in.need {
-			in.need = need
-			q.due.set(dueLane{in}, in.len() > 0)
+// updateEstimate stores the estimate of a target.
+func (q *Queue) updateEstimate(tq *targetQueue, e Estimate) {
+	tq.ready = e.Ready
+	for i := range tq.lanes {
+		ln := &tq.lanes[i]
+		if required := e.requiredTime(ln.stream); required != ln.requiredTime {
+			ln.requiredTime = required
+			q.byDue.update(laneByDue{ln}, ln.len() > 0)
 		}
 	}
 }
 
-func (q *Queue) insert(in *lane, w *waiter) {
-	in.insert(w)
+func (q *Queue) insert(ln *lane, w *waiter) {
+	ln.insert(w)
 	q.waiting[w.request.ID] = w
 	q.callers[w.request.Caller]++
-	q.rank(in)
+	q.updateHeaps(ln)
 }
 
 func (q *Queue) remove(w *waiter) {
@@ -119,60 +121,62 @@
 	if q.callers[w.request.Caller] == 0 {
 		delete(q.callers, w.request.Caller)
 	}
-	q.rank(w.lane)
+	q.updateHeaps(w.lane)
 }
 
-// rank puts a lane at its places in the queue's rankings after a change.
-func (q *Queue) rank(changed *lane) {
-	wanted := changed.len() > 0
-	q.due.set(dueLane{changed}, wanted)
-	q.full(changed.batch).set(fullLane{changed}, wanted)
+// updateHeaps restores the position of a lane in the queue's heaps after a change.
+func (q *Queue) updateHeaps(changed *lane) {
+	present := changed.len() > 0
+	q.byDue.update(laneByDue{changed}, present)
+	q.byLength(changed.batch).update(laneByLength{changed}, present)
 }
 
-func (q *Queue) full(batch bool) *ranking[fullLane] {
+func (q *Queue) byLength(batch bool) *indexedHeap[laneByLength] {
 	if batch {
-		return &q.fullBatch
+		return &q.batchByLength
 	}
-	return &q.fullInteractive
+	return &q.interactiveByLength
 }
 
-// fullest returns the line with the longest lane of a class, or nil.
-func (q *Queue) fullest(batch bool) *line {
-	longest, ok := q.full(batch).top()
+// longest returns the target queue that has the longest lane of a class, or nil.
+func (q *Queue) longest(batch bool) *targetQueue {
+	longest, ok := q.byLength(batch).peek()
 	if !ok {
 		return nil
 	}
-	return longest.line
+	return longest.queue
 }
 
-func (q *Queue) lineOf(target Target) *line {
-	l := q.lines[target]
-	if l == nil {
-		l = newLine(target, q.poolOf(target), q.random)
-		q.lines[target] = l
-		q.inOrder = append(q.inOrder, l)
+func (q *Queue) targetQueueFor(target Target) *targetQueue {
+	tq := q.targets[target]
+	if tq == nil {
+		tq = newTargetQueue(target, q.poolFor(target), q.random)
+		q.targets[target] = tq
+		q.targetList = append(q.targetList, tq)
 	}
-	return l
+	return tq
 }
 
-// keptLines is how many lines may stay although nothing waits, because the targets in use come again and again.
-const keptLines = 64
+// maxIdleTargets is the number of target queues up to which empty ones are kept, because targets in use tend to be
+// requested again.
+const maxIdleTargets = 64
 
-// forget drops a line that holds nothing and owes nobody a place to come back, when there are many.
-func (q *Queue) forget(l *line, now time.Time) {
-	if len(q.inOrder) <= keptLines || l.len() > 0 || l.returns.next.After(now) {
+// dropIdle drops an empty target queue with no retries scheduled in the future, if there are more than maxIdleTargets
+// target queues.
+func (q *Queue) dropIdle(tq *targetQueue, now time.Time) {
+	if len(q.targetList) <= maxIdleTargets || tq.len() > 0 || tq.retries.next.After(now) {
 		return
 	}
-	isForgotten := func(other *line) bool { return other == l }
-	delete(q.lines, l.target)
-	q.inOrder = slices.DeleteFunc(q.inOrder, isForgotten)
-	l.pool.lines = slices.DeleteFunc(l.pool.lines, isForgotten)
-	if len(l.pool.lines) == 0 {
-		delete(q.pools, l.target.pool())
+	isDropped := func(other *targetQueue) bool { return other == tq }
+	delete(q.targets, tq.target)
+	q.targetList = slices.DeleteFunc(q.targetList, isDropped)
+	tq.pool.queues = slices.DeleteFunc(tq.pool.queues, isDropped)
+	if len(tq.pool.queues) == 0 {
+		delete(q.pools, tq.target.pool())
 	}
 }
 
-func (q *Queue) poolOf(target Target) *pool {
+func (q *Queue) poolFor(target Target) *pool {
 	p := q.pools[target.pool()]
 	if p == nil {
 		p = &pool{}
--- a/internal/admission/returns.go
+++ b/internal/admission/returns.go
@@ -6,45 +6,45 @@
 )
 
 const (
-	// minRetryAfter is the shortest time to come back.
+	// minRetryAfter is the minimum retry delay.
 	minRetryAfter = 100 * time.Millisecond
-	// defaultMaxRetryAfter is the longest unless the options say otherwise.
+	// defaultMaxRetryAfter is the maximum retry delay unless the options set another.
 	defaultMaxRetryAfter = 30 * time.Second
-	// jitterShare is the part of a return time that is drawn at random, so that refusals by several queues that are in
-	// step do not fall on one moment.
-	jitterShare = 0.25
+	// jitterFraction is the fraction of a retry delay that is random. It keeps the refusals of several queues in step
+	// from being retried at the same moment.
+	jitterFraction = 0.25
 )
 
-// returns spreads the times at which refused requests come back.
+// retrySchedule spreads the retries of refused requests.
 //
-// Refused callers that are all told the same time come back as a herd, overload the queue at that moment and leave it
-// idle before and after. So each refusal takes the next place in a schedule that hands out places as fast as the target
-// serves requests: the longer the row of those told to come back, the later the place.
-type returns struct {
+// With equal retry delays, all refused callers would return at once (thundering herd), overload the queue at that
+// moment and leave it idle before and after. So each refusal reserves the next slot in a schedule whose slots are as
+// far apart as the target's starts: the more retries are already scheduled, the later the slot.
+type retrySchedule struct {
 	random *rand.Rand
-	// next is the next free place.
+	// next is the time of the next free slot.
 	next time.Time
 }
 
-// take returns how long a refused request should stay away. Capacity is there after the delay, and places lie a spacing
-// apart. Beyond limit the places are drawn from the upper half of it.
-func (r *returns) take(now time.Time, delay, spacing, limit time.Duration) time.Duration {
-	place := now.Add(max(delay, minRetryAfter))
-	if r.next.After(place) {
-		place = r.next
+// reserve returns the retry delay of a refused request. Capacity is expected to be available after minDelay, and slots
+// are spacing apart. If the schedule is full up to maxDelay, the delay is drawn from the upper half of maxDelay.
+func (r *retrySchedule) reserve(now time.Time, minDelay, spacing, maxDelay time.Duration) time.Duration {
+	at := now.Add(max(minDelay, minRetryAfter))
+	if r.next.After(at) {
+		at = r.next
 	}
-	away := place.Sub(now)
-	if away < limit {
-		r.next = place.Add(spacing)
+	retryAfter := at.Sub(now)
+	if retryAfter < maxDelay {
+		r.next = at.Add(spacing)
 	}
-	away += r.draw(max(time.Duration(float64(away)*jitterShare), spacing))
-	if away >= limit {
-		return limit/2 + r.draw(limit/2)
+	retryAfter += r.randomBelow(max(time.Duration(float64(retryAfter)*jitterFraction), spacing))
+	if retryAfter >= maxDelay {
+		return maxDelay/2 + r.randomBelow(maxDelay/2)
 	}
-	return away
+	return retryAfter
 }
 
-func (r *returns) draw(d time.Duration) time.Duration {
+func (r *retrySchedule) randomBelow(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -3,66 +3,68 @@
 import "time"
 
 const (
-	// meanSmoothing and deviationSmoothing are the weights of a new sample, and cautiousDeviations is how many mean
-	// deviations above the mean a cautious time lies; as in the retransmission timer of TCP, but for the last.
-	meanSmoothing      = 1.0 / 8
-	deviationSmoothing = 1.0 / 4
-	cautiousDeviations = 2
-	// firstDeviation is the share of the first sample that is taken for the deviation.
-	firstDeviation = 0.25
-	// maxServiceTargets bounds the targets that ServiceTimes remembers.
+	// meanSmoothing and deviationSmoothing are the weights of a new sample. A conservative estimate lies
+	// conservativeDeviations mean deviations above the mean. The weights are those of TCP's retransmission timer, which
+	// uses 4 deviations.
+	meanSmoothing          = 1.0 / 8
+	deviationSmoothing     = 1.0 / 4
+	conservativeDeviations = 2
+	// initialDeviationFraction is the initial deviation as a fraction of the first sample.
+	initialDeviationFraction = 0.25
+	// maxServiceTargets bounds the targets for which ServiceTimes keeps estimates.
 	maxServiceTargets = 4096
 )
 
-// ServiceTimes learns from the ended requests of each target how long they take: the mean whole time says how fast a
-// queue moves, and cautious times to the first token and to the end say whether a request makes its deadline. A target
-// that was not seen yet is judged by the others of its model. It is not safe for concurrent use.
+// ServiceTimes estimates how long the requests of each target take, from those that have ended. The mean total time
+// determines how fast a queue moves; conservative estimates of the time to the first token and to the end determine
+// whether a request meets its deadline. A target without samples uses the estimates of its model. It is not safe for
+// concurrent use.
 type ServiceTimes struct {
-	targets remembered[Target]
-	pools   remembered[poolKey]
+	targets timingsByKey[Target]
+	pools   timingsByKey[poolKey]
 }
 
-// NewServiceTimes returns an estimator that knows nothing yet.
+// NewServiceTimes returns an estimator without samples.
 func NewServiceTimes() *ServiceTimes {
 	return &ServiceTimes{
-		targets: remembered[Target]{known: make(map[Target]*timings)},
-		pools:   remembered[poolKey]{known: make(map[poolKey]*timings)},
+		targets: timingsByKey[Target]{entries: make(map[Target]*timings)},
+		pools:   timingsByKey[poolKey]{entries: make(map[poolKey]*timings)},
 	}
 }
 
-// Observe notes the time from the start of a request to its end.
+// Observe records the time from the start of a request to its end.
 func (s *ServiceTimes) Observe(target Target, whole time.Duration) {
 	s.update(target, func(t *timings) { t.whole.observe(whole) })
 }
 
-// ObserveFirst notes the time from the start of a request to its first token.
+// ObserveFirst records the time from the start of a request to its first token.
 func (s *ServiceTimes) ObserveFirst(target Target, first time.Duration) {
 	s.update(target, func(t *timings) { t.first.observe(first) })
 }
 
-// Fade makes the times of a target a part shorter. It is for times that no request has confirmed of late: those by which
-// requests are refused although nothing is before them.
+// Fade reduces the estimates of a target by one eighth. It is called for estimates that cause requests to be refused
+// although no request is ahead of them, and so are not corrected by new samples.
 //
-// Without it a single slow request, such as one that ran while its process was frozen, would have every later one with a
-// shorter deadline refused at once; none would run, and no shorter time would ever be seen.
+// Without it a single slow request, such as one that ran while its process was suspended, would cause all later
+// requests with a shorter deadline to be refused at once. None would run, and no shorter time would ever be measured.
 func (s *ServiceTimes) Fade(target Target) {
 	s.update(target, func(t *timings) {
-		t.first.fade()
-		t.whole.fade()
+		t.first.decay()
+		t.whole.decay()
 	})
 }
 
-// Expected returns the mean whole time of a target's requests, 0 when nothing is known.
+// Expected returns the mean total time of a target's requests, or 0 without samples.
 func (s *ServiceTimes) Expected(target Target) time.Duration {
-	return s.find(target, func(t *timings) *moving { return &t.whole }).mean
+	return s.find(target, func(t *timings) *movingAverage { return &t.whole }).mean
 }
 
-// Fill sets the times of an estimate; those of which nothing is known become 0.
+// Fill sets the times of an estimate; those without samples become 0.
 func (s *ServiceTimes) Fill(target Target, e *Estimate) {
-	whole := s.find(target, func(t *timings) *moving { return &t.whole })
+	whole := s.find(target, func(t *timings) *movingAverage { return &t.whole })
 	e.Service = whole.mean
-	e.Whole = whole.cautious()
-	e.First = s.find(target, func(t *timings) *moving { return &t.first }).cautious()
+	e.Whole = whole.conservative()
+	e.First = s.find(target, func(t *timings) *movingAverage { return &t.first }).conservative()
 }
 
 // update applies a sample to the target and to its pool.
@@ -71,66 +73,67 @@
 	apply(s.targets.get(target))
 }
 
-// find returns what is known of the target, or else of its pool.
-func (s *ServiceTimes) find(target Target, field func(*timings) *moving) moving {
-	if t := s.targets.known[target]; t != nil && field(t).known {
+// find returns the estimate of the target, or of its pool if the target has no samples.
+func (s *ServiceTimes) find(target Target, field func(*timings) *movingAverage) movingAverage {
+	if t := s.targets.entries[target]; t != nil && field(t).sampled {
 		return *field(t)
 	}
-	if t := s.pools.known[target.pool()]; t != nil {
+	if t := s.pools.entries[target.pool()]; t != nil {
 		return *field(t)
 	}
-	return moving{}
+	return movingAverage{}
 }
 
-// remembered holds the timings of a bounded number of keys; the oldest key goes first, and is learnt again if need be.
-type remembered[K comparable] struct {
-	known map[K]*timings
-	order []K
+// timingsByKey holds the timings of a bounded number of keys. The oldest key is evicted first and starts without
+// samples if it returns.
+type timingsByKey[K comparable] struct {
+	entries map[K]*timings
+	order   []K
 }
 
-// get returns the timings of a key, new ones for a new key.
-func (r *remembered[K]) get(key K) *timings {
-	if t := r.known[key]; t != nil {
+// get returns the timings of a key, creating them if necessary.
+func (r *timingsByKey[K]) get(key K) *timings {
+	if t := r.entries[key]; t != nil {
 		return t
 	}
 	if len(r.order) >= maxServiceTargets {
-		delete(r.known, r.order[0])
+		delete(r.entries, r.order[0])
 		r.order = r.order[1:]
 	}
 	t := &timings{}
-	r.known[key] = t
+	r.entries[key] = t
 	r.order = append(r.order, key)
 	return t
 }
 
-// timings are the two times of a target or pool.
-type timings struct{ first, whole moving }
+// timings holds the time to the first token and the total time of a target or pool.
+type timings struct{ first, whole movingAverage }
 
-// moving is a moving mean with its mean deviation.
-type moving struct {
+// movingAverage is an exponentially weighted moving average with its mean deviation.
+type movingAverage struct {
 	mean, deviation time.Duration
-	known           bool
+	sampled         bool
 }
 
-func (m *moving) observe(d time.Duration) {
-	if !m.known {
-		*m = moving{mean: d, deviation: time.Duration(float64(d) * firstDeviation), known: true}
+func (m *movingAverage) observe(d time.Duration) {
+	if !m.sampled {
+		*m = movingAverage{mean: d, deviation: time.Duration(float64(d) * initialDeviationFraction), sampled: true}
 		return
 	}
-	off := d - m.mean
-	m.mean += time.Duration(float64(off) * meanSmoothing)
-	m.deviation += time.Duration(float64(off.Abs()-m.deviation) * deviationSmoothing)
+	diff := d - m.mean
+	m.mean += time.Duration(float64(diff) * meanSmoothing)
+	m.deviation += time.Duration(float64(diff.Abs()-m.deviation) * deviationSmoothing)
 }
 
-// fadeShare is the part of a time that goes with each Fade.
-const fadeShare = 8
+// decayDivisor is the divisor of the part by which each Fade reduces an estimate.
+const decayDivisor = 8
 
-func (m *moving) fade() {
-	m.mean -= m.mean / fadeShare
-	m.deviation -= m.deviation / fadeShare
+func (m *movingAverage) decay() {
+	m.mean -= m.mean / decayDivisor
+	m.deviation -= m.deviation / decayDivisor
 }
 
-// cautious returns a time that a request seldom exceeds.
-func (m moving) cautious() time.Duration {
-	return m.mean + cautiousDeviations*m.deviation
+// conservative returns an estimate that few requests exceed.
+func (m movingAverage) conservative() time.Duration {
+	return m.mean + conservativeDeviations*m.deviation
 }
