--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// observeRelease measures the time between two releases while the limit is reached; below the limit the time between
-// releases depends on the arrivals and not on the capacity.
+// observeRelease measures the time between two releases. It counts only while the limit is reached; otherwise it
+// reflects the arrival rate instead of the capacity.
 func (l *Limiter) observeRelease(now time.Time) {
 	if l.total < l.options.MaxInFlight {
 		l.lastRelease = time.Time{}
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -19,8 +19,8 @@
 	target Target
 	pool   *pool
 	lanes  [laneCount]lane
-	// ready is Estimate.Ready as last reported. Requests of a target that is still loading do not delay other targets
-	// of the pool.
+	// ready is Estimate.Ready as last reported. While it is false, this target's requests are not counted as ahead of
+	// those of other targets in the pool.
 	ready bool
 	// sinceBatch counts the consecutive interactive starts while a batch request waits.
 	sinceBatch int
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -40,9 +40,10 @@
 	return names
 }
 
-// Story: the store is away for longer than endpoints' registrations last. When it is back, its table is empty at first, and the
-// endpoints, which were well all the time, register again within two seconds. They must count until then; one that has not come
-// back is gone. One that was leaving before does not come back into use, and without an outage a removed one is gone at once.
+// The store is down for longer than the lease of the endpoints' registrations, so its table is empty when it recovers,
+// and the endpoints, which were healthy all along, register again within two seconds. They must stay in use until then;
+// one that has not registered again by then is gone. An endpoint that was leaving does not return to use, and without
+// an outage a removed endpoint is gone at once.
 func TestRegistrationsThatLapsedInAnOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := NewEndpoints()
@@ -53,20 +54,20 @@
 	e.StoreBack(now)
 	e.Replace(nil, now)
 	if got := ids(e.Live(now)); !slices.Equal(got, []string{"dead", "well"}) {
-		t.Errorf("right after the outage %v count, want the two that lapsed", got)
+		t.Errorf("right after the outage %v in use, want the two that lapsed", got)
 	}
 	e.Put(Endpoint{ID: "well", Revision: 9})
-	now = now.Add(returnGrace)
+	now = now.Add(reregisterGrace)
 	if got := ids(e.Live(now)); !slices.Equal(got, []string{"well"}) {
-		t.Errorf("%v count two seconds later, want the one that is back", got)
+		t.Errorf("%v in use two seconds later, want the one that registered again", got)
 	}
 	e.Remove("well", now)
 	if got := e.Live(now); len(got) != 0 {
-		t.Errorf("%v count after a removal without an outage", ids(got))
+		t.Errorf("%v in use after a removal without an outage, want none", ids(got))
 	}
 }
 
-// A registration that is read late must not undo a newer one, or a draining endpoint gets work again.
+// A registration that is read late must not replace a newer one, or a draining endpoint would get new work.
 func TestOlderRegistrationIsDropped(t *testing.T) {
 	e := NewEndpoints()
 	e.Put(Endpoint{ID: "a", Leaving: true, Revision: 5})
--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -1,5 +1,5 @@
-// Package catalog holds what a site's operator and its endpoints declare: the routes and services of the newest
-// configuration and the list of endpoints. It has no I/O and no clock; times are arguments.
+// Package catalog holds the operator's configuration (routes and services) and the list of registered endpoints. It
+// does no I/O and reads no clock; times are arguments.
 package catalog
 
 import (
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Repeatability says what may be done with a request again.
+// Repeatability is whether a request may be executed more than once.
 type Repeatability int
 
-// The repeatabilities of a route's requests.
+// Values of Repeatability.
 const (
 	// RunOnce requests run at most once.
 	RunOnce Repeatability = iota
@@ -18,39 +18,39 @@
 	Idempotent
 )
 
-// Route is a rule of the operator: which requests go to which service, and within which bounds.
+// Route is a routing rule of the operator: which requests go to which services, and within which limits.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Repeat says whether a request that may have run may be run again from the start.
+	// Repeat is whether a request that may already have been executed may be sent again.
 	Repeat Repeatability
-	// Streaming routes are answered with a series of events.
+	// Streaming is set for routes that answer with a stream of events.
 	Streaming bool
-	// Resumable streams may be continued at another endpoint behind the last event that arrived.
+	// Resumable is set for streams that can be continued at another endpoint after the last event received.
 	Resumable bool
-	// Timeout is the longest time that a request may wait for the end of its answer.
+	// Timeout bounds the time from a request to the end of its answer.
 	Timeout time.Duration
-	// Target is the time within which an answer, or a stream's first event, is on time.
+	// Target is the latency target: the time within which the answer, or the first event of a stream, is on time.
 	Target time.Duration
-	// GapTarget is the longest pause between the events of a stream that is still on time; 0 means none was set.
+	// GapTarget is the latency target between two events of a stream; 0 means none is set.
 	GapTarget time.Duration
-	// Urgency ranks the route; 0 is the most urgent.
+	// Urgency is the priority of the route; 0 is the most urgent.
 	Urgency int
-	// Services lists where the requests go, by weight.
+	// Services are the destinations of the requests, with their weights.
 	Services []WeightedService
-	// MaxAttempts bounds the endpoints that one request may be sent to.
+	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts int
 }
 
-// WeightedService is one of the services of a route.
+// WeightedService is a service of a route with its share of the traffic.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// Pick chooses a service by its weight; draw lies in [0, 1).
+// Pick returns a service chosen by weight; draw is a random number in [0, 1).
 func (r *Route) Pick(draw float64) string {
 	total := 0.0
 	for _, s := range r.Services {
@@ -72,39 +72,39 @@
 // Service is a pool of endpoints.
 type Service struct {
 	Name string
-	// MaxConnections is how many connections one endpoint takes from all callers together; 0 means no bound.
+	// MaxConnections bounds the connections to one endpoint from all clients together; 0 means no bound.
 	MaxConnections int
-	// Engine is set where the endpoints serve models.
+	// Engine is set if the endpoints are model engines.
 	Engine *EngineClass
 }
 
-// EngineClass describes the engines of a service, which are alike.
+// EngineClass describes the engines of a service, all of which have the same properties.
 type EngineClass struct {
 	// Batch is how many requests an engine runs at once.
 	Batch int
-	// MemoryMB is the room for weights of models and adapters together.
+	// MemoryMB is the memory for the weights of models and adapters together.
 	MemoryMB float64
-	// AdapterPlaces bounds the adapters of an engine, those in transit included.
+	// AdapterPlaces bounds the adapters of an engine, including those being loaded or unloaded.
 	AdapterPlaces int
-	// LoadsPerSecond bounds how many loads from the weight store may begin a second, over all engines.
+	// LoadsPerSecond bounds the loads from the weight store that start per second, over all engines.
 	LoadsPerSecond float64
-	// Models by name.
+	// Models is keyed by model name.
 	Models map[string]Model
 }
 
-// Model is what a service may be asked to serve.
+// Model is a model that a service can serve.
 type Model struct {
 	Name   string
 	SizeMB float64
-	// LoadTime, DiskTime and MemoryTime are how long a load takes from the weight store, from the host's disk and from
+	// LoadTime, DiskTime and MemoryTime are the times of a load from the weight store, from the host's disk and from
 	// the host's memory.
 	LoadTime, DiskTime, MemoryTime time.Duration
 	AdapterMB                      float64
-	// Adapters is how many adapters the operator declares for it.
+	// Adapters is the number of adapters declared for the model.
 	Adapters int
 }
 
-// ClientLimits bound what a client may send, and how long it may take.
+// ClientLimits bounds the size of a client's requests and the time a client may take.
 type ClientLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -129,7 +129,7 @@
 	return c
 }
 
-// Match returns the route of a request: among those of its host, the one with the longest prefix of the path.
+// Match returns the route of a request: of the routes for its host, the one with the longest matching path prefix.
 func (c *Config) Match(host, path string) (*Route, bool) {
 	var best *Route
 	for _, r := range c.routes[host] {
@@ -140,7 +140,7 @@
 	return best, best != nil
 }
 
-// Routes returns how many routes there are.
+// Routes returns the number of routes.
 func (c *Config) Routes() int {
 	n := 0
 	for _, list := range c.routes {
--- a/internal/catalog/endpoints.go
+++ b/internal/catalog/endpoints.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// returnGrace is how long an endpoint whose entry vanished during an outage of the store counts as listed after the
-// store's return. Endpoints that live re-register within about two seconds; one that has not done so is gone. The platform's
-// documentation gives the figure.
-const returnGrace = 2 * time.Second
+// reregisterGrace is how long an endpoint whose entry expired during an outage of the store stays in use after the
+// store recovers. According to the platform's documentation running endpoints register again within about two seconds;
+// one that has not done so by then is gone.
+const reregisterGrace = 2 * time.Second
 
-// Endpoint is one incarnation of an endpoint, as it registers itself.
+// Endpoint is one incarnation of an endpoint, as it registered itself.
 type Endpoint struct {
-	// ID names the incarnation; a restarted endpoint has a new one.
+	// ID identifies the incarnation; a restarted endpoint has a new ID.
 	ID            string
 	Service       string
 	Address       string
 	FailureDomain string
 	Slots         int
-	// Leaving endpoints get no new work.
+	// Leaving is set for endpoints that get no new work.
 	Leaving bool
-	// GoneAfter is when a leaving endpoint vanishes whatever it runs; zero where that is not known.
+	// GoneAfter is the remaining time until a leaving endpoint terminates, even if requests still run; zero if unknown.
 	GoneAfter time.Duration
-	// Models are those that it held when it last registered; older than its agent's reports.
+	// Models are the models loaded when the endpoint last registered; its agent's reports are more recent.
 	Models []string
-	// Revision is the store's commit counter of the entry.
+	// Revision is the revision of the store at which the entry was last written.
 	Revision int64
 }
 
-// Endpoints is the list of endpoints as a process knows it. It is not safe for concurrent use.
+// Endpoints is a process's local list of endpoints. It is not safe for concurrent use.
 type Endpoints struct {
 	listed map[string]Endpoint
-	// lapsed holds endpoints whose entry vanished while the store was away, with the time until which they still count.
+	// lapsed holds endpoints whose entry expired during an outage of the store, with the time until which they stay in
+	// use.
 	lapsed map[string]lapsedEndpoint
-	// away is set while the store does not answer.
-	away bool
-	// graceEnds is set for the time after an outage in which vanished entries may come back.
+	// storeDown is set while the store is unavailable.
+	storeDown bool
+	// graceEnds is the end of the grace period after an outage during which endpoints may register again.
 	graceEnds time.Time
 }
 
@@ -49,18 +50,18 @@
 	return &Endpoints{listed: make(map[string]Endpoint), lapsed: make(map[string]lapsedEndpoint)}
 }
 
-// StoreLost notes that the store does not answer.
-func (e *Endpoints) StoreLost() { e.away = true }
+// StoreLost records that the store has become unavailable.
+func (e *Endpoints) StoreLost() { e.storeDown = true }
 
-// StoreBack notes that the store answers again.
+// StoreBack records that the store is available again.
 func (e *Endpoints) StoreBack(now time.Time) {
-	if e.away {
-		e.away = false
-		e.graceEnds = now.Add(returnGrace)
+	if e.storeDown {
+		e.storeDown = false
+		e.graceEnds = now.Add(reregisterGrace)
 	}
 }
 
-// Put takes in a registration, unless a newer one is known.
+// Put stores a registration, unless a newer one is known.
 func (e *Endpoints) Put(endpoint Endpoint) {
 	if endpoint.Revision < e.listed[endpoint.ID].Revision {
 		return
@@ -69,10 +70,11 @@
 	delete(e.lapsed, endpoint.ID)
 }
 
-// Remove takes out an endpoint whose entry was deleted at a revision.
+// Remove removes an endpoint whose entry was deleted from the store.
 //
-// An entry that vanished while the store was away says nothing of the endpoint: its heartbeats could not be written. Taking
-// it out at once would leave requests without an endpoint for two seconds after each outage; so it counts for returnGrace.
+// An entry that expired during an outage of the store does not mean that the endpoint is gone: its heartbeats could not
+// be written. Removing it at once would leave requests without endpoints for two seconds after each outage, so it stays
+// in use for reregisterGrace.
 func (e *Endpoints) Remove(id string, now time.Time) {
 	endpoint, ok := e.listed[id]
 	if !ok {
@@ -84,7 +86,7 @@
 	}
 }
 
-// Replace takes in the complete list as of a revision. Endpoints that are missing in it are treated like removed ones.
+// Replace replaces the list by a complete one read from the store. Endpoints missing from it are treated as removed.
 func (e *Endpoints) Replace(list []Endpoint, now time.Time) {
 	present := make(map[string]bool, len(list))
 	for _, endpoint := range list {
@@ -98,7 +100,7 @@
 	}
 }
 
-// Live returns the endpoints that count at a time.
+// Live returns the endpoints that are in use at a time.
 func (e *Endpoints) Live(now time.Time) []Endpoint {
 	all := make([]Endpoint, 0, len(e.listed)+len(e.lapsed))
 	for _, endpoint := range e.listed {
@@ -114,7 +116,7 @@
 	return all
 }
 
-// NextChange returns when a lapsed endpoint stops counting, if there is one.
+// NextChange returns when the next lapsed endpoint goes out of use, if there is one.
 func (e *Endpoints) NextChange() (time.Time, bool) {
 	var next time.Time
 	for _, l := range e.lapsed {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock is the source of time that shells hand to the deciding code, so that tests inject their own.
+// Package clock provides a time source that tests can replace. The code that does I/O reads it and passes the time to
+// the decision logic as an argument.
 package clock
 
 import (
@@ -6,22 +7,22 @@
 	"time"
 )
 
-// Clock tells the time and makes timers.
+// Clock returns the current time and creates timers.
 type Clock interface {
-	// Now returns the current time with its monotonic reading.
+	// Now returns the current time, including its monotonic clock reading.
 	Now() time.Time
-	// NewTimer returns a timer whose channel receives once after d.
+	// NewTimer returns a timer that sends on its channel once after d.
 	NewTimer(d time.Duration) Timer
 }
 
-// Timer is the part of time.Timer that shells use.
+// Timer is the subset of time.Timer in use, as an interface.
 type Timer interface {
 	C() <-chan time.Time
 	Stop() bool
 	Reset(d time.Duration) bool
 }
 
-// Real is the machine's clock. Under testing/synctest it is the bubble's clock.
+// Real is the system clock. Within testing/synctest it is the bubble's clock.
 type Real struct{}
 
 // Now implements Clock.
@@ -34,7 +35,7 @@
 
 func (t realTimer) C() <-chan time.Time { return t.Timer.C }
 
-// Pause waits for d or the end of ctx, on the machine's clock.
+// Pause waits until d has elapsed or ctx is done, using the system clock.
 func Pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/netconn/netconn.go
+++ b/internal/netconn/netconn.go
@@ -1,4 +1,4 @@
-// Package netconn makes TCP connections between hosts on which a silent peer shows within seconds.
+// Package netconn makes TCP connections between hosts and detects an unresponsive peer within seconds.
 package netconn
 
 import (
@@ -11,23 +11,23 @@
 )
 
 const (
-	// DialTimeout bounds the making of a connection: a round trip within a site takes a few milliseconds, and the kernel
-	// repeats a lost opening packet after one second.
+	// DialTimeout bounds the connection setup. A round trip within a site takes a few milliseconds, and the kernel
+	// retransmits a lost SYN after one second.
 	DialTimeout = 1200 * time.Millisecond
-	// probeIdle and probeInterval are the shortest times that the kernel takes, one second; after probeCount unanswered
-	// probes a connection is broken, so a peer that fell silent shows within about three seconds.
+	// probeIdle and probeInterval are set to the kernel's minimum of one second. A connection is closed after
+	// probeCount unanswered keepalive probes, so an unresponsive peer is detected within about three seconds.
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 2
-	// unackedLimit bounds the time for which sent bytes may stay without an acknowledgement.
-	unackedLimit = 2 * time.Second
+	// userTimeout bounds the time for which sent data may remain unacknowledged.
+	userTimeout = 2 * time.Second
 )
 
-// Dialer returns a dialer whose connections break when the peer falls silent.
+// Dialer returns a dialer whose connections fail when the peer becomes unresponsive.
 //
-// It guards against a connection that a cut-off or powered-off host leaves behind: nothing resets it, so a read on it would
-// wait for ever and a request written to it would seem to be under way. The kernel's probes answer for an idle connection,
-// and TCP_USER_TIMEOUT for one with bytes under way.
+// When a host is partitioned or loses power, its connections are not reset: a read would block forever, and a request
+// written to one would appear to be in flight. Keepalive probes detect this on idle connections, and TCP_USER_TIMEOUT
+// on those with unacknowledged data.
 func Dialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         DialTimeout,
@@ -38,7 +38,7 @@
 	}
 }
 
-// ListenConfig returns the settings of a listener whose connections break when the peer falls silent.
+// ListenConfig returns the configuration of a listener whose connections fail when the peer becomes unresponsive.
 func ListenConfig() *net.ListenConfig {
 	return &net.ListenConfig{KeepAliveConfig: keepAlive(), Control: func(_, _ string, c syscall.RawConn) error {
 		return setUserTimeout(c)
@@ -47,9 +47,9 @@
 
 // DialAbortive returns a dial function whose connections are reset when they are closed.
 //
-// It guards against a request that arrives after its client has left: bytes for a host that stands still, or is cut off,
-// wait in the sender's kernel, and after an orderly close they are still delivered when the host is back, seconds later. A
-// reset drops them.
+// This prevents a request from arriving after its client has given up. Data for a host that is suspended or partitioned
+// stays in the sender's kernel, and after an orderly close it would still be delivered when the host recovers, seconds
+// later. A reset discards it.
 func DialAbortive() func(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := Dialer()
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -72,12 +72,12 @@
 }
 
 func setUserTimeout(c syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedLimit.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
--- a/internal/watch/metrics.go
+++ b/internal/watch/metrics.go
@@ -7,26 +7,26 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics count the calls of the store, by table and result. A nil *Metrics counts nothing.
+// Metrics counts the calls to the store, by table and result. A nil *Metrics records nothing.
 type Metrics struct {
-	calls      *prometheus.CounterVec
-	took       *prometheus.HistogramVec
-	ages       *prometheus.GaugeVec
-	mu         sync.Mutex
-	answeredAt map[string]time.Time
+	calls        *prometheus.CounterVec
+	listDuration *prometheus.HistogramVec
+	silence      *prometheus.GaugeVec
+	mu           sync.Mutex
+	answeredAt   map[string]time.Time
 }
 
 // NewMetrics registers the metrics of watches.
 func NewMetrics(r prometheus.Registerer) (*Metrics, error) {
 	m := &Metrics{
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "balsamsail_store_calls_total", Help: "Calls of the store, by table and result."}, []string{"table", "result"}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		listDuration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "balsamsail_store_list_seconds", Help: "Time of the calls that read a whole table.", Buckets: []float64{.005, .02, .05, .1, .25, .5, 1, 2},
 		}, []string{"table"}),
-		ages:       prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "balsamsail_store_silence_seconds", Help: "Time since the store answered a watch last, by table, when it last failed or answered."}, []string{"table"}),
+		silence:    prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "balsamsail_store_silence_seconds", Help: "Time since the store answered a watch last, by table, when it last failed or answered."}, []string{"table"}),
 		answeredAt: make(map[string]time.Time),
 	}
-	for _, c := range []prometheus.Collector{m.calls, m.took, m.ages} {
+	for _, c := range []prometheus.Collector{m.calls, m.listDuration, m.silence} {
 		if err := r.Register(c); err != nil {
 			return nil, err
 		}
@@ -34,15 +34,15 @@
 	return m, nil
 }
 
-// The results of a call.
+// Results of a call to the store.
 const (
 	resultAnswered    = "answered"
 	resultHistoryGone = "history_gone"
 	resultFailed      = "failed"
 )
 
-// called counts a call; one that failed makes the table's silence longer.
-func (m *Metrics) called(table, result string, now time.Time) {
+// recordCall counts a call and updates the time since the last answer.
+func (m *Metrics) recordCall(table, result string, now time.Time) {
 	if m == nil {
 		return
 	}
@@ -52,11 +52,11 @@
 	if result != resultFailed || m.answeredAt[table].IsZero() {
 		m.answeredAt[table] = now
 	}
-	m.ages.WithLabelValues(table).Set(now.Sub(m.answeredAt[table]).Seconds())
+	m.silence.WithLabelValues(table).Set(now.Sub(m.answeredAt[table]).Seconds())
 }
 
-func (m *Metrics) listed(table string, took time.Duration) {
+func (m *Metrics) recordList(table string, took time.Duration) {
 	if m != nil {
-		m.took.WithLabelValues(table).Observe(took.Seconds())
+		m.listDuration.WithLabelValues(table).Observe(took.Seconds())
 	}
 }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,5 +1,5 @@
-// Package watch follows a table of the store: it reads the table once, then takes in changes, and starts anew when the store
-// no longer has the history in between.
+// Package watch follows a table of the store: it reads the whole table once and then applies changes. It reads the
+// whole table again when the store no longer has the change history since the last revision it read.
 package watch
 
 import (
@@ -14,13 +14,13 @@
 )
 
 var (
-	// ErrUnavailable says that the store did not answer, or refused.
+	// ErrUnavailable means that the store did not answer or rejected the call.
 	ErrUnavailable = errors.New("watch: the store is unavailable")
-	// ErrHistoryGone says that the store has dropped the changes that were asked for.
+	// ErrHistoryGone means that the store no longer has the requested changes.
 	ErrHistoryGone = errors.New("watch: the store has dropped this part of its history")
 )
 
-// Row is a row of a table, or the mark that it was deleted.
+// Row is a row of a table, or a tombstone if Deleted is set.
 type Row struct {
 	Key      string
 	Value    []byte
@@ -28,22 +28,22 @@
 	Deleted  bool
 }
 
-// Source is the store.
+// Source reads tables of the store.
 type Source interface {
-	// List returns all rows of a table and the store's revision as of which they are complete.
+	// List returns all rows of a table and the revision at which they were read.
 	List(ctx context.Context, table string) ([]Row, int64, error)
-	// Changes returns the rows that changed after a revision, in order, as soon as there are any, and the revision to go
-	// on from. It returns no rows when none changed within wait.
+	// Changes returns the rows that changed after a revision, in order, as soon as there are any, and the revision to
+	// continue from. It returns no rows if none changed within wait.
 	Changes(ctx context.Context, table string, after int64, wait time.Duration) ([]Row, int64, error)
 }
 
-// Sink takes in what a watch reads. Its methods are called one at a time.
+// Sink receives what a watch reads. Its methods are never called concurrently.
 type Sink interface {
-	// Replace takes in a whole table.
+	// Replace receives a whole table.
 	Replace(rows []Row)
-	// Apply takes in changed rows.
+	// Apply receives changed rows.
 	Apply(rows []Row)
-	// Lost and Back tell that the store has stopped answering, and that it answers again.
+	// Lost is called when the store becomes unavailable, and Back when it is available again.
 	Lost(err error)
 	Back()
 }
@@ -51,13 +51,13 @@
 // Options are the settings of a watch.
 type Options struct {
 	Table string
-	// Wait is how long one call waits for changes.
+	// Wait is the long-poll timeout of a call for changes.
 	Wait time.Duration
-	// Gather is the pause before the next call after changes came, so that a series of changes costs fewer calls.
+	// Gather is the delay between receiving changes and the next call, so that a series of changes takes fewer calls.
 	Gather time.Duration
-	// MinBackoff and MaxBackoff bound the jittered pause after a failed call.
+	// MinBackoff and MaxBackoff bound the jittered backoff after a failed call.
 	MinBackoff, MaxBackoff time.Duration
-	// Metrics count the calls; nil counts nothing.
+	// Metrics records the calls; nil records nothing.
 	Metrics *Metrics
 }
 
@@ -66,7 +66,7 @@
 	f := follower{source: source, sink: sink, options: options, logger: logger, backoff: options.MinBackoff}
 	for ctx.Err() == nil {
 		if err := f.step(ctx); err != nil && ctx.Err() == nil {
-			f.failed(err)
+			f.recordFailure(err)
 			clock.Pause(ctx, f.nextBackoff())
 		}
 	}
@@ -79,32 +79,32 @@
 	options Options
 	logger  *slog.Logger
 
-	// listed is set once the table has been read whole, as of revision, where the next call goes on. An empty store is at
+	// listed is set once the whole table has been read; the next call continues from revision. An empty store has
 	// revision 0.
-	listed   bool
-	revision int64
-	lost     bool
-	backoff  time.Duration
+	listed      bool
+	revision    int64
+	unavailable bool
+	backoff     time.Duration
 }
 
-// step makes one call of the store.
+// step makes one call to the store.
 func (f *follower) step(ctx context.Context) error {
 	if !f.listed {
 		return f.list(ctx)
 	}
 	rows, revision, err := f.source.Changes(ctx, f.options.Table, f.revision, f.wait())
 	if errors.Is(err, ErrHistoryGone) {
-		f.options.Metrics.called(f.options.Table, resultHistoryGone, time.Now())
-		f.logger.Info("history of the store is gone, table is read whole", "event", "watch_restart", "table", f.options.Table, "revision", f.revision)
+		f.options.Metrics.recordCall(f.options.Table, resultHistoryGone, time.Now())
+		f.logger.Info("store no longer has the change history; reading the whole table", "event", "watch_restart", "table", f.options.Table, "revision", f.revision)
 		f.listed = false
-		// A store whose history is always too short would otherwise be asked without a pause.
+		// Without a delay, a store that always lacks the history would be called in a tight loop.
 		clock.Pause(ctx, f.options.Gather)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	f.answered()
+	f.recordSuccess()
 	f.revision = max(f.revision, revision)
 	if len(rows) > 0 {
 		f.sink.Apply(rows)
@@ -113,47 +113,47 @@
 	return nil
 }
 
-// wait is short after a failure, so that the watch soon knows whether the store is back.
+// wait returns the long-poll timeout. It is zero after a failure, so that a recovery of the store is noticed quickly.
 func (f *follower) wait() time.Duration {
-	if f.lost {
+	if f.unavailable {
 		return 0
 	}
 	return f.options.Wait
 }
 
 func (f *follower) list(ctx context.Context) error {
-	began := time.Now()
+	start := time.Now()
 	rows, revision, err := f.source.List(ctx, f.options.Table)
 	if err != nil {
 		return err
 	}
-	f.options.Metrics.listed(f.options.Table, time.Since(began))
-	f.answered()
+	f.options.Metrics.recordList(f.options.Table, time.Since(start))
+	f.recordSuccess()
 	f.listed, f.revision = true, revision
 	f.sink.Replace(rows)
 	return nil
 }
 
-func (f *follower) answered() {
-	f.options.Metrics.called(f.options.Table, resultAnswered, time.Now())
+func (f *follower) recordSuccess() {
+	f.options.Metrics.recordCall(f.options.Table, resultAnswered, time.Now())
 	f.backoff = f.options.MinBackoff
-	if f.lost {
-		f.lost = false
-		f.logger.Info("store answers again", "event", "store_back", "table", f.options.Table, "revision", f.revision)
+	if f.unavailable {
+		f.unavailable = false
+		f.logger.Info("store is available again", "event", "store_back", "table", f.options.Table, "revision", f.revision)
 		f.sink.Back()
 	}
 }
 
-func (f *follower) failed(err error) {
-	f.options.Metrics.called(f.options.Table, resultFailed, time.Now())
-	if !f.lost {
-		f.lost = true
-		f.logger.Warn("store does not answer", "event", "store_lost", "table", f.options.Table, "revision", f.revision, "error", err)
+func (f *follower) recordFailure(err error) {
+	f.options.Metrics.recordCall(f.options.Table, resultFailed, time.Now())
+	if !f.unavailable {
+		f.unavailable = true
+		f.logger.Warn("store is unavailable", "event", "store_lost", "table", f.options.Table, "revision", f.revision, "error", err)
 		f.sink.Lost(err)
 	}
 }
 
-// nextBackoff returns a pause that doubles with each failure, with up to a half of jitter.
+// nextBackoff returns a backoff that doubles with each failure up to MaxBackoff, half of it random.
 func (f *follower) nextBackoff() time.Duration {
 	d := f.backoff
 	f.backoff = min(2*f.backoff, f.options.MaxBackoff)
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -11,7 +11,8 @@
 	"balsamsail/internal/clock"
 )
 
-// scriptedStore is a store in memory. It forgets what lies before its horizon and knows nothing behind its revision.
+// scriptedStore is an in-memory store. Changes returns ErrHistoryGone for revisions before the horizon or after the
+// store's revision.
 type scriptedStore struct {
 	mu       sync.Mutex
 	rows     map[string]Row
@@ -75,7 +76,7 @@
 	}
 }
 
-// recordingSink keeps what it was told.
+// recordingSink records the calls it receives.
 type recordingSink struct {
 	mu         sync.Mutex
 	values     map[string]string
@@ -101,8 +102,8 @@
 	return s.values[key]
 }
 
-// follow runs a watch of a store in a bubble of time.
-func follow(t *testing.T, store *scriptedStore, story func(sink *recordingSink)) {
+// follow runs a watch of a store in a synctest bubble.
+func follow(t *testing.T, store *scriptedStore, scenario func(sink *recordingSink)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		sink := &recordingSink{values: make(map[string]string)}
@@ -113,15 +114,15 @@
 			defer close(done)
 			Run(ctx, store, sink, options, slog.New(slog.DiscardHandler))
 		}()
-		story(sink)
+		scenario(sink)
 		cancel()
 		<-done
 	})
 }
 
-// Story: all processes start before the operator has written anything. The table is read while the store is still empty;
-// then the first configuration comes as the store's first revision. A gateway that missed it refused every request until the
-// next change, 20 to 30 s later.
+// All processes start before the operator has written any configuration, so the table is read while the store is still
+// empty, and the first configuration gets the store's first revision. A gateway that missed it refused every request
+// until the next change, 20 to 30 s later.
 func TestFirstRowOfAnEmptyStoreIsSeen(t *testing.T) {
 	store := &scriptedStore{rows: make(map[string]Row)}
 	follow(t, store, func(sink *recordingSink) {
@@ -129,13 +130,14 @@
 		store.put("config", "first")
 		time.Sleep(500 * time.Millisecond)
 		if got := sink.value("config"); got != "first" {
-			t.Errorf("configuration after half a second: %q, want the first", got)
+			t.Errorf("configuration after half a second: %q, want the first one", got)
 		}
 	})
 }
 
-// Story: the store drops its history while the watch hears nothing, and cuts it off. What changed in the gap must be seen
-// within a second, by a read of the whole table, and a store that keeps no history at all must not be asked without a pause.
+// The store discards its history while a call for changes is waiting, and ends the call. The changes in the gap must be
+// picked up within a second by reading the whole table, and a store that keeps no history at all must not be called
+// without a delay.
 func TestLostHistoryIsReadAgain(t *testing.T) {
 	store := &scriptedStore{rows: make(map[string]Row)}
 	store.put("a", "1")
@@ -151,14 +153,14 @@
 		time.Sleep(10 * time.Second)
 		store.set(func() {
 			if store.calls > 250 {
-				t.Errorf("%d calls in 10 s of a store without history, want a pause between them", store.calls)
+				t.Errorf("%d calls in 10 s to a store without history, want at most 250", store.calls)
 			}
 		})
 	})
 }
 
-// Story: the store is away for ten seconds while something changes. The watch says once that it is lost and once that it is
-// back, and then has the newest row.
+// The store is down for ten seconds while a row changes. The watch must report the outage once and the recovery once,
+// and then deliver the newest row.
 func TestOutageIsToldOnce(t *testing.T) {
 	store := &scriptedStore{rows: make(map[string]Row)}
 	store.put("a", "1")
@@ -173,7 +175,7 @@
 			t.Errorf("row after the outage: %q, want the newest", got)
 		}
 		if sink.lost != 1 || sink.back != 1 {
-			t.Errorf("told %d times lost and %d times back, want once each", sink.lost, sink.back)
+			t.Errorf("sink received Lost %d times and Back %d times, want once each", sink.lost, sink.back)
 		}
 	})
 }
