--- a/internal/replicas/backoff.go
+++ b/internal/replicas/backoff.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// backoff says when a kind of call may be tried again after one that failed.
+// backoff is the retry state of one kind of call.
 type backoff struct {
 	wait  time.Duration
 	until time.Time
 }
 
-// fail notes that a call failed at a time and reports whether it is the first one in a row. The wait doubles with each and
-// is jittered, so that processes which failed together do not come back together.
+// fail records a failed call and reports whether it is the first in a row. The delay doubles with each failure and is
+// jittered, so that processes that failed at the same time do not retry at the same time.
 func (b *backoff) fail(now time.Time, o Options, random *rand.Rand) bool {
 	first := b.wait == 0
 	b.wait = min(max(2*b.wait, o.MinBackoff), o.MaxBackoff)
@@ -20,7 +20,7 @@
 	return first
 }
 
-// succeed notes that a call succeeded and reports whether those before it had failed.
+// succeed records a successful call and reports whether the previous one had failed.
 func (b *backoff) succeed() bool {
 	failed := b.wait > 0
 	*b = backoff{}
--- a/internal/replicas/bench_test.go
+++ b/internal/replicas/bench_test.go
@@ -10,11 +10,12 @@
 	"balsamsail/internal/backing"
 )
 
-// benchSizes are today's larger deployment and the size to design for, at a region's and the whole fleet's engines. Slots
-// are what keeps two model versions on each engine when all are busy. Adapters have no rows of their own.
+// benchSizes are the sizes of a present larger deployment, and of one region and of the whole fleet at the design
+// target. The number of slots keeps two model versions on each engine when all are busy. Adapters have no rows of their
+// own.
 var benchSizes = []struct{ models, engines, slots int }{{105, 18, 2}, {51, 1000, 40}, {51, 10000, 400}}
 
-// settledSite returns a site whose model versions have that many slots each.
+// settledSite returns a site in which each model version has the given number of slots.
 func settledSite(tb testing.TB, modelCount, engineCount, slots int) *site {
 	domains := make([]string, 35)
 	for i := range domains {
@@ -41,12 +42,12 @@
 			}
 		})
 		b.Run(name+"/row changed", func(b *testing.B) {
-			now := s.Rows[story]
+			now := s.Rows[testModel]
 			other := RowView{Row: proto.CloneOf(now.Row), Since: now.Since}
 			b.ReportAllocs()
 			for b.Loop() {
 				now, other = other, now
-				s.Rows[story] = now
+				s.Rows[testModel] = now
 				s.decide()
 			}
 		})
@@ -69,7 +70,7 @@
 	}
 }
 
-// BenchmarkFirstDecision places all home slots of an empty table.
+// BenchmarkFirstDecision measures the placement of all baseline slots for an empty table.
 func BenchmarkFirstDecision(b *testing.B) {
 	for _, size := range benchSizes {
 		s := newSite(models(size.models), engines(size.engines, "north", "east", "cargo"))
@@ -82,7 +83,7 @@
 	}
 }
 
-// BenchmarkIdleRound is a round of the Manager in which nothing has changed and no read is due.
+// BenchmarkIdleRound measures a round of the Manager in which nothing has changed and no read is due.
 func BenchmarkIdleRound(b *testing.B) {
 	for _, size := range benchSizes {
 		s := settledSite(b, size.models, size.engines, size.slots)
@@ -90,7 +91,7 @@
 			options := DefaultOptions()
 			options.Interval, options.FullInterval = 1<<62, 1<<62
 			m := newTestManager(options, newMemoryTable(), &siteInputs{site: s, self: "entry"})
-			m.store.take(s.now, backing.Listing{}, true)
+			m.store.applyListing(s.now, backing.Listing{}, true)
 			for _, view := range s.Rows {
 				m.store.put(s.now, view.Row)
 			}
@@ -103,14 +104,14 @@
 	}
 }
 
-// BenchmarkEncodeRow gives the size of a row in the table and on the wire.
+// BenchmarkEncodeRow reports the size of a row in the table and on the wire.
 func BenchmarkEncodeRow(b *testing.B) {
 	for _, slots := range []int{2, 40, 400} {
 		s := settledSite(b, 1, max(slots, 18), slots)
 		b.Run(fmt.Sprintf("slots=%d", slots), func(b *testing.B) {
 			size := 0
 			for b.Loop() {
-				value, err := EncodeRow(s.Rows[story].Row)
+				value, err := EncodeRow(s.Rows[testModel].Row)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/replicas/change.go
+++ b/internal/replicas/change.go
@@ -9,7 +9,7 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// Action is what a step does with a slot.
+// Action is the operation that a step applies to a slot.
 type Action string
 
 // The actions of a step.
@@ -19,36 +19,37 @@
 	Remove       Action = "remove"
 )
 
-// Reason is why a step is taken.
+// Reason is the cause of a step.
 type Reason string
 
 // The reasons of steps.
 const (
-	// ReasonHome: the model version has fewer usable slots than it must have while idle.
-	ReasonHome Reason = "home"
-	// ReasonDemand: engines want another slot for their demand.
+	// ReasonBaseline: the model version has fewer usable slots than its baseline.
+	ReasonBaseline Reason = "home"
+	// ReasonDemand: engines requested another slot to meet demand.
 	ReasonDemand Reason = "demand"
-	// ReasonReplace: a slot's engine cannot be used, and another one takes its place.
+	// ReasonReplace: the slot replaces one that is released or has to be.
 	ReasonReplace Reason = "replace"
-	// ReasonSilent: a slot's engine has not answered for long.
-	ReasonSilent Reason = "silent"
-	// ReasonUndeclared: the model version is not declared any more.
+	// ReasonUnreachable: the slot replaces one whose engine has been unreachable for at least SilentAfter.
+	ReasonUnreachable Reason = "silent"
+	// ReasonUndeclared: the model version is no longer declared.
 	ReasonUndeclared Reason = "undeclared"
-	// ReasonLeaving: the engine leaves or is drained.
+	// ReasonLeaving: the engine is shutting down or drained.
 	ReasonLeaving Reason = "leaving"
-	// ReasonMismatch: the engine's labels do not match the selector any more.
+	// ReasonMismatch: the engine's labels no longer match the selector.
 	ReasonMismatch Reason = "mismatch"
 	// ReasonNoFit: the engine's memory is too small.
 	ReasonNoFit Reason = "no_fit"
-	// ReasonFailing: the engine could not serve the model version for long, and there is no room for another slot.
+	// ReasonFailing: the engine has failed to serve the model version for at least FailingAfter, and the maximum leaves no
+	// room for another slot.
 	ReasonFailing Reason = "failing"
 	// ReasonOverMaximum: there are more slots than the declared maximum.
 	ReasonOverMaximum Reason = "over_maximum"
-	// ReasonUnneeded: the demand that the slot was granted for has been gone for long.
+	// ReasonUnneeded: the demand for the slot ended at least ExtraHold ago.
 	ReasonUnneeded Reason = "unneeded"
-	// ReasonBalance: the engine holds much more than its share of slots.
+	// ReasonBalance: the engine's load is far above its fair share.
 	ReasonBalance Reason = "balance"
-	// ReasonSpread: two slots share a failure domain and another domain has room.
+	// ReasonSpread: the slot's failure domain holds at least two slots more than another domain that can take it.
 	ReasonSpread Reason = "spread"
 	// ReasonConfirmed: the engine has confirmed the release.
 	ReasonConfirmed Reason = "confirmed"
@@ -56,7 +57,7 @@
 	ReasonHostGone Reason = "host_gone"
 )
 
-// Step is one slot's part of a change.
+// Step is the change of one slot within a row change.
 type Step struct {
 	Action Action
 	Engine string
@@ -68,11 +69,11 @@
 // Change replaces one row.
 type Change struct {
 	Model string
-	// Next is the row to write; without slots the row is deleted. Its operation id is set by whoever proposes it.
+	// Next is the row to write; a row without slots is deleted. The proposer sets its operation ID.
 	Next *replicaspb.Row
-	// Expected is the revision of the row that the decision was made from; 0 when there was none.
+	// Expected is the revision of the row that the decision was made from; 0 if there was none.
 	Expected uint64
-	// Head is a further condition of the write when its key is not empty; see Declared.
+	// Head is an additional condition of the write if its key is not empty; see Declared.
 	Head  backing.Condition
 	Steps []Step
 }
@@ -87,8 +88,8 @@
 
 // Decision is the result of one run of the Decider.
 type Decision struct {
-	// Changes are in the order of the model versions' names, at most one for each.
+	// Changes are ordered by model version, at most one for each.
 	Changes []Change
-	// Again is when the decision may differ although no input has changed; zero when it will not.
-	Again time.Time
+	// RecheckAt is when the decision may differ although no input has changed; zero if it will not.
+	RecheckAt time.Time
 }
--- a/internal/replicas/decider.go
+++ b/internal/replicas/decider.go
@@ -8,71 +8,72 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// recheckInterval is the time after which a decision is taken again when it waits for something that is not an input's
-// change, such as a replica's load.
+// recheckInterval is the delay before a decision is repeated when it waits for something that is not reported as an
+// input change, such as the load of a replica.
 const recheckInterval = time.Second
 
-// Decider decides changes of rows. What it keeps between decisions follows from its inputs and only saves working it out
-// again. It is not safe for concurrent use.
+// Decider computes row changes. The state it keeps between decisions is a cache derived from its inputs and does not
+// affect the result. It is not safe for concurrent use.
 type Decider struct {
 	policy  Policy
 	index   *engineIndex
 	version uint64
-	memos   map[string]*memo
+	caches  map[string]*rowCache
 	scratch scratch
 }
 
 // NewDecider returns a Decider.
-func NewDecider(policy Policy) *Decider { return &Decider{policy: policy, memos: map[string]*memo{}} }
+func NewDecider(p Policy) *Decider { return &Decider{policy: p, caches: map[string]*rowCache{}} }
 
-// Decide returns the changes that the snapshot calls for.
+// Decide returns the changes required by the snapshot.
 func (d *Decider) Decide(now time.Time, s *Snapshot) Decision {
 	if d.index == nil || s.EnginesVersion == 0 || s.EnginesVersion != d.version {
 		d.index = newEngineIndex(s.Engines)
 		d.version = s.EnginesVersion
 	}
-	d.index.listHosts(s.Hosts)
+	d.index.setHosts(s.Hosts)
 	d.scratch.reset(len(s.Engines))
-	r := &run{
+	r := &decisionRun{
 		now:      now,
 		policy:   d.policy,
 		snapshot: s,
 		index:    d.index,
-		memos:    d.memos,
+		caches:   d.caches,
 		specs:    make(map[string]*ModelSpec, len(s.Declared.Models)),
 		scratch:  &d.scratch,
 	}
-	r.measure()
+	r.computeLoads()
 	r.decide()
-	d.forget(s.Rows)
+	d.pruneCaches(s.Rows)
 	return r.decision
 }
 
-// forget drops what was worked out for rows that are gone.
-func (d *Decider) forget(rows map[string]RowView) {
-	for model := range d.memos {
+// pruneCaches drops the caches of rows that no longer exist.
+func (d *Decider) pruneCaches(rows map[string]RowView) {
+	for model := range d.caches {
 		if _, ok := rows[model]; !ok {
-			delete(d.memos, model)
+			delete(d.caches, model)
 		}
 	}
 }
 
-// run is one decision in the making.
-type run struct {
+// decisionRun is the state of one Decide call.
+type decisionRun struct {
 	now      time.Time
 	policy   Policy
 	snapshot *Snapshot
 	index    *engineIndex
-	memos    map[string]*memo
+	caches   map[string]*rowCache
 	specs    map[string]*ModelSpec
-	// moving is the number of model versions with a slot on its way out, and settled lists those whose slots are all good.
+	// moving is the number of model versions with a slot that is being released or has to be. stable lists the model
+	// versions whose slots are all healthy.
 	moving   int
-	settled  []*settled
+	stable   []*stableModel
 	decision Decision
 	*scratch
 }
 
-func (r *run) decide() {
+func (r *decisionRun) decide() {
 	for _, model := range r.models() {
 		r.decideModel(model)
 	}
@@ -80,26 +81,26 @@
 	slices.SortFunc(r.decision.Changes, func(a, b Change) int { return cmp.Compare(a.Model, b.Model) })
 }
 
-// measure works out what each engine's slots weigh, and its share of all that the slots weigh when they are spread evenly
-// over the memory of the engines that may hold them.
-func (r *run) measure() {
+// computeLoads computes the load of each engine, and its fair share: the load that it would have if the declared memory
+// of all slots were spread evenly over the memory of the engines that may hold them.
+func (r *decisionRun) computeLoads() {
 	r.index.resetDensities()
 	for i := range r.snapshot.Declared.Models {
 		spec := &r.snapshot.Declared.Models[i]
 		r.specs[spec.Model] = spec
-		m := r.memo(spec.Model)
-		r.weigh(spec, m)
-		home, _ := r.policy.bounds(*spec)
+		m := r.rowCache(spec.Model)
+		r.addLoads(spec, m)
+		baseline, _ := r.policy.bounds(*spec)
 		g := r.index.group(spec.Selector)
 		if g.memory > 0 {
-			g.density += float64(spec.MemoryBytes) * float64(max(home, len(m.granted))) / float64(g.memory)
+			g.density += float64(spec.MemoryBytes) * float64(max(baseline, len(m.granted))) / float64(g.memory)
 		}
 	}
 	r.index.addShares(r.share)
 }
 
-// weigh adds a row's GRANTED slots to the loads of their engines.
-func (r *run) weigh(spec *ModelSpec, m *memo) {
+// addLoads adds a row's GRANTED slots to the loads of their engines.
+func (r *decisionRun) addLoads(spec *ModelSpec, m *rowCache) {
 	for n, engine := range m.granted {
 		if engine < 0 {
 			continue
@@ -111,8 +112,8 @@
 	}
 }
 
-// models returns the names of all declared model versions and of all that have a row, in order.
-func (r *run) models() []string {
+// models returns the sorted names of all model versions that are declared or have a row.
+func (r *decisionRun) models() []string {
 	names := make([]string, 0, len(r.specs)+len(r.snapshot.Rows))
 	for name := range r.specs {
 		names = append(names, name)
@@ -126,58 +127,59 @@
 	return names
 }
 
-// again asks for another decision at a time.
-func (r *run) again(at time.Time) {
-	if r.decision.Again.IsZero() || at.Before(r.decision.Again) {
-		r.decision.Again = at
+// recheckAt requests another decision at the given time.
+func (r *decisionRun) recheckAt(at time.Time) {
+	if r.decision.RecheckAt.IsZero() || at.Before(r.decision.RecheckAt) {
+		r.decision.RecheckAt = at
 	}
 }
 
 // decideModel decides one model version's row.
 //
-// A row that was decided under newer declarations than this process has is left alone: this process would undo what an
-// accepted edit asked for, and the process that decided it would do it again, until this one catches up.
-func (r *run) decideModel(model string) {
+// A row that was decided under newer declarations than this process has is left unchanged. Otherwise this process would
+// revert what an accepted edit requires, the up-to-date process would apply it again, and both would repeat this until
+// this process catches up.
+func (r *decisionRun) decideModel(model string) {
 	view := r.snapshot.Rows[model]
 	if view.Row.GetDeclarationsRevision() > r.snapshot.Declared.Revision {
 		return
 	}
-	spec, m := r.specs[model], r.memo(model)
-	if spec != nil && r.stillCalm(m, model) {
-		r.settled = append(r.settled, &settled{spec: spec, view: view, memo: m})
+	spec, m := r.specs[model], r.rowCache(model)
+	if spec != nil && r.isSteady(m, model) {
+		r.stable = append(r.stable, &stableModel{spec: spec, view: view, cache: m})
 		return
 	}
 	d := newDraft(model, view)
 	r.removeFreed(d)
-	r.judge(spec, d)
+	r.assessSlots(spec, d)
 	if spec == nil {
 		r.releaseAll(d)
 	} else {
-		r.settle(spec, d)
+		r.adjustSlots(spec, d)
 	}
-	r.note(spec, d, view, m)
+	r.recordResult(spec, d, view, m)
 }
 
-// note takes a decided row into the decision.
-func (r *run) note(spec *ModelSpec, d *draft, view RowView, m *memo) {
+// recordResult adds a decided row to the decision.
+func (r *decisionRun) recordResult(spec *ModelSpec, d *draft, view RowView, m *rowCache) {
 	switch {
 	case d.count(healthReleasing, healthMisplaced, healthLeaving) > 0:
 		r.moving++
 	case spec != nil && len(d.steps) == 0 && d.count(healthGood) == len(d.slots):
-		r.settled = append(r.settled, &settled{spec: spec, view: view, memo: m, draft: d})
-		r.becomeCalm(spec, m, d)
+		r.stable = append(r.stable, &stableModel{spec: spec, view: view, cache: m, draft: d})
+		r.markSteady(spec, m, d)
 	}
 	if len(d.steps) > 0 {
 		r.decision.Changes = append(r.decision.Changes, d.change(r.snapshot.Declared))
 	}
 }
 
-// removeFreed drops the slots that certainly hold nothing: those whose engines confirmed their release and those whose
-// hosts are gone. No other slot is ever dropped.
-func (r *run) removeFreed(d *draft) {
+// removeFreed removes the slots that are certain to hold nothing: those whose engines confirmed their release and those
+// whose hosts are gone. No other slot is ever removed.
+func (r *decisionRun) removeFreed(d *draft) {
 	releases := r.snapshot.Releases[d.model]
 	for _, s := range slices.Clone(d.slots) {
-		if gone(r.snapshot.Hosts, s.slot) {
+		if hostGone(r.snapshot.Hosts, s.slot) {
 			d.remove(s, ReasonHostGone)
 			continue
 		}
@@ -191,8 +193,8 @@
 	}
 }
 
-// releaseAll takes back all slots of a model version that is not declared any more.
-func (r *run) releaseAll(d *draft) {
+// releaseAll releases all slots of a model version that is no longer declared.
+func (r *decisionRun) releaseAll(d *draft) {
 	for _, s := range d.slots {
 		if s.health != healthReleasing {
 			d.release(s, ReasonUndeclared)
--- a/internal/replicas/demand.go
+++ b/internal/replicas/demand.go
@@ -8,132 +8,132 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// demandBook gathers what agents say: wishes for slots and confirmed releases. It also keeps the peak use of model
-// versions that have more slots than while idle.
-type demandBook struct {
-	mu       sync.Mutex
-	policy   Policy
-	wants    map[string]map[string]Want
-	releases map[string]map[Holder]confirmation
-	peaks    map[string]*peak
-	// sequence rises with each wish and each confirmation that says something new.
+// demandTracker collects the reports of agents: slot requests and confirmed releases. It also records the peak usage of
+// model versions that have more slots than their baseline.
+type demandTracker struct {
+	mu           sync.Mutex
+	policy       Policy
+	slotRequests map[string]map[string]SlotRequest
+	releases     map[string]map[Holder]confirmation
+	peaks        map[string]*peak
+	// sequence increases with each slot request and each confirmation that is new.
 	sequence uint64
 }
 
-func newDemandBook(policy Policy) *demandBook {
-	return &demandBook{
-		policy:   policy,
-		wants:    map[string]map[string]Want{},
-		releases: map[string]map[Holder]confirmation{},
-		peaks:    map[string]*peak{},
+func newDemandTracker(policy Policy) *demandTracker {
+	return &demandTracker{
+		policy:       policy,
+		slotRequests: map[string]map[string]SlotRequest{},
+		releases:     map[string]map[Holder]confirmation{},
+		peaks:        map[string]*peak{},
 	}
 }
 
-// confirmationLife is how long a confirmation is kept for which no slot is known: a process may hear of it before it has
-// read the row.
-const confirmationLife = time.Minute
+// confirmationTTL is how long a confirmation without a known slot is kept: a process may receive it before it has read
+// the row.
+const confirmationTTL = time.Minute
 
-// confirmation is the highest revision that an engine has confirmed, and when it did.
+// confirmation is the highest revision that an engine has confirmed, and the time when it did.
 type confirmation struct {
 	revision uint64
 	at       time.Time
 }
 
-// released takes in a confirmation and reports whether it says something new.
-func (b *demandBook) released(now time.Time, r Release) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// addRelease records a confirmation and reports whether it is new.
+func (t *demandTracker) addRelease(now time.Time, r Release) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	holder := Holder{Engine: r.Engine, Host: r.Host}
-	if b.releases[r.Model][holder].revision >= r.Revision {
+	if t.releases[r.Model][holder].revision >= r.Revision {
 		return false
 	}
-	if b.releases[r.Model] == nil {
-		b.releases[r.Model] = map[Holder]confirmation{}
+	if t.releases[r.Model] == nil {
+		t.releases[r.Model] = map[Holder]confirmation{}
 	}
-	b.releases[r.Model][holder] = confirmation{revision: r.Revision, at: now}
-	b.sequence++
+	t.releases[r.Model][holder] = confirmation{revision: r.Revision, at: now}
+	t.sequence++
 	return true
 }
 
-// wantWindow is the time over which waiting and refused requests are added up.
-const wantWindow = time.Second
+// slotRequestWindow is the period over which waiting and refused requests are summed.
+const slotRequestWindow = time.Second
 
-// wanted takes in a wish.
-func (b *demandBook) wanted(now time.Time, engine, model string, reason wirepb.RefusalReason, waiting int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.wants[model] == nil {
-		b.wants[model] = map[string]Want{}
+// addSlotRequest records a slot request.
+func (t *demandTracker) addSlotRequest(now time.Time, engine, model string, reason wirepb.RefusalReason, waiting int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.slotRequests[model] == nil {
+		t.slotRequests[model] = map[string]SlotRequest{}
 	}
-	w := b.wants[model][engine]
-	if w.Reason != reason || now.Sub(w.Last) >= b.policy.WantLife {
-		w = Want{Engine: engine, Reason: reason, First: now}
+	req := t.slotRequests[model][engine]
+	if req.Reason != reason || now.Sub(req.Last) >= t.policy.WantLife {
+		req = SlotRequest{Engine: engine, Reason: reason, First: now}
 	}
-	if now.Sub(w.window) >= wantWindow {
-		w.window = now
-		w.Waiting = 0
+	if now.Sub(req.windowStart) >= slotRequestWindow {
+		req.windowStart = now
+		req.Waiting = 0
 	}
-	w.Waiting += waiting
-	w.Last = now
-	b.wants[model][engine] = w
-	b.sequence++
+	req.Waiting += waiting
+	req.Last = now
+	t.slotRequests[model][engine] = req
+	t.sequence++
 }
 
-// sample notes the use of a model version.
-func (b *demandBook) sample(now time.Time, model string, running int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.peaks[model]
+// recordUsage records a sample of a model version's usage.
+func (t *demandTracker) recordUsage(now time.Time, model string, running int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	p := t.peaks[model]
 	if p == nil {
-		p = &peak{start: now, turned: now}
-		b.peaks[model] = p
+		p = &peak{start: now, rotated: now}
+		t.peaks[model] = p
 	}
-	p.add(now, running, b.policy.ExtraHold)
+	p.add(now, running, t.policy.ExtraHold)
 }
 
-// unsample forgets the use of a model version that has no slots to take back.
-func (b *demandBook) unsample(model string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.peaks, model)
+// forgetUsage drops the usage of a model version that has no slots above its baseline.
+func (t *demandTracker) forgetUsage(model string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.peaks, model)
 }
 
-// expire forgets the wishes that count for nothing any more.
-func (b *demandBook) expire(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	life := max(b.policy.AvoidFor, b.policy.ExtraHold)
-	for model, wants := range b.wants {
-		maps.DeleteFunc(wants, func(_ string, w Want) bool { return now.Sub(w.Last) >= life })
-		if len(wants) == 0 {
-			delete(b.wants, model)
+// expire drops the slot requests that no longer affect any decision.
+func (t *demandTracker) expire(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ttl := max(t.policy.AvoidFor, t.policy.ExtraHold)
+	for model, requests := range t.slotRequests {
+		maps.DeleteFunc(requests, func(_ string, req SlotRequest) bool { return now.Sub(req.Last) >= ttl })
+		if len(requests) == 0 {
+			delete(t.slotRequests, model)
 		}
 	}
 }
 
-// demand returns what is known of a model version, without the loaded replicas.
-func (b *demandBook) demand(now time.Time, model string) Demand {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// demand returns the demand for a model version, without the loaded replicas.
+func (t *demandTracker) demand(now time.Time, model string) Demand {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var d Demand
-	for _, w := range b.wants[model] {
-		d.Wants = append(d.Wants, w)
+	for _, req := range t.slotRequests[model] {
+		d.SlotRequests = append(d.SlotRequests, req)
 	}
-	if p := b.peaks[model]; p != nil {
+	if p := t.peaks[model]; p != nil {
 		d.Usage.Peak = max(p.current, p.previous)
-		d.Usage.Known = now.Sub(p.start) >= b.policy.ExtraHold
+		d.Usage.Known = now.Sub(p.start) >= t.policy.ExtraHold
 	}
 	return d
 }
 
-// confirmed returns the confirmations, and forgets those for which there is no slot any more.
-func (b *demandBook) confirmed(now time.Time, rows map[string]RowView) map[string]map[Holder]uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	copied := make(map[string]map[Holder]uint64, len(b.releases))
-	for model, holders := range b.releases {
+// confirmedRevisions returns the confirmed revisions, and drops expired ones that have no slot.
+func (t *demandTracker) confirmedRevisions(now time.Time, rows map[string]RowView) map[string]map[Holder]uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	copied := make(map[string]map[Holder]uint64, len(t.releases))
+	for model, holders := range t.releases {
 		for h, c := range holders {
-			if SlotOf(rows[model].Row, h.Engine, h.Host) == nil && now.Sub(c.at) >= confirmationLife {
+			if SlotOf(rows[model].Row, h.Engine, h.Host) == nil && now.Sub(c.at) >= confirmationTTL {
 				delete(holders, h)
 				continue
 			}
@@ -143,27 +143,27 @@
 			copied[model][h] = c.revision
 		}
 		if len(holders) == 0 {
-			delete(b.releases, model)
+			delete(t.releases, model)
 		}
 	}
 	return copied
 }
 
-func (b *demandBook) at() uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.sequence
+func (t *demandTracker) currentSequence() uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.sequence
 }
 
-// peak keeps the greatest sample of at least one window and at most two.
+// peak tracks the maximum sample over at least one window and at most two.
 type peak struct {
-	start, turned     time.Time
+	start, rotated    time.Time
 	current, previous int
 }
 
 func (p *peak) add(now time.Time, sample int, window time.Duration) {
-	if now.Sub(p.turned) >= window {
-		p.turned = now
+	if now.Sub(p.rotated) >= window {
+		p.rotated = now
 		p.previous = p.current
 		p.current = 0
 	}
--- a/internal/replicas/demand_test.go
+++ b/internal/replicas/demand_test.go
@@ -7,10 +7,10 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// Extra slots must not be taken back on the word of a quiet minute: the peak has to cover the whole time.
+// A short idle period must not release extra slots: the peak has to cover the whole of ExtraHold.
 func TestPeakCoversTheWholeTime(t *testing.T) {
 	policy := DefaultPolicy()
-	book := newDemandBook(policy)
+	tracker := newDemandTracker(policy)
 	samples := []struct {
 		after   time.Duration
 		running int
@@ -25,81 +25,82 @@
 	}
 	for _, s := range samples {
 		now := start.Add(s.after)
-		book.sample(now, story, s.running)
-		if u := book.demand(now, story).Usage; u.Peak != s.peak || u.Known != s.known {
+		tracker.recordUsage(now, testModel, s.running)
+		if u := tracker.demand(now, testModel).Usage; u.Peak != s.peak || u.Known != s.known {
 			t.Errorf("after %v: peak %d, known %v; want %d, %v", s.after, u.Peak, u.Known, s.peak, s.known)
 		}
 	}
 }
 
-// An engine that refuses one request at a time asks for as much as one that refuses them in a batch.
-func TestWantsOfOneSecondAddUp(t *testing.T) {
-	book := newDemandBook(DefaultPolicy())
+// An engine that refuses requests one by one must count as much as one that reports them in a batch.
+func TestSlotRequestsOfOneSecondAddUp(t *testing.T) {
+	tracker := newDemandTracker(DefaultPolicy())
 	for i := range 10 {
-		book.wanted(start.Add(time.Duration(i)*50*time.Millisecond), "e0", story, wirepb.RefusalReason_QUEUE_FULL, 2)
+		tracker.addSlotRequest(start.Add(time.Duration(i)*50*time.Millisecond), "e0", testModel, wirepb.RefusalReason_QUEUE_FULL, 2)
 	}
 	last := start.Add(10 * time.Second)
-	if w := book.demand(start.Add(time.Second), story).Wants; len(w) != 1 || w[0].Waiting != 20 {
-		t.Errorf("wants %v, want 20 waiting", w)
+	if req := tracker.demand(start.Add(time.Second), testModel).SlotRequests; len(req) != 1 || req[0].Waiting != 20 {
+		t.Errorf("slot requests %v, want 20 waiting", req)
 	}
-	book.wanted(last, "e0", story, wirepb.RefusalReason_QUEUE_FULL, 3)
-	if w := book.demand(last, story).Wants[0]; w.Waiting != 3 || !w.First.Equal(start) || !w.Last.Equal(last) {
-		t.Errorf("want %v, want 3 waiting since the start", w)
+	tracker.addSlotRequest(last, "e0", testModel, wirepb.RefusalReason_QUEUE_FULL, 3)
+	if req := tracker.demand(last, testModel).SlotRequests[0]; req.Waiting != 3 || !req.First.Equal(start) || !req.Last.Equal(last) {
+		t.Errorf("slot request %v, want 3 waiting since the start", req)
 	}
 }
 
-// A confirmation may reach a process before the row that it is about. It must not be forgotten at once, nor kept for ever.
+// A confirmation may reach a process before the row that it refers to. It must not be dropped at once, nor kept
+// forever.
 func TestConfirmationsAreKeptForAWhile(t *testing.T) {
-	book := newDemandBook(DefaultPolicy())
-	r := Release{Model: story, Engine: "e0", Host: "h0", Revision: 7}
-	if !book.released(start, r) || book.released(start, r) {
+	tracker := newDemandTracker(DefaultPolicy())
+	r := Release{Model: testModel, Engine: "e0", Host: "h0", Revision: 7}
+	if !tracker.addRelease(start, r) || tracker.addRelease(start, r) {
 		t.Error("the first confirmation is new, the second is not")
 	}
 	for _, c := range []struct {
 		after time.Duration
 		want  uint64
-	}{{time.Second, 7}, {confirmationLife, 0}} {
-		if got := book.confirmed(start.Add(c.after), nil)[story][Holder{Engine: "e0", Host: "h0"}]; got != c.want {
+	}{{time.Second, 7}, {confirmationTTL, 0}} {
+		if got := tracker.confirmedRevisions(start.Add(c.after), nil)[testModel][Holder{Engine: "e0", Host: "h0"}]; got != c.want {
 			t.Errorf("after %v: revision %d, want %d", c.after, got, c.want)
 		}
 	}
 }
 
-// The last caller of the evening is refused for lack of memory by all replicas that a model may have. After that the fleet
-// is silent. The decision must ask to be taken again when the wish has faded, and go on asking, or the slots that only the
-// demand of the day called for stay granted until the morning.
+// The last request before the fleet becomes idle is refused by all replicas that a model may have. The decision must
+// schedule a recheck for when the slot request expires, and continue to do so; otherwise slots that were granted only
+// for the earlier demand stay granted until the next event.
 func TestDecisionIsTakenAgainUntilUnneededSlotsAreGone(t *testing.T) {
 	s := newSite(models(1), engines(4, "north", "east"))
 	model := s.Declared.Models[0].Model
 	s.Declared.Models[0].Max = 3
 	s.run(t)
-	want := Want{Engine: "e0", Reason: wirepb.RefusalReason_QUEUE_FULL, Waiting: 1}
-	wish := func() {
-		s.pass(DefaultPolicy().GrowInterval)
+	want := SlotRequest{Engine: "e0", Reason: wirepb.RefusalReason_QUEUE_FULL, Waiting: 1}
+	request := func() {
+		s.advance(DefaultPolicy().GrowInterval)
 		want.First, want.Last = s.now, s.now
-		s.Demand[model] = Demand{Wants: []Want{want}, Usage: Usage{Known: true}}
+		s.Demand[model] = Demand{SlotRequests: []SlotRequest{want}, Usage: Usage{Known: true}}
 	}
-	wish()
+	request()
 	s.run(t)
-	wish()
+	request()
 	if slots := len(s.Rows[model].Row.Slots); slots != 3 {
 		t.Fatalf("%d slots with demand", slots)
 	}
-	home, _ := DefaultPolicy().bounds(s.Declared.Models[0])
+	baseline, _ := DefaultPolicy().bounds(s.Declared.Models[0])
 	for s.now.Sub(want.Last) < 4*DefaultPolicy().ExtraHold {
 		decision := s.decider.Decide(s.now, &s.Snapshot)
 		s.apply(decision.Changes)
-		s.confirm()
+		s.confirmReleases()
 		if len(decision.Changes) > 0 {
 			continue
 		}
-		if len(s.Rows[model].Row.Slots) == home {
+		if len(s.Rows[model].Row.Slots) == baseline {
 			return
 		}
-		if decision.Again.IsZero() {
+		if decision.RecheckAt.IsZero() {
 			break
 		}
-		s.now = decision.Again
+		s.now = decision.RecheckAt
 	}
-	t.Errorf("%d slots remain of %d home slots, %v after the last wish", len(s.Rows[model].Row.Slots), home, s.now.Sub(want.Last))
+	t.Errorf("%d slots remain of baseline %d, %v after the last request", len(s.Rows[model].Row.Slots), baseline, s.now.Sub(want.Last))
 }
--- a/internal/replicas/draft.go
+++ b/internal/replicas/draft.go
@@ -9,17 +9,17 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// health is what the decision makes of a slot. The order is that in which slots are given up: the last first.
+// health is the decision's assessment of a slot. Slots with higher values are released first.
 type health int
 
 const (
-	// healthGood: the engine may and can serve.
+	// healthGood: the engine is allowed to serve and able to.
 	healthGood health = iota
-	// healthFailing: the engine has failed to serve the model version for long.
+	// healthFailing: the engine has failed to serve the model version for at least FailingAfter.
 	healthFailing
-	// healthSilent: the engine has not answered for long; it may be alive and hold a replica.
-	healthSilent
-	// healthMisplaced: the engine may not hold the model version any more, but does serve.
+	// healthUnreachable: the engine has been unreachable for at least SilentAfter; it may be alive and hold a replica.
+	healthUnreachable
+	// healthMisplaced: the engine may no longer hold the model version, but still serves.
 	healthMisplaced
 	// healthLeaving: the engine takes no new work.
 	healthLeaving
@@ -27,20 +27,21 @@
 	healthReleasing
 )
 
-// slotDraft is one slot of a row that is being decided.
+// slotDraft is a slot of a draft.
 type slotDraft struct {
 	slot *replicaspb.Slot
-	// before is the slot as it is in the row; nil for a new one.
-	before *replicaspb.Slot
-	engine int
-	health health
-	reason Reason
-	loaded bool
-	// quiet says that the holder cannot be expected to confirm a release soon.
-	quiet bool
+	// original is the slot as stored in the row; nil for a new one.
+	original *replicaspb.Slot
+	engine   int
+	health   health
+	reason   Reason
+	loaded   bool
+	// unreachable is set if the engine has been unreachable for at least SilentAfter or is unknown, so that it is not
+	// expected to confirm a release soon.
+	unreachable bool
 }
 
-// draft is a row that is being decided.
+// draft is a modified copy of a row, before it becomes a Change.
 type draft struct {
 	model string
 	row   *replicaspb.Row
@@ -49,39 +50,40 @@
 	steps []Step
 }
 
-// newDraft copies a row's slots; a missing row has none.
+// newDraft returns a draft with a copy of a row's slots, or with none if there is no row.
 func newDraft(model string, view RowView) *draft {
 	d := &draft{model: model, row: view.Row, since: view.Since}
 	slots := view.Row.GetSlots()
 	drafts := make([]slotDraft, len(slots))
 	d.slots = make([]*slotDraft, len(slots), len(slots)+1)
 	for i, s := range slots {
-		drafts[i] = slotDraft{slot: s, before: s, engine: -1}
+		drafts[i] = slotDraft{slot: s, original: s, engine: -1}
 		d.slots[i] = &drafts[i]
 	}
 	return d
 }
 
-func (d *draft) step(action Action, engine string, reason Reason) {
+func (d *draft) addStep(action Action, engine string, reason Reason) {
 	d.steps = append(d.steps, Step{Action: action, Engine: engine, Reason: reason})
 }
 
-// remove drops a slot from the row.
+// remove removes a slot from the row.
 func (d *draft) remove(s *slotDraft, reason Reason) {
 	d.slots = slices.DeleteFunc(d.slots, func(o *slotDraft) bool { return o == s })
-	d.step(Remove, s.slot.Engine, reason)
+	d.addStep(Remove, s.slot.Engine, reason)
 }
 
-// release makes a slot RELEASING.
+// release sets a slot to RELEASING.
 func (d *draft) release(s *slotDraft, reason Reason) {
 	s.slot = proto.CloneOf(s.slot)
 	s.slot.State = replicaspb.SlotState_RELEASING
 	s.slot.ReleasingRevision = 0
 	s.health = healthReleasing
-	d.step(StartRelease, s.slot.Engine, reason)
+	d.addStep(StartRelease, s.slot.Engine, reason)
 }
 
-// grant adds a slot, before the first one that it may stand in for, because callers are sent to the first slot first.
+// grant adds a slot. It is inserted before the first slot that it may replace, because requests are sent to the slots
+// in row order.
 func (d *draft) grant(e *EngineView, engine int, hosts HostsView, reason Reason) {
 	slot := &replicaspb.Slot{
 		Engine:        e.Name,
@@ -97,10 +99,10 @@
 		at = len(d.slots)
 	}
 	d.slots = slices.Insert(d.slots, at, &slotDraft{slot: slot, engine: engine, health: healthGood})
-	d.step(Grant, e.Name, reason)
+	d.addStep(Grant, e.Name, reason)
 }
 
-// count returns how many slots are of one of the given healths.
+// count returns the number of slots with one of the given health values.
 func (d *draft) count(of ...health) int {
 	n := 0
 	for _, s := range d.slots {
@@ -111,14 +113,14 @@
 	return n
 }
 
-// change returns the change that the draft amounts to.
+// change returns the draft as a Change.
 func (d *draft) change(declared Declared) Change {
 	next := &replicaspb.Row{
 		Model:                d.model,
 		DeclarationsRevision: max(declared.Revision, d.row.GetDeclarationsRevision()),
 	}
 	for _, s := range d.slots {
-		next.Slots = append(next.Slots, d.stamp(s))
+		next.Slots = append(next.Slots, d.withReleasingRevision(s))
 	}
 	return Change{
 		Model:    d.model,
@@ -129,9 +131,10 @@
 	}
 }
 
-// stamp fills in what only a later write can know of a slot: the revision at which it became RELEASING.
-func (d *draft) stamp(s *slotDraft) *replicaspb.Slot {
-	if s.before.GetState() != replicaspb.SlotState_RELEASING || s.slot.ReleasingRevision > 0 {
+// withReleasingRevision sets the revision at which a slot became RELEASING. It is set by the next write of the row,
+// because the revision of a write is not known before its commit.
+func (d *draft) withReleasingRevision(s *slotDraft) *replicaspb.Slot {
+	if s.original.GetState() != replicaspb.SlotState_RELEASING || s.slot.ReleasingRevision > 0 {
 		return s.slot
 	}
 	slot := proto.CloneOf(s.slot)
@@ -139,5 +142,5 @@
 	return slot
 }
 
-// gone reports whether the host of a slot is known to be gone.
-func gone(hosts HostsView, s *replicaspb.Slot) bool { return hosts.Gone(s.Host, s.HostsVersion) }
+// hostGone reports whether the host of a slot is known to be gone.
+func hostGone(hosts HostsView, s *replicaspb.Slot) bool { return hosts.Gone(s.Host, s.HostsVersion) }
--- a/internal/replicas/engines.go
+++ b/internal/replicas/engines.go
@@ -8,26 +8,26 @@
 	"balsamsail/internal/backing"
 )
 
-// engineIndex is what is worked out once for a set of engines.
+// engineIndex holds data derived from a set of engines, computed once per set.
 type engineIndex struct {
 	engines []EngineView
 	byName  map[string]int
 	hashes  []uint64
 	groups  map[string]*group
-	// live tells which engines' hosts the host list names as live, in the given version of it.
+	// live marks the engines whose hosts are live in version liveVersion of the host list.
 	live        []bool
 	liveVersion uint64
-	// mostSilent says that over half of the engines do not answer.
-	mostSilent bool
+	// mostUnreachable is true if more than half of the engines are unreachable.
+	mostUnreachable bool
 }
 
-// group is the engines that one selector chooses and that may get slots: neither leaving nor drained.
+// group is the set of engines that match a selector and may get slots: neither leaving nor drained.
 type group struct {
-	members []int
-	has     []bool
-	memory  int64
-	domains map[string]struct{}
-	// density is the share of the members' memory that the declared weights of the group's slots make up.
+	members  []int
+	isMember []bool
+	memory   int64
+	domains  map[string]struct{}
+	// density is the ratio of the declared memory of the group's slots to the memory of its members.
 	density float64
 }
 
@@ -39,15 +39,15 @@
 		groups:  map[string]*group{},
 		live:    make([]bool, len(engines)),
 	}
-	silent := 0
+	unreachable := 0
 	for i := range engines {
 		x.byName[engines[i].Name] = i
 		x.hashes[i] = xxhash.Sum64String(engines[i].Name)
 		if !engines[i].Reachable {
-			silent++
+			unreachable++
 		}
 	}
-	x.mostSilent = 2*silent > len(engines)
+	x.mostUnreachable = 2*unreachable > len(engines)
 	return x
 }
 
@@ -57,14 +57,14 @@
 	if g, ok := x.groups[key]; ok {
 		return g
 	}
-	g := &group{has: make([]bool, len(x.engines)), domains: map[string]struct{}{}}
+	g := &group{isMember: make([]bool, len(x.engines)), domains: map[string]struct{}{}}
 	for i := range x.engines {
 		e := &x.engines[i]
 		if e.Leaving || e.Drain || !s.Matches(e.Labels) {
 			continue
 		}
 		g.members = append(g.members, i)
-		g.has[i] = true
+		g.isMember[i] = true
 		g.memory += e.MemoryBytes
 		if e.Reachable {
 			g.domains[e.FailureDomain] = struct{}{}
@@ -74,8 +74,8 @@
 	return g
 }
 
-// holder returns the position of the engine that holds a slot, or -1 when it is not known. An engine of the same name on
-// another host is not the slot's holder.
+// holder returns the index of the engine that holds a slot, or -1 if it is unknown. An engine of the same name on
+// another host is not the holder.
 func (x *engineIndex) holder(engine, host string) int {
 	i, ok := x.byName[engine]
 	if !ok || x.engines[i].Host != host {
@@ -84,8 +84,8 @@
 	return i
 }
 
-// listHosts takes in a version of the host list; version 0 is always taken in anew.
-func (x *engineIndex) listHosts(hosts HostsView) {
+// setHosts applies a version of the host list. Version 0 is always applied again.
+func (x *engineIndex) setHosts(hosts HostsView) {
 	if x.liveVersion == hosts.Version && hosts.Version > 0 {
 		return
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-// addShares adds to each engine's share what the groups that it belongs to would put on it.
+// addShares adds to each engine's fair share its part of the load of every group that it belongs to.
 func (x *engineIndex) addShares(shares []float64) {
 	for _, g := range x.groups {
 		if g.density == 0 {
@@ -113,9 +113,9 @@
 	}
 }
 
-// rendezvousScore is the weighted rendezvous hash of a model version and an engine: each engine is the highest for a
-// share of all model versions that is in proportion to its weight, and the order of two engines does not depend on any
-// third, so that an engine that comes or goes changes the choice only where it is the highest itself.
+// rendezvousScore is the weighted rendezvous hash of a model version and an engine. Each engine has the highest score
+// for a fraction of all model versions proportional to its weight. The order of two engines does not depend on any
+// third, so adding or removing an engine changes the choice only where that engine has the highest score.
 func rendezvousScore(model, engine uint64, weight float64) float64 {
 	const mantissa = 53
 	h := mix(model ^ mix(engine))
--- a/internal/replicas/guards_test.go
+++ b/internal/replicas/guards_test.go
@@ -10,33 +10,34 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// guard names one of the rules that keep engines from holding more than was decided. The world can leave one out, to
-// show that its checks see what the rule prevents.
+// guard names a safety rule that keeps engines from holding more than was decided. The simulation can disable one, to
+// show that its checks detect the violations that the rule prevents.
 type guard string
 
 const (
 	guardNone guard = ""
-	// guardConfirmation: a RELEASING slot leaves the row only when its engine has confirmed.
+	// guardConfirmation: a RELEASING slot is removed from the row only after its engine has confirmed.
 	guardConfirmation guard = "confirmation"
-	// guardConfirmedRevision: a confirmation of an older release does not count.
+	// guardConfirmedRevision: a confirmation of an older release is ignored.
 	guardConfirmedRevision guard = "confirmed revision"
 	// guardReleasingCounts: RELEASING slots count against the maximum.
 	guardReleasingCounts guard = "releasing counts"
-	// guardCondition: a write needs the row to be the one that it was decided from.
+	// guardCondition: a write is conditional on the row that it was decided from.
 	guardCondition guard = "condition on the row"
-	// guardHead: a write needs the declarations to be those that it was decided from.
+	// guardHead: a write is conditional on the declarations that it was decided from.
 	guardHead guard = "condition on the declarations"
 	// guardUnlisted: a host that is not listed yet is not gone.
 	guardUnlisted guard = "not listed yet"
 	// guardHostInSlot: a slot belongs to the engine on its host, not to any engine of that name.
 	guardHostInSlot guard = "host in the slot"
-	// guardRowsFirst: a restarted agent waits for its predecessor's orders and reads the rows from the table.
+	// guardRowsFirst: a restarted agent waits for its predecessor's orders and reads the rows from the table before it
+	// acts.
 	guardRowsFirst guard = "rows first"
-	// guardRowsFloor: after that read, rows at older revisions do not count.
+	// guardRowsFloor: after that read, rows at older revisions are ignored.
 	guardRowsFloor guard = "rows floor"
 )
 
-// decide runs a decision with the guard left out.
+// decide runs a decision with the guard disabled.
 func (g guard) decide(d *Decider, now time.Time, s *Snapshot) []Change {
 	switch g {
 	case guardConfirmation:
@@ -59,10 +60,11 @@
 	return changes
 }
 
-// unconditional stands for a condition that always holds; the world fills in the revision that the row has.
+// unconditional marks a change whose condition always holds; the simulation replaces it by the row's current revision.
 const unconditional = math.MaxUint64
 
-// confirmAll makes confirmations of all RELEASING slots, or only of those whose engines ever confirmed any revision.
+// confirmAll returns forged confirmations of all RELEASING slots, or only of those whose engines have confirmed some
+// revision before.
 func confirmAll(s *Snapshot, onlyEver bool) map[string]map[Holder]uint64 {
 	forged := map[string]map[Holder]uint64{}
 	for model, view := range s.Rows {
@@ -77,7 +79,7 @@
 	return forged
 }
 
-// decideUncounted decides as if RELEASING slots were not in the rows, and puts them back into the changed rows.
+// decideUncounted decides as if RELEASING slots were not in the rows, and adds them back to the changed rows.
 func decideUncounted(d *Decider, now time.Time, s *Snapshot) []Change {
 	hidden := map[string][]*replicaspb.Slot{}
 	for model, view := range s.Rows {
@@ -103,7 +105,7 @@
 	return changes
 }
 
-// unlistedAreGone counts every host that the list does not name as gone.
+// unlistedAreGone returns a host list in which every unlisted host is gone.
 func unlistedAreGone(s *Snapshot) HostsView {
 	view := HostsView{Version: s.Hosts.Version, States: map[string]backing.HostState{}}
 	for host, state := range s.Hosts.States {
--- a/internal/replicas/helpers_test.go
+++ b/internal/replicas/helpers_test.go
@@ -20,7 +20,7 @@
 
 const gibibyte = int64(1) << 30
 
-// start is the time at which the tests begin.
+// start is the initial time of the tests.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // memoryTable is a transactional table in memory.
@@ -28,14 +28,14 @@
 	mu       sync.Mutex
 	revision uint64
 	rows     map[string]backing.Row
-	// gets, lists and commits count the calls.
+	// gets, lists and commits are call counts.
 	gets, lists, commits int
-	// fault, when set, is asked before each commit; the error that it returns is the commit's answer. When takeEffect is
-	// true the commit happens all the same.
+	// fault, if set, is called before each commit; its error is returned by Commit. If takeEffect is true the commit takes
+	// effect nevertheless.
 	fault func(backing.Txn) (err error, takeEffect bool)
 	// down makes all calls fail.
 	down bool
-	// observe, when set, is told of each row that a commit changes.
+	// observe, if set, is called for each row that a commit changes.
 	observe func(before, after backing.Row)
 }
 
@@ -135,7 +135,7 @@
 	return row
 }
 
-// site is a snapshot with short ways to change it.
+// site is a snapshot with helpers to change it.
 type site struct {
 	Snapshot
 	now      time.Time
@@ -193,7 +193,7 @@
 // decide runs one decision.
 func (s *site) decide() []Change { return s.decider.Decide(s.now, &s.Snapshot).Changes }
 
-// apply writes changes as the table would.
+// apply applies changes as the table would.
 func (s *site) apply(changes []Change) {
 	for _, c := range changes {
 		s.revision++
@@ -207,26 +207,26 @@
 	}
 }
 
-// confirm lets every reachable engine confirm the release of its RELEASING slots.
-func (s *site) confirm() {
+// confirmReleases makes every engine confirm the release of its RELEASING slots.
+func (s *site) confirmReleases() {
 	for model, view := range s.Rows {
 		for _, slot := range view.Row.Slots {
 			if slot.State == replicaspb.SlotState_RELEASING {
-				s.confirmAt(model, slot.Engine, slot.Host, view.Row.Revision)
+				s.confirmRelease(model, slot.Engine, slot.Host, view.Row.Revision)
 			}
 		}
 	}
 }
 
-func (s *site) confirmAt(model, engine, host string, revision uint64) {
+func (s *site) confirmRelease(model, engine, host string, revision uint64) {
 	if s.Releases[model] == nil {
 		s.Releases[model] = map[Holder]uint64{}
 	}
 	s.Releases[model][Holder{Engine: engine, Host: host}] = revision
 }
 
-// run decides, applies and confirms until nothing is left to do, and returns the number of changes. It fails the test
-// when there is no end to them.
+// run decides, applies and confirms until no change is left, and returns the number of changes. It fails the test if
+// the decisions do not converge.
 func (s *site) run(tb testing.TB) int {
 	tb.Helper()
 	const limit = 1000
@@ -238,14 +238,14 @@
 		}
 		total += len(changes)
 		s.apply(changes)
-		s.confirm()
+		s.confirmReleases()
 		s.now = s.now.Add(100 * time.Millisecond)
 	}
 	tb.Fatalf("still changing after %d rounds: %v", limit, s.decide())
 	return total
 }
 
-// edit changes one engine in a new slice of engines.
+// edit changes one engine in a copy of the engines.
 func (s *site) edit(name string, change func(*EngineView)) {
 	s.Engines = slices.Clone(s.Engines)
 	for i := range s.Engines {
@@ -255,21 +255,21 @@
 	}
 }
 
-// pass lets time pass.
-func (s *site) pass(d time.Duration) { s.now = s.now.Add(d) }
+// advance advances the clock by d.
+func (s *site) advance(d time.Duration) { s.now = s.now.Add(d) }
 
-// silence makes an engine unreachable from now on.
-func (s *site) silence(name string) {
+// makeUnreachable makes an engine unreachable from now on.
+func (s *site) makeUnreachable(name string) {
 	s.edit(name, func(e *EngineView) { e.Reachable, e.Since = false, s.now })
 }
 
-// listHosts makes a new version of the host list.
+// listHosts creates a new version of the host list.
 func (s *site) listHosts(change func(states map[string]backing.HostState)) {
 	s.Hosts = HostsView{Version: s.Hosts.Version + 1, States: maps.Clone(s.Hosts.States)}
 	change(s.Hosts.States)
 }
 
-// slots writes a row's slots in short: "e0 e3" for granted, "e0-" for releasing ones.
+// slots formats a row's slots: "e0 e3" for granted, "e0-" for releasing ones.
 func (s *site) slots(model string) string { return short(s.Rows[model].Row) }
 
 func short(row *replicaspb.Row) string {
--- a/internal/replicas/judge.go
+++ b/internal/replicas/judge.go
@@ -5,52 +5,52 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// judge sets the health of each slot.
-func (r *run) judge(spec *ModelSpec, d *draft) {
-	turn := r.markLoaded(r.snapshot.Demand[d.model].Usage.Loaded)
+// assessSlots sets the health of each slot.
+func (r *decisionRun) assessSlots(spec *ModelSpec, d *draft) {
+	mark := r.markLoaded(r.snapshot.Demand[d.model].Usage.Loaded)
 	var g *group
 	if spec != nil {
 		g = r.index.group(spec.Selector)
 	}
 	for _, s := range d.slots {
 		s.engine = r.index.holder(s.slot.Engine, s.slot.Host)
-		s.loaded = s.engine >= 0 && r.loaded[s.engine] == turn
-		s.quiet = r.silent(s.engine)
+		s.loaded = s.engine >= 0 && r.loaded[s.engine] == mark
+		s.unreachable = r.unreachable(s.engine)
 		if s.slot.State == replicaspb.SlotState_RELEASING {
 			s.health = healthReleasing
 			continue
 		}
 		if spec != nil {
-			s.health, s.reason = r.judgeGranted(spec, g, s)
+			s.health, s.reason = r.assessGranted(spec, g, s)
 		}
 	}
 }
 
-// markLoaded marks the named engines as loaded, and returns the number to compare the marks with.
-func (r *run) markLoaded(engines []string) uint32 {
-	r.turn++
+// markLoaded marks the named engines as loaded, and returns the value that identifies the marks of this call.
+func (r *decisionRun) markLoaded(engines []string) uint32 {
+	r.mark++
 	for _, name := range engines {
 		if i, ok := r.index.byName[name]; ok {
-			r.loaded[i] = r.turn
+			r.loaded[i] = r.mark
 		}
 	}
-	return r.turn
+	return r.mark
 }
 
-func (r *run) judgeGranted(spec *ModelSpec, g *group, s *slotDraft) (health, Reason) {
+func (r *decisionRun) assessGranted(spec *ModelSpec, g *group, s *slotDraft) (health, Reason) {
 	if s.engine >= 0 {
 		e := &r.index.engines[s.engine]
 		switch {
 		case e.Leaving, e.Drain:
 			return healthLeaving, ReasonLeaving
-		case !g.has[s.engine]:
+		case !g.isMember[s.engine]:
 			return healthMisplaced, ReasonMismatch
 		case e.MemoryBytes > 0 && e.MemoryBytes < spec.MemoryBytes:
 			return healthMisplaced, ReasonNoFit
 		}
 	}
-	if s.quiet && !r.index.mostSilent {
-		return healthSilent, ReasonSilent
+	if s.unreachable && !r.index.mostUnreachable {
+		return healthUnreachable, ReasonUnreachable
 	}
 	if r.failing(spec.Model, s.slot.Engine) {
 		return healthFailing, ReasonFailing
@@ -58,11 +58,12 @@
 	return healthGood, ""
 }
 
-// silent reports whether an engine has not answered for long; -1 stands for one that this process has not heard of.
+// unreachable reports whether an engine has been unreachable for at least SilentAfter; -1 stands for an engine without
+// any report.
 //
-// A process that hears from less than half of the engines is more likely cut off itself: judgeGranted then takes no
-// silence as a reason to move slots.
-func (r *run) silent(engine int) bool {
+// A process that reaches less than half of the engines is more likely cut off itself; assessGranted then does not treat
+// unreachable engines as a reason to move slots.
+func (r *decisionRun) unreachable(engine int) bool {
 	since := r.snapshot.Since
 	if engine >= 0 {
 		e := &r.index.engines[engine]
@@ -71,38 +72,38 @@
 		}
 		since = e.Since
 	}
-	due := since.Add(r.policy.SilentAfter)
-	if r.now.Before(due) {
-		r.again(due)
+	deadline := since.Add(r.policy.SilentAfter)
+	if r.now.Before(deadline) {
+		r.recheckAt(deadline)
 		return false
 	}
 	return true
 }
 
-// unserved reports whether a reason for wanting a slot elsewhere says that the engine cannot serve the model version at
-// all, as against too slowly.
-func unserved(reason wirepb.RefusalReason) bool {
+// cannotServe reports whether the reason of a slot request means that the engine cannot serve the model version at all,
+// rather than too slowly.
+func cannotServe(reason wirepb.RefusalReason) bool {
 	return reason == wirepb.RefusalReason_NO_MEMORY || reason == wirepb.RefusalReason_LOAD_FAILED
 }
 
-// failing reports whether an engine has failed to serve a model version for long, and still does.
-func (r *run) failing(model, engine string) bool {
-	for _, w := range r.snapshot.Demand[model].Wants {
-		if w.Engine == engine && unserved(w.Reason) && r.fresh(w) && w.Last.Sub(w.First) >= r.policy.FailingAfter {
+// failing reports whether an engine has failed to serve a model version for at least FailingAfter, and still does.
+func (r *decisionRun) failing(model, engine string) bool {
+	for _, req := range r.snapshot.Demand[model].SlotRequests {
+		if req.Engine == engine && cannotServe(req.Reason) && r.recent(req) && req.Last.Sub(req.First) >= r.policy.FailingAfter {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *run) fresh(w Want) bool { return r.now.Sub(w.Last) < r.policy.WantLife }
+func (r *decisionRun) recent(req SlotRequest) bool { return r.now.Sub(req.Last) < r.policy.WantLife }
 
-// avoided returns the engines that lately failed to serve a model version.
-func (r *run) avoided(model string) map[string]struct{} {
+// avoided returns the engines that failed to serve a model version within the last AvoidFor.
+func (r *decisionRun) avoided(model string) map[string]struct{} {
 	avoided := map[string]struct{}{}
-	for _, w := range r.snapshot.Demand[model].Wants {
-		if unserved(w.Reason) && r.now.Sub(w.Last) < r.policy.AvoidFor {
-			avoided[w.Engine] = struct{}{}
+	for _, req := range r.snapshot.Demand[model].SlotRequests {
+		if cannotServe(req.Reason) && r.now.Sub(req.Last) < r.policy.AvoidFor {
+			avoided[req.Engine] = struct{}{}
 		}
 	}
 	return avoided
--- a/internal/replicas/manager.go
+++ b/internal/replicas/manager.go
@@ -17,32 +17,32 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// Options are the settings of a Manager.
+// Options are the parameters of a Manager.
 type Options struct {
 	Policy Policy
-	// Incarnation rises with each start of the process; it makes operation ids unique.
+	// Incarnation increases with each start of the process; it makes operation IDs unique.
 	Incarnation uint64
-	// Interval is the time between reads of the changed rows, and FullInterval that between reads of all rows, which show
-	// deletions.
+	// Interval is the time between reads of the changed rows. FullInterval is the time between reads of all rows, which
+	// reveal deletions.
 	Interval, FullInterval time.Duration
-	// Settle is how long inputs are gathered before a decision, and DecideShare the share of a processor that decisions may
-	// take: a costly decision makes the next one wait.
+	// Settle is how long input changes are batched before a decision. DecideShare is the fraction of one CPU that
+	// decisions may use: an expensive decision delays the next one.
 	Settle      time.Duration
 	DecideShare float64
-	// TurnStep is how much longer each process waits than the one before it in the order of proposing.
+	// TurnStep is the additional delay of each process after the one ranked before it in the order of proposing.
 	TurnStep time.Duration
-	// WritesPerSecond and WriteBurst bound this process's writes to the table.
+	// WritesPerSecond and WriteBurst limit the rate of this process's writes to the table.
 	WritesPerSecond float64
 	WriteBurst      int
-	// ParallelWrites bounds the writes in flight.
+	// ParallelWrites limits the writes in flight.
 	ParallelWrites int
-	// MinBackoff and MaxBackoff bound the wait after a call that the table did not answer.
+	// MinBackoff and MaxBackoff bound the delay after a call that failed or that the table did not answer.
 	MinBackoff, MaxBackoff time.Duration
 	// Seed seeds the jitter.
 	Seed uint64
 }
 
-// DefaultOptions returns the settings for a few entries.
+// DefaultOptions returns the defaults for sites with a few entries.
 func DefaultOptions() Options {
 	return Options{
 		Policy:          DefaultPolicy(),
@@ -59,7 +59,7 @@
 	}
 }
 
-// Manager follows the rows of the table, decides and proposes.
+// Manager follows the rows of the table, decides and proposes changes.
 type Manager struct {
 	options  Options
 	table    backing.Table
@@ -69,30 +69,30 @@
 	metrics  *metrics
 	timeline *timeline.Recorder
 
-	store  *store
-	demand *demandBook
+	store  *rowStore
+	demand *demandTracker
 	wake   chan struct{}
-	// operations counts the operation ids that were given out.
+	// operations counts the operation IDs issued.
 	operations atomic.Uint64
 
-	// The following belong to Run.
-	decider *Decider
-	turns   *turns
-	limiter *rate.Limiter
-	random  *rand.Rand
-	started time.Time
-	// readAt and fullRead are when the last reads of changed rows and of all rows began.
-	readAt, fullRead time.Time
-	nextRead         time.Time
-	// reading and writing hold up calls after failed ones.
-	reading, writing backoff
-	lastSeen         stamp
-	decision         Decision
-	// notBefore is when the next decision may be taken.
+	// The following fields are used by Run only.
+	decider  *Decider
+	schedule *proposalSchedule
+	limiter  *rate.Limiter
+	random   *rand.Rand
+	started  time.Time
+	// lastRead and lastFullRead are when the last reads of changed rows and of all rows began.
+	lastRead, lastFullRead time.Time
+	nextRead               time.Time
+	// readBackoff and writeBackoff delay calls after failed ones.
+	readBackoff, writeBackoff backoff
+	lastVersions              inputVersions
+	decision                  Decision
+	// notBefore is the earliest time of the next decision.
 	notBefore time.Time
 }
 
-// NewManager returns a Manager; it does nothing before Run.
+// NewManager returns a Manager. It is inactive until Run is called.
 func NewManager(o Options, table backing.Table, in Inputs, c clock.Clock, log *slog.Logger,
 	registerer prometheus.Registerer, recorder *timeline.Recorder) *Manager {
 	random := rand.New(rand.NewPCG(o.Seed, o.Incarnation))
@@ -104,17 +104,17 @@
 		log:      log,
 		metrics:  newMetrics(registerer),
 		timeline: recorder,
-		store:    newStore(),
-		demand:   newDemandBook(o.Policy),
+		store:    newRowStore(),
+		demand:   newDemandTracker(o.Policy),
 		wake:     make(chan struct{}, 1),
 		decider:  NewDecider(o.Policy),
-		turns:    newTurns(o.TurnStep, random.Float64),
+		schedule: newProposalSchedule(o.TurnStep, random.Float64),
 		limiter:  rate.NewLimiter(rate.Limit(o.WritesPerSecond), o.WriteBurst),
 		random:   random,
 	}
 }
 
-// Notify tells the Manager that an input has changed; without it the change is seen at the next interval.
+// Notify signals that an input has changed. A change without Notify takes effect in the next round.
 func (m *Manager) Notify() {
 	select {
 	case m.wake <- struct{}{}:
@@ -122,21 +122,21 @@
 	}
 }
 
-// Released takes in an engine's confirmation. Confirmations are kept in memory only: an agent repeats them to each
-// process that connects for as long as a row that it sees has its slot RELEASING.
+// Released records an engine's confirmation of a release. Confirmations are kept in memory only: an agent repeats them
+// to each process that connects for as long as its view of the row has its slot RELEASING.
 func (m *Manager) Released(r Release) {
-	if m.demand.released(m.clock.Now(), r) {
+	if m.demand.addRelease(m.clock.Now(), r) {
 		m.Notify()
 	}
 }
 
-// Wanted takes in an engine's wish for a slot elsewhere; waiting is the number of requests that wait or were refused.
+// Wanted records an engine's request for a slot elsewhere; waiting is the number of requests that wait or were refused.
 func (m *Manager) Wanted(engine, model string, reason wirepb.RefusalReason, waiting int) {
-	m.metrics.wants.WithLabelValues(reason.String()).Inc()
+	m.metrics.slotRequests.WithLabelValues(reason.String()).Inc()
 	m.timeline.Record(timeline.Event{
 		Kind: timeline.SlotWanted, Model: model, Endpoint: engine, Detail: reason.String(),
 	})
-	m.demand.wanted(m.clock.Now(), engine, model, reason, waiting)
+	m.demand.addSlotRequest(m.clock.Now(), engine, model, reason, waiting)
 	m.Notify()
 }
 
@@ -146,19 +146,20 @@
 	return complete
 }
 
-// Row returns the row of a model version as last read, or nil. It must not be changed.
+// Row returns the row of a model version as last read, or nil. It must not be modified.
 func (m *Manager) Row(model string) *replicaspb.Row { return m.store.row(model) }
 
-// RowsOf returns the rows that name an engine, to be pushed to its agent. They must not be changed.
+// RowsOf returns the rows that contain a slot of an engine, to be pushed to its agent. They must not be modified.
 func (m *Manager) RowsOf(engine string) []*replicaspb.Row { return m.store.rowsOf(engine) }
 
-// Changed returns the rows that changed after the given point (0: all), the model versions whose rows were deleted after
-// it, and the point to ask from next. Points are this process's own. The rows must not be changed.
+// Changed returns the rows that changed after the given sequence number (0: all), the model versions whose rows were
+// deleted after it, and the sequence number for the next call. Sequence numbers are local to this process. The rows
+// must not be modified.
 func (m *Manager) Changed(after uint64) (rows []*replicaspb.Row, deleted []string, next uint64) {
 	return m.store.since(after)
 }
 
-// Watch returns a channel that receives after rows have changed, and a function that ends the watch.
+// Watch returns a channel that receives a value after rows have changed, and a function that ends the watch.
 func (m *Manager) Watch() (<-chan struct{}, func()) { return m.store.watch() }
 
 func (m *Manager) operationID() string {
--- a/internal/replicas/manager_test.go
+++ b/internal/replicas/manager_test.go
@@ -17,7 +17,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// siteInputs hands a site to a Manager.
+// siteInputs provides a site as the inputs of a Manager.
 type siteInputs struct {
 	mu   sync.Mutex
 	site *site
@@ -52,7 +52,7 @@
 		prometheus.NewRegistry(), nil)
 }
 
-// cluster is a few Managers over one table, in a bubble of testing/synctest.
+// cluster is a set of Managers that share one table, in a testing/synctest bubble.
 type cluster struct {
 	table    *memoryTable
 	site     *site
@@ -60,24 +60,24 @@
 	managers []*Manager
 }
 
-// run starts entries a, b, c, of which the first silent ones are listed as live but do nothing.
-func runCluster(t *testing.T, s *site, silent int, test func(c *cluster)) {
+// runCluster starts entries a, b and c. The first inactive ones are listed as live but not started.
+func runCluster(t *testing.T, s *site, inactive int, test func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		s.EnginesVersion = 1
 		c := &cluster{table: newMemoryTable(), site: s}
 		live := []string{"a", "b", "c"}
-		for i, name := range live[silent:] {
+		for i, name := range live[inactive:] {
 			in := &siteInputs{site: s, self: name, live: live}
 			options := DefaultOptions()
 			options.Seed = uint64(i)
-			// No two act at the same instant, which would leave their order to chance.
+			// Different settle times keep two entries from acting at the same instant, in an undefined order.
 			options.Settle += time.Duration(i) * time.Millisecond
 			m := newTestManager(options, c.table, in)
 			c.inputs, c.managers = append(c.inputs, in), append(c.managers, m)
 			running.Go(func() {
-				// Nothing runs before the test waits for the first time.
+				// The delay keeps the entry from running before the test's first wait.
 				time.Sleep(time.Duration(10*i+1) * time.Millisecond)
 				_ = m.Run(ctx)
 			})
@@ -88,7 +88,7 @@
 	})
 }
 
-// change edits the site under every Manager's lock and tells them.
+// change edits the site under every Manager's lock and notifies the Managers.
 func (c *cluster) change(edit func(s *site)) {
 	for _, in := range c.inputs {
 		in.mu.Lock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// confirm lets every engine confirm the releases that the table asks for.
+// confirm makes every engine confirm the releases in the table.
 func (c *cluster) confirm(t *testing.T) {
 	for _, spec := range c.site.Declared.Models {
 		row := c.table.row(t, spec.Model)
@@ -118,7 +118,7 @@
 	}
 }
 
-// commitsIn returns how many commits and reads the table sees while time passes.
+// callsIn returns the number of commits and reads that the table receives during d.
 func (c *cluster) callsIn(d time.Duration) (commits, reads int) {
 	c.table.mu.Lock()
 	commits, reads = c.table.commits, c.table.lists+c.table.gets
@@ -130,8 +130,8 @@
 	return c.table.commits - commits, c.table.lists + c.table.gets - reads
 }
 
-// The table takes some hundred writes and two thousand reads a second for everything. What the grants take of it, event by
-// event, for three entries, 105 model versions and 18 engines.
+// The table accepts a few hundred writes and two thousand reads a second in total. The test bounds the calls per event
+// for three entries, 105 model versions and 18 engines.
 func TestTableCallsPerEvent(t *testing.T) {
 	const settle = 20 * time.Second
 	idle := int(3 * settle / time.Second)
@@ -141,19 +141,19 @@
 		all := []struct {
 			event string
 			do    func()
-			// commits is the number of writes that the event must take, writes that fail for a race included.
+			// commits returns the number of writes that the event must cause, including writes that fail because of a conflict.
 			commits func() int
 		}{
 			{"start with an empty table", func() {}, func() int { return 105 }},
-			{"nothing", func() {}, func() int { return 0 }},
+			{"no change", func() {}, func() int { return 0 }},
 			{"engine drained", func() { c.change(func(s *site) { drain("e1")(s) }) },
 				func() int { return slotsOf("e1") }},
 			{"releases confirmed", func() { c.confirm(t) }, func() int { return slotsOf("e1") }},
-			{"engine silent, one slot for each of its own", func() {
+			{"engine unreachable, each of its slots replaced", func() {
 				c.change(func(s *site) { s.edit("e2", func(e *EngineView) { e.Reachable, e.Since = false, time.Now() }) })
 			}, func() int { return slotsOf("e2") }},
-			{"its host gone", func() { c.change(host("h2", backing.HostGone)) }, func() int { return slotsOf("e2") }},
-			{"slot wanted", func() {
+			{"its host gone", func() { c.change(setHostState("h2", backing.HostGone)) }, func() int { return slotsOf("e2") }},
+			{"slot requested", func() {
 				for _, m := range c.managers {
 					m.Wanted("e0", "m0@1", wirepb.RefusalReason_QUEUE_FULL, 1)
 				}
@@ -174,8 +174,8 @@
 	})
 }
 
-// The entry whose turn it is does nothing: it is frozen, or cut off from the table. Its model versions must not wait for
-// the host list to say so.
+// The entry that ranks first is frozen or cut off from the table. Its model versions must not wait until the host list
+// reports that.
 func TestOthersStepIn(t *testing.T) {
 	runCluster(t, newSite(models(30), engines(6, "north", "east")), 2, func(c *cluster) {
 		commits, _ := c.callsIn(5 * time.Second)
@@ -185,8 +185,8 @@
 	})
 }
 
-// The table is down for ten minutes. The rows as last read must stay, the table must not be flooded, and what has changed
-// in between must be done soon after.
+// The table is down for ten minutes. The rows as last read must stay, the table must not be flooded, and pending
+// changes must be made soon after the outage.
 func TestTableOutage(t *testing.T) {
 	runCluster(t, newSite(models(30), engines(6, "north", "east")), 0, func(c *cluster) {
 		c.callsIn(5 * time.Second)
@@ -205,12 +205,13 @@
 		before := c.table.revision
 		commits, _ = c.callsIn(10 * time.Second)
 		if made := int(c.table.revision - before); made != rows || commits > 2*rows {
-			t.Errorf("%d writes after the outage, of them %d made, want %d", commits, made, rows)
+			t.Errorf("%d writes after the outage, of them %d committed, want %d", commits, made, rows)
 		}
 	})
 }
 
-// The table refuses all writes over its rate, and answers reads. Hundreds of decided changes must not add to the load.
+// The table rejects all writes with a rate limit error and answers reads. Hundreds of pending changes must not add to
+// the load.
 func TestWritesRefused(t *testing.T) {
 	runCluster(t, newSite(models(200), engines(18, "north", "east")), 0, func(c *cluster) {
 		c.table.fault = func(backing.Txn) (error, bool) { return backing.ErrRateLimited, false }
@@ -220,16 +221,17 @@
 		c.table.mu.Lock()
 		c.table.fault = nil
 		c.table.mu.Unlock()
-		// Entries come back at different times, and one may write what another is about to write.
+		// Entries resume at different times, and one may write what another is about to write.
 		commits, _ := c.callsIn(20 * time.Second)
-		t.Logf("%d writes for 200 rows after the table takes them again", commits)
+		t.Logf("%d writes for 200 rows after the table accepts writes again", commits)
 		if len(c.table.rows) != 200 || commits > 260 {
-			t.Errorf("%d writes and %d rows, want 200 rows with few writes in vain", commits, len(c.table.rows))
+			t.Errorf("%d writes and %d rows, want 200 rows with few failed writes", commits, len(c.table.rows))
 		}
 	})
 }
 
-// Answers are lost after the write for a while. No grant may be made twice, and the view must follow the table.
+// Responses are lost after the write took effect. No grant may be made twice, and the Managers' rows must match the
+// table.
 func TestLostAnswers(t *testing.T) {
 	runCluster(t, newSite(models(30), engines(6, "north", "east")), 0, func(c *cluster) {
 		c.table.mu.Lock()
@@ -242,14 +244,14 @@
 		for _, spec := range c.site.Declared.Models {
 			for _, m := range c.managers {
 				if !proto.Equal(m.Row(spec.Model), c.table.row(t, spec.Model)) {
-					t.Errorf("%s: %s in view, %s in the table", spec.Model, short(m.Row(spec.Model)), short(c.table.row(t, spec.Model)))
+					t.Errorf("%s: %s in the Manager, %s in the table", spec.Model, short(m.Row(spec.Model)), short(c.table.row(t, spec.Model)))
 				}
 			}
 		}
 	})
 }
 
-// A row is deleted by another entry. Those that read only what changed see no trace of it; the full read must show it.
+// A row is deleted by another entry. Reads of changed rows do not show deletions; the full read must.
 func TestDeletionIsSeen(t *testing.T) {
 	runCluster(t, newSite(models(2), engines(2, "north", "east")), 0, func(c *cluster) {
 		c.callsIn(5 * time.Second)
@@ -262,13 +264,14 @@
 		c.callsIn(DefaultOptions().FullInterval + 5*time.Second)
 		for i, m := range c.managers {
 			if m.Row("m1@1") != nil || c.table.row(t, "m1@1") != nil {
-				t.Errorf("entry %d still knows %s, table %s", i, short(m.Row("m1@1")), short(c.table.row(t, "m1@1")))
+				t.Errorf("entry %d still has %s, table %s", i, short(m.Row("m1@1")), short(c.table.row(t, "m1@1")))
 			}
 		}
 	})
 }
 
-// An entry's declarations lag behind an accepted edit, so that each of its writes fails. It must not try without a pause.
+// An entry's declarations lag behind an accepted edit, so that each of its writes fails. It must not retry without
+// delay.
 func TestLaggingDeclarationsDoNotFloodTheTable(t *testing.T) {
 	s := newSite(models(1), engines(2, "north", "east"))
 	s.Declared.Head = backing.Condition{Key: headKey, Revision: 7}
@@ -277,7 +280,7 @@
 		if commits, _ := c.callsIn(seconds * time.Second); commits > 3*2*seconds {
 			t.Errorf("%d writes in %d seconds by three entries", commits, seconds)
 		}
-		if row := c.table.row(t, story); row != nil {
+		if row := c.table.row(t, testModel); row != nil {
 			t.Errorf("granted %s under declarations that are not in force", short(row))
 		}
 	})
--- a/internal/replicas/memo.go
+++ b/internal/replicas/memo.go
@@ -4,42 +4,42 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// memo is what is worked out once for one row and one set of engines.
-type memo struct {
+// rowCache holds data derived from one row and one set of engines.
+type rowCache struct {
 	row   *replicaspb.Row
 	index *engineIndex
-	// granted are the positions of the engines that hold the GRANTED slots, in the order of the row; -1 when not known.
+	// granted are the indices of the engines that hold the GRANTED slots, in the order of the row; -1 if unknown.
 	granted []int
-	// calm says that nothing was to be decided for the row under these declarations and this host list, that no passing of
-	// time will change this, and that the row has no more than its home slots.
-	calm            bool
+	// steady means that the row needs no change under these declarations and this host list, that time alone will not
+	// change this, and that the row has exactly its baseline slots.
+	steady          bool
 	declared, hosts uint64
-	// crowded is the failure domain that holds too many of the slots, once that was looked for.
-	crowded      string
-	crowdedKnown bool
+	// crowdedDomain is the failure domain that holds too many of the slots, valid once crowdedComputed is true.
+	crowdedDomain   string
+	crowdedComputed bool
 }
 
-// memo returns what is worked out for a model version's row.
-func (r *run) memo(model string) *memo {
+// rowCache returns the cache of a model version's row.
+func (r *decisionRun) rowCache(model string) *rowCache {
 	row := r.snapshot.Rows[model].Row
-	m := r.memos[model]
+	m := r.caches[model]
 	if m != nil && m.row == row && m.index == r.index {
 		return m
 	}
-	m = &memo{row: row, index: r.index}
+	m = &rowCache{row: row, index: r.index}
 	for _, s := range row.GetSlots() {
 		if s.State == replicaspb.SlotState_GRANTED {
 			m.granted = append(m.granted, r.index.holder(s.Engine, s.Host))
 		}
 	}
-	r.memos[model] = m
+	r.caches[model] = m
 	return m
 }
 
-// becomeCalm notes that nothing was to be decided for a row, if that will stay so while its inputs stay as they are.
-func (r *run) becomeCalm(spec *ModelSpec, m *memo, d *draft) {
-	home, _ := r.policy.bounds(*spec)
-	if len(d.slots) != home {
+// markSteady marks a row that needs no change as steady, if it will need none while its inputs stay the same.
+func (r *decisionRun) markSteady(spec *ModelSpec, m *rowCache, d *draft) {
+	baseline, _ := r.policy.bounds(*spec)
+	if len(d.slots) != baseline {
 		return
 	}
 	for _, engine := range m.granted {
@@ -47,27 +47,28 @@
 			return
 		}
 	}
-	m.calm = true
+	m.steady = true
 	m.declared = r.snapshot.Declared.Revision
 	m.hosts = r.snapshot.Hosts.Version
 }
 
-// stillCalm reports whether nothing is to be decided for a row because nothing was and its inputs are the same.
-func (r *run) stillCalm(m *memo, model string) bool {
-	same := m.calm && m.declared == r.snapshot.Declared.Revision && m.hosts == r.snapshot.Hosts.Version
-	return same && len(r.snapshot.Demand[model].Wants) == 0
+// isSteady reports whether a row needs no change because it needed none before and its inputs are the same.
+func (r *decisionRun) isSteady(m *rowCache, model string) bool {
+	same := m.steady && m.declared == r.snapshot.Declared.Revision && m.hosts == r.snapshot.Hosts.Version
+	return same && len(r.snapshot.Demand[model].SlotRequests) == 0
 }
 
-// scratch is memory that is used again by each decision.
+// scratch holds buffers that are reused by each decision.
 type scratch struct {
-	// load and warm are the declared weights of each engine's slots, and of those of them that stay loaded; share is what an
-	// engine's load would be if all were spread evenly.
+	// load is the declared memory of the slots that each engine holds, and warm that of those which stay loaded. share is
+	// the load that the engine would have if all load were spread evenly.
 	load, warm []int64
 	share      []float64
-	// held and loaded mark engines for one model version at a time, by the number of its turn.
+	// held and loaded mark engines for one model version at a time: an engine is marked if its entry equals the current
+	// mark.
 	held, loaded []uint32
-	turn         uint32
-	found        []candidate
+	mark         uint32
+	candidateBuf []candidate
 }
 
 func (s *scratch) reset(engines int) {
@@ -76,7 +77,7 @@
 	s.share = zeroed(s.share, engines)
 	s.held = zeroed(s.held, engines)
 	s.loaded = zeroed(s.loaded, engines)
-	s.turn = 0
+	s.mark = 0
 }
 
 func zeroed[T any](s []T, n int) []T {
--- a/internal/replicas/metrics.go
+++ b/internal/replicas/metrics.go
@@ -17,12 +17,12 @@
 )
 
 type metrics struct {
-	slots     *prometheus.GaugeVec
-	proposals *prometheus.CounterVec
-	steps     *prometheus.CounterVec
-	wants     *prometheus.CounterVec
-	reads     *prometheus.CounterVec
-	decide    prometheus.Histogram
+	slots        *prometheus.GaugeVec
+	proposals    *prometheus.CounterVec
+	steps        *prometheus.CounterVec
+	slotRequests *prometheus.CounterVec
+	reads        *prometheus.CounterVec
+	decide       prometheus.Histogram
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -39,7 +39,7 @@
 			Name: "balsamsail_replicas_steps_total",
 			Help: "Slots granted, released and removed by this process, by action and reason.",
 		}, []string{"action", "reason"}),
-		wants: prometheus.NewCounterVec(prometheus.CounterOpts{
+		slotRequests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "balsamsail_replicas_wants_total",
 			Help: "Wishes of engines for another slot, by reason.",
 		}, []string{"reason"}),
@@ -53,11 +53,11 @@
 			Buckets: prometheus.ExponentialBuckets(0.00001, 4, 8),
 		}),
 	}
-	registerer.MustRegister(m.slots, m.proposals, m.steps, m.wants, m.reads, m.decide)
+	registerer.MustRegister(m.slots, m.proposals, m.steps, m.slotRequests, m.reads, m.decide)
 	return m
 }
 
-// count sets the gauges to the rows.
+// count sets the slot gauges from the rows.
 func (m *metrics) count(rows map[string]RowView) {
 	byState := map[replicaspb.SlotState]int{replicaspb.SlotState_GRANTED: 0, replicaspb.SlotState_RELEASING: 0}
 	for _, view := range rows {
--- a/internal/replicas/outcome.go
+++ b/internal/replicas/outcome.go
@@ -10,8 +10,8 @@
 	"balsamsail/internal/timeline"
 )
 
-// committed takes in a change that the table has taken; row is nil when it was deleted.
-func (m *Manager) committed(c Change, row *replicaspb.Row) {
+// applyCommitted applies a committed change to the local view; row is nil if the row was deleted.
+func (m *Manager) applyCommitted(c Change, row *replicaspb.Row) {
 	now := m.clock.Now()
 	if row == nil {
 		m.store.drop(now, c.Model, c.Expected)
@@ -21,20 +21,20 @@
 	for _, s := range c.Steps {
 		m.metrics.steps.WithLabelValues(string(s.Action), string(s.Reason)).Inc()
 		m.timeline.Record(timeline.Event{
-			Kind: kinds[s.Action], Model: c.Model, Endpoint: s.Engine, Detail: string(s.Reason),
+			Kind: eventKinds[s.Action], Model: c.Model, Endpoint: s.Engine, Detail: string(s.Reason),
 		})
 	}
-	m.log.Info("grant changed", "model", c.Model, "revision", row.GetRevision(), "change", c.String())
+	m.log.Info("row change committed", "model", c.Model, "revision", row.GetRevision(), "change", c.String())
 }
 
-// kinds are the time-line events of the actions.
-var kinds = map[Action]timeline.Kind{
+// eventKinds maps actions to timeline event kinds.
+var eventKinds = map[Action]timeline.Kind{
 	Grant:        timeline.SlotGranted,
 	StartRelease: timeline.SlotReleasing,
 	Remove:       timeline.SlotRemoved,
 }
 
-// reread brings one row up to date after a conflict.
+// reread updates one row from the table after a conflict.
 func (m *Manager) reread(ctx context.Context, model string) {
 	stored, err := m.table.Get(ctx, Key(model))
 	now := m.clock.Now()
@@ -49,7 +49,7 @@
 	}
 	row, err := DecodeRow(stored)
 	if err != nil {
-		m.log.Error("row of the table cannot be read", "key", stored.Key, "revision", stored.Revision, "error", err)
+		m.log.Error("cannot decode table row", "key", stored.Key, "revision", stored.Revision, "error", err)
 		return
 	}
 	m.store.put(now, row)
--- a/internal/replicas/placement.go
+++ b/internal/replicas/placement.go
@@ -8,60 +8,62 @@
 type candidate struct {
 	engine int
 	score  float64
-	// avoid says that the engine lately failed to serve the model version or has no room for it beside its warm ones.
+	// avoid is true if the engine recently failed to serve the model version, or if its warm models leave too little
+	// memory for it.
 	avoid bool
 }
 
-// candidates returns the engines that may get a slot of a draft's model version. They are valid until the next call.
-func (r *run) candidates(spec *ModelSpec, d *draft) []candidate {
+// candidates returns the engines that may get a slot of a draft's model version. The result is valid until the next
+// call.
+func (r *decisionRun) candidates(spec *ModelSpec, d *draft) []candidate {
 	hash := xxhash.Sum64String(spec.Model)
 	avoided := r.avoided(spec.Model)
-	turn := r.markHeld(d)
-	found := r.found[:0]
+	mark := r.markHeld(d)
+	found := r.candidateBuf[:0]
 	for _, i := range r.index.group(spec.Selector).members {
-		if !r.eligible(spec, i) || r.held[i] == turn {
+		if !r.eligible(spec, i) || r.held[i] == mark {
 			continue
 		}
 		e := &r.index.engines[i]
 		_, failed := avoided[e.Name]
-		crowded := r.warm[i]+spec.MemoryBytes > e.MemoryBytes
+		lacksMemory := r.warm[i]+spec.MemoryBytes > e.MemoryBytes
 		found = append(found, candidate{
 			engine: i,
 			score:  rendezvousScore(hash, r.index.hashes[i], float64(e.MemoryBytes)),
-			avoid:  failed || crowded,
+			avoid:  failed || lacksMemory,
 		})
 	}
-	r.found = found
+	r.candidateBuf = found
 	return found
 }
 
-// markHeld marks the engines of whose names one has a slot, in whatever state and on whatever host, or had one before this
-// change: in no step from one row to the next does a RELEASING slot become GRANTED. It returns the number to compare the
-// marks with.
-func (r *run) markHeld(d *draft) uint32 {
-	r.turn++
+// markHeld marks the engines whose names have a slot in the row as stored, in any state and on any host. Engines whose
+// slots were removed in this change are included, so that no single row change turns a RELEASING slot into a GRANTED
+// one. It returns the value that identifies the marks of this call.
+func (r *decisionRun) markHeld(d *draft) uint32 {
+	r.mark++
 	for _, s := range d.row.GetSlots() {
 		if i, ok := r.index.byName[s.Engine]; ok {
-			r.held[i] = r.turn
+			r.held[i] = r.mark
 		}
 	}
-	return r.turn
+	return r.mark
 }
 
 // eligible reports whether an engine of the model version's group may get a new slot.
 //
-// Its host must be in the host list as this process has read it. A slot of a host that the deciding process never saw
-// there could not be told from one of a host that came, died and was dropped from the list while no process looked; it
-// would count for ever.
-func (r *run) eligible(spec *ModelSpec, engine int) bool {
+// The host list as read by this process must name the engine's host as live. Without a version of the list that named
+// the host, a host that is not listed yet could not be distinguished from one that died and was dropped from the list
+// unnoticed, and the slot would count forever.
+func (r *decisionRun) eligible(spec *ModelSpec, engine int) bool {
 	e := &r.index.engines[engine]
 	return r.index.live[engine] && e.Reachable && e.MemoryBytes > 0 && e.MemoryBytes >= spec.MemoryBytes
 }
 
-// pick returns the index of the best candidate, or -1 when there is none: not one to be avoided, in the failure domain
-// with the fewest slots of the model version, far below its share of the declared weights or at least not above it, highest
-// by rendezvous hashing.
-func (r *run) pick(spec *ModelSpec, found []candidate, domains map[string]int) int {
+// pick returns the index of the best candidate, or -1 if there is none. It prefers, in this order, candidates that are
+// not to be avoided, the failure domain with the fewest slots of the model version, engines far below their fair share
+// and then those not above it, and the highest rendezvous score.
+func (r *decisionRun) pick(spec *ModelSpec, found []candidate, domains map[string]int) int {
 	best := -1
 	var bestRank rank
 	for i := range found {
@@ -73,7 +75,7 @@
 	return best
 }
 
-// fill is how an engine's load compares to its share of the declared weights.
+// fill classifies an engine's load relative to its fair share.
 type fill int
 
 const (
@@ -82,17 +84,17 @@
 	fillHigh
 )
 
-// rank orders candidates; lower fields of higher places win.
+// rank orders candidates. Fields are compared in order; lower values win, except for score.
 type rank struct {
 	avoid  bool
 	domain int
 	fill   fill
-	// load counts only among engines over their share, score only among the others.
+	// load is compared only among engines above their fair share, score only among the others.
 	load  float64
 	score float64
 }
 
-func (r *run) rank(spec *ModelSpec, c *candidate, domains map[string]int) rank {
+func (r *decisionRun) rank(spec *ModelSpec, c *candidate, domains map[string]int) rank {
 	e := &r.index.engines[c.engine]
 	k := rank{avoid: c.avoid, domain: domains[e.FailureDomain], score: c.score, fill: r.fill(c.engine, spec.MemoryBytes)}
 	if k.fill == fillHigh {
@@ -117,28 +119,29 @@
 	return k.score > o.score
 }
 
-// fill returns how full an engine would be with need more.
-func (r *run) fill(engine int, need int64) fill {
+// fill classifies the load that an engine would have with need more bytes.
+func (r *decisionRun) fill(engine int, need int64) fill {
 	share := r.share[engine]
 	switch load := float64(r.load[engine] + need); {
 	case load <= share/r.policy.MoveBound:
 		return fillLow
-	case r.over(engine, need, r.policy.PlaceBound):
+	case r.exceedsShare(engine, need, r.policy.PlaceBound):
 		return fillHigh
 	default:
 		return fillEven
 	}
 }
 
-// over reports whether an engine would hold more than bound times its share of the declared weights if it got need more.
-// As weights do not split, one that comes as near to its share with them as without is not over it.
-func (r *run) over(engine int, need int64, bound float64) bool {
+// exceedsShare reports whether an engine's load would exceed bound times its fair share with need more bytes. Slots
+// cannot be split, so an engine whose load with the slot is no further above its share than its load without it is
+// below does not exceed it.
+func (r *decisionRun) exceedsShare(engine int, need int64, bound float64) bool {
 	share := r.share[engine]
 	load := float64(r.load[engine])
 	return load+float64(need) > bound*share && load+float64(need)/2 > share
 }
 
-// domainCounts counts the slots of a draft that serve, by failure domain.
+// domainCounts counts the serving slots of a draft by failure domain.
 func domainCounts(d *draft) map[string]int {
 	counts := map[string]int{}
 	for _, s := range d.slots {
@@ -149,8 +152,8 @@
 	return counts
 }
 
-// place grants up to n slots and returns how many it could.
-func (r *run) place(spec *ModelSpec, d *draft, n int, reason Reason) int {
+// place grants up to n slots and returns how many it granted.
+func (r *decisionRun) place(spec *ModelSpec, d *draft, n int, reason Reason) int {
 	if n <= 0 {
 		return 0
 	}
--- a/internal/replicas/placement_test.go
+++ b/internal/replicas/placement_test.go
@@ -11,25 +11,26 @@
 	"balsamsail/internal/selector"
 )
 
-// homes lists where the model versions have their slots.
-func (s *site) homes() map[Holder]map[string]bool {
-	homes := map[Holder]map[string]bool{}
+// slotsByHolder returns the model versions that have a slot, by holder.
+func (s *site) slotsByHolder() map[Holder]map[string]bool {
+	held := map[Holder]map[string]bool{}
 	for model, view := range s.Rows {
 		for _, slot := range view.Row.Slots {
 			h := Holder{Engine: slot.Engine, Host: slot.Host}
-			if homes[h] == nil {
-				homes[h] = map[string]bool{}
+			if held[h] == nil {
+				held[h] = map[string]bool{}
 			}
-			homes[h][model] = true
+			held[h][model] = true
 		}
 	}
-	return homes
+	return held
 }
 
-// moved returns the share of homes that are not where they were, and the greatest number on one engine.
+// moved returns the fraction of slots whose holder has changed since before, and the highest number of slots on one
+// engine.
 func (s *site) moved(before map[Holder]map[string]bool) (share float64, most int) {
 	total, moved := 0, 0
-	for h, models := range s.homes() {
+	for h, models := range s.slotsByHolder() {
 		most = max(most, len(models))
 		for model := range models {
 			total++
@@ -41,7 +42,8 @@
 	return float64(moved) / float64(total), most
 }
 
-// modulo is the baseline: the engine of a model version is its hash modulo the number of engines.
+// modulo is the baseline of the comparison: it assigns each model version to the engine given by its hash modulo the
+// number of engines, and returns the fraction that moves.
 func modulo(models []ModelSpec, before, after int) (moved float64) {
 	for _, m := range models {
 		h := xxhash.Sum64String(m.Model)
@@ -52,20 +54,20 @@
 	return moved / float64(len(models))
 }
 
-// Engines come and go every day. Each home that moves costs two writes and, if the model is loaded, a load; only those of
-// the engine that went, and those that a new engine takes over, should move.
-func TestFewHomesMoveWhenEnginesComeAndGo(t *testing.T) {
+// Engines join and leave every day. Each slot that moves costs two writes and, if the model is loaded, a load. Only the
+// slots of an engine that left and those that a new engine takes over should move.
+func TestFewSlotsMoveWhenEnginesJoinAndLeave(t *testing.T) {
 	cases := []struct{ models, engines int }{{50, 9}, {105, 18}, {500, 100}}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%d models, %d engines", c.models, c.engines), func(t *testing.T) {
 			specs, views := models(c.models), engines(c.engines, "north", "east", "cargo")
 			s := newSite(specs, views)
 			s.run(t)
-			before := s.homes()
+			before := s.slotsByHolder()
 			_, most := s.moved(before)
 			even := 2 * float64(c.models) / float64(c.engines)
 			if float64(most) > 1.5*even+1 {
-				t.Errorf("%d homes on one engine, %.1f on average", most, even)
+				t.Errorf("%d slots on one engine, %.1f on average", most, even)
 			}
 
 			s.listHosts(func(states map[string]backing.HostState) { states["h1"] = backing.HostGone })
@@ -73,21 +75,21 @@
 			s.run(t)
 			left, _ := s.moved(before)
 			if limit := 1.5 / float64(c.engines); left > limit {
-				t.Errorf("an engine left: share of homes moved %.3f, want at most %.3f", left, limit)
+				t.Errorf("an engine left: share of slots moved %.3f, want at most %.3f", left, limit)
 			}
 
-			before = s.homes()
+			before = s.slotsByHolder()
 			fresh := engines(2, "east")[1]
 			fresh.Host = "h-new"
 			s.listHosts(func(states map[string]backing.HostState) { states[fresh.Host] = backing.HostLive })
 			s.Engines = append(s.Engines[:len(s.Engines):len(s.Engines)], fresh)
 			s.run(t)
 			joined, mostJoined := s.moved(before)
-			if got, want := len(s.homes()[Holder{fresh.Name, fresh.Host}]), int(joined*2*float64(c.models)+0.5); got != want {
-				t.Errorf("an engine joined: %d homes moved, %d of them to it", want, got)
+			if got, want := len(s.slotsByHolder()[Holder{fresh.Name, fresh.Host}]), int(joined*2*float64(c.models)+0.5); got != want {
+				t.Errorf("an engine joined: %d slots moved, %d of them to it", want, got)
 			}
 			if limit := 1.5 / float64(c.engines); joined > limit {
-				t.Errorf("an engine joined: share of homes moved %.3f, want at most %.3f", joined, limit)
+				t.Errorf("an engine joined: share of slots moved %.3f, want at most %.3f", joined, limit)
 			}
 			t.Logf("most on one engine %d, mean %.1f; moved: one left %.3f, one joined %.3f (most then %d); modulo %.3f",
 				most, even, left, joined, mostJoined, modulo(specs, c.engines, c.engines-1))
@@ -98,7 +100,7 @@
 	}
 }
 
-// An operator adds engines because the others are full; the new ones must take their part without being asked.
+// An operator adds engines because the others are full. The new ones must receive slots without any slot request.
 func TestNewEnginesTakeTheirPart(t *testing.T) {
 	s := newSite(models(60), engines(4, "north", "east"))
 	s.run(t)
@@ -109,16 +111,16 @@
 		}
 	})
 	s.run(t)
-	for h, models := range s.homes() {
+	for h, models := range s.slotsByHolder() {
 		t.Logf("%s: %d", h.Engine, len(models))
 	}
-	if n := len(s.homes()); n != 8 {
-		t.Errorf("%d engines hold homes, want 8", n)
+	if n := len(s.slotsByHolder()); n != 8 {
+		t.Errorf("%d engines hold slots, want 8", n)
 	}
 }
 
-// Models that are always loaded leave too little memory for one another on the engine that has the fewest homes. On one
-// engine, one of them could never load, also when both are declared at once.
+// Two warm models do not fit on one engine together, but the engine with the fewest slots would be chosen for both. One
+// of them could then never load. They must be kept apart also when both are declared at once.
 func TestWarmModelsThatFillAnEngineAreKeptApart(t *testing.T) {
 	specs := models(10)
 	for i := range specs {
@@ -137,11 +139,11 @@
 	s.Declared = Declared{Revision: 2, Models: specs}
 	s.apply(s.decide())
 	if a, b := s.slots("m5@1"), s.slots("m6@1"); a == b || a == "" || b == "" {
-		t.Errorf("slots %q and %q, want an engine each", a, b)
+		t.Errorf("slots %q and %q, want different engines", a, b)
 	}
 }
 
-// Weighted rendezvous hashing gives each engine the first place in proportion to its memory.
+// Weighted rendezvous hashing must rank each engine first in proportion to its memory.
 func TestRendezvousScoreFollowsWeights(t *testing.T) {
 	weights := []float64{1, 1, 2, 4}
 	first := make([]int, len(weights))
@@ -163,7 +165,7 @@
 	}
 }
 
-// randomSite returns engines and model versions of all sorts.
+// randomSite returns a site with random engines and model versions.
 func randomSite(random *rand.Rand) *site {
 	views := engines(2+random.IntN(12), "north", "east", "cargo")
 	for i := range views {
@@ -182,7 +184,8 @@
 	return newSite(specs, views)
 }
 
-// Slots wander between engines for ever, and each move costs writes and loads: two rules of placement undo each other.
+// If two placement rules contradict each other, slots move between engines without end, and each move costs writes and
+// loads.
 func TestDecisionsComeToAnEnd(t *testing.T) {
 	const seeds = 300
 	changes := 0
--- a/internal/replicas/policy.go
+++ b/internal/replicas/policy.go
@@ -2,61 +2,63 @@
 
 import "time"
 
-// Policy holds the settings of the decision.
+// Policy holds the parameters of the decision.
 type Policy struct {
-	// DefaultHome is how many slots a model version keeps while idle when its declaration names no minimum and its maximum
-	// allows it.
-	DefaultHome int
-	// DefaultMax is the most slots of a model version whose declaration names no maximum.
+	// DefaultBaseline is the baseline of a model version whose declaration names no minimum: the number of slots that it
+	// keeps while idle, limited by its maximum.
+	DefaultBaseline int
+	// DefaultMax is the maximum number of slots of a model version whose declaration names no maximum.
 	DefaultMax int
-	// PlaceBound and MoveBound are how far an engine's declared weights may exceed its share: above the first it gets no
-	// further slot while others have room, above the second an idle slot moves away.
+	// PlaceBound and MoveBound limit an engine's load, the declared memory of the slots that it holds, as multiples of its
+	// fair share. Above PlaceBound the engine gets no further slot while others have room; above MoveBound an idle slot
+	// moves away.
 	PlaceBound, MoveBound float64
-	// SilentAfter is how long an engine must be unreachable before another one gets a slot for it.
+	// SilentAfter is how long an engine must be unreachable before another engine gets a slot to replace it.
 	SilentAfter time.Duration
-	// GrowInterval is the least time between a change of a row and one that adds slots on demand, so that a burst of
-	// wishes that one new slot will answer does not grant ten.
+	// GrowInterval is the minimum time between a change of a row and one that adds slots on demand. It keeps a burst of
+	// slot requests that one new slot will satisfy from adding ten.
 	GrowInterval time.Duration
-	// WantLife is how long an engine's wish counts after it was last repeated.
+	// WantLife is how long an engine's slot request remains valid after its last repetition.
 	WantLife time.Duration
-	// FailingAfter is how long an engine must have failed to serve a model version before its slot is given up for one
-	// elsewhere, and AvoidFor how long it then gets no new slot of it.
+	// FailingAfter is how long an engine must have failed to serve a model version before its slot is released in favor of
+	// another engine. AvoidFor is how long the engine is then avoided for new slots of that model version.
 	FailingAfter, AvoidFor time.Duration
-	// ExtraHold is how long slots above the home slots are kept after their demand has gone.
+	// ExtraHold is how long slots above the baseline are kept after their demand has ended.
 	ExtraHold time.Duration
-	// LowWater is the share of the replicas' concurrency that the peak use must stay under for a slot to be taken back.
+	// LowWater is the fraction of the replicas' total concurrency that peak usage must stay below for a slot to be
+	// released.
 	LowWater float64
-	// MoveTimeout bounds how long a slot that has a replacement is kept for the replacement to load.
+	// MoveTimeout bounds how long a slot that has a replacement is kept while the replacement loads.
 	MoveTimeout time.Duration
 }
 
-// DefaultPolicy returns the settings for sites of some tens of engines up to thousands.
+// DefaultPolicy returns the defaults for sites of a few dozen to thousands of engines.
 func DefaultPolicy() Policy {
 	return Policy{
-		DefaultHome:  2,
-		DefaultMax:   4,
-		PlaceBound:   1.25,
-		MoveBound:    1.6,
-		SilentAfter:  10 * time.Second,
-		GrowInterval: 3 * time.Second,
-		WantLife:     15 * time.Second,
-		FailingAfter: 10 * time.Second,
-		AvoidFor:     5 * time.Minute,
-		ExtraHold:    10 * time.Minute,
-		LowWater:     0.7,
-		MoveTimeout:  time.Minute,
+		DefaultBaseline: 2,
+		DefaultMax:      4,
+		PlaceBound:      1.25,
+		MoveBound:       1.6,
+		SilentAfter:     10 * time.Second,
+		GrowInterval:    3 * time.Second,
+		WantLife:        15 * time.Second,
+		FailingAfter:    10 * time.Second,
+		AvoidFor:        5 * time.Minute,
+		ExtraHold:       10 * time.Minute,
+		LowWater:        0.7,
+		MoveTimeout:     time.Minute,
 	}
 }
 
-// bounds returns the number of home slots and the most slots of a model version.
-func (p Policy) bounds(spec ModelSpec) (home, most int) {
-	most = spec.Max
-	if most <= 0 {
-		most = max(p.DefaultMax, spec.Min, spec.Warm)
+// bounds returns the baseline and the maximum number of slots of a model version.
+func (p Policy) bounds(spec ModelSpec) (baseline, maxSlots int) {
+	maxSlots = spec.Max
+	if maxSlots <= 0 {
+		maxSlots = max(p.DefaultMax, spec.Min, spec.Warm)
 	}
-	home = spec.Min
-	if home <= 0 {
-		home = p.DefaultHome
+	baseline = spec.Min
+	if baseline <= 0 {
+		baseline = p.DefaultBaseline
 	}
-	return min(max(home, spec.Warm), most), most
+	return min(max(baseline, spec.Warm), maxSlots), maxSlots
 }
--- a/internal/replicas/property_test.go
+++ b/internal/replicas/property_test.go
@@ -21,252 +21,252 @@
 	propertySeed  = 20260101
 )
 
-// event is something that may happen in the world, with its weight.
+// event is something that may happen in the simulation, with its weight.
 type event struct {
 	name   string
 	weight int
-	happen func(*world)
+	apply  func(*simulation)
 }
 
-// faulty is the part of the engines (one in so many) that a kind of fault holds at a time.
-const faulty = 4
+// faultDivisor sets the rate of faults: a kind of fault affects one in faultDivisor engines at a time.
+const faultDivisor = 4
 
-var worldEvents = []event{
-	{"rows read", 6, func(w *world) { w.read(w.someDecider(), w.random.IntN(4) == 0) }},
-	{"engine seen", 8, func(w *world) { w.look(w.someDecider(), w.someEngine().Name) }},
-	{"process catches up", 12, func(w *world) { w.catchUp(w.someDecider()) }},
-	{"host list read", 3, func(w *world) { w.someDecider().hosts = w.hosts }},
-	{"declarations applied", 8, func(w *world) { w.someDecider().declared = w.declared }},
-	{"decided", 20, (*world).decideAndPropose},
-	{"paused process goes on", 3, (*world).proposeStashed},
-	{"late write arrives", 3, (*world).deliverLate},
-	{"rows pushed", 10, (*world).pushRows},
-	{"late push arrives", 6, (*world).deliverPush},
-	{"agent starts", 4, func(w *world) { w.beginAgent(w.engineThat(mayBegin)) }},
-	{"load ordered", 8, func(w *world) { w.engineThat(mayLoad).loadAny(w.random) }},
-	{"unload ordered", 2, func(w *world) { w.someEngine().unload(w.someModel()) }},
-	{"order takes effect", 8, (*world).deliverOrder},
-	{"release confirmed", 8, func(w *world) { w.confirmations(w.engineThat(mustTidy), 0.5) }},
-	{"slot wanted", 8, func(w *world) { w.want(w.someEngine(), w.someModel()) }},
-	{"time passes", 10, func(w *world) { w.now = w.now.Add(time.Duration(w.random.IntN(20)) * time.Second) }},
-	{"model declared anew", 3, func(w *world) { w.declare(w.someModel()) }},
-	{"model undeclared", 1, func(w *world) { delete(w.models, w.someModel()); w.publish() }},
-	{"engine edited", 4, (*world).editEngine},
-	{"link cut or mended", 3, func(w *world) { w.someEngine().linked = w.random.IntN(faulty) > 0 }},
-	{"agent frozen or thawed", 3, func(w *world) { w.someEngine().frozen = w.random.IntN(faulty) == 0 }},
-	{"agent restarted", 3, func(w *world) { w.restartAgent(w.someEngine()) }},
-	{"process restarted", 1, func(w *world) { w.deciders[w.random.IntN(len(w.deciders))] = w.newDecider() }},
-	{"host replaced", 1, func(w *world) { w.replaceHost(w.someEngine()) }},
-	{"host list catches up", 3, (*world).forgetHost},
+var simEvents = []event{
+	{"rows read", 6, func(sim *simulation) { sim.readRows(sim.anyDecider(), sim.rng.IntN(4) == 0) }},
+	{"engine observed", 8, func(sim *simulation) { sim.observeEngine(sim.anyDecider(), sim.anyEngine().Name) }},
+	{"process catches up", 12, func(sim *simulation) { sim.catchUp(sim.anyDecider()) }},
+	{"host list read", 3, func(sim *simulation) { sim.anyDecider().hosts = sim.hosts }},
+	{"declarations applied", 8, func(sim *simulation) { sim.anyDecider().declared = sim.declared }},
+	{"decided", 20, (*simulation).decideAndPropose},
+	{"paused process resumes", 3, (*simulation).proposeDelayed},
+	{"late write arrives", 3, (*simulation).deliverLateWrite},
+	{"rows pushed", 10, (*simulation).pushRows},
+	{"late push arrives", 6, (*simulation).deliverPush},
+	{"agent starts", 4, func(sim *simulation) { sim.startAgent(sim.engineWhere(canStart)) }},
+	{"load ordered", 8, func(sim *simulation) { sim.engineWhere(canLoad).orderLoad(sim.rng) }},
+	{"unload ordered", 2, func(sim *simulation) { sim.anyEngine().orderUnload(sim.anyModel()) }},
+	{"order takes effect", 8, (*simulation).deliverOrder},
+	{"release confirmed", 8, func(sim *simulation) { sim.sendConfirmations(sim.engineWhere(mustRelease), 0.5) }},
+	{"slot requested", 8, func(sim *simulation) { sim.requestSlot(sim.anyEngine(), sim.anyModel()) }},
+	{"time passes", 10, func(sim *simulation) { sim.now = sim.now.Add(time.Duration(sim.rng.IntN(20)) * time.Second) }},
+	{"model redeclared", 3, func(sim *simulation) { sim.declare(sim.anyModel()) }},
+	{"model undeclared", 1, func(sim *simulation) { delete(sim.models, sim.anyModel()); sim.publish() }},
+	{"engine edited", 4, (*simulation).editEngine},
+	{"link cut or restored", 3, func(sim *simulation) { sim.anyEngine().connected = sim.rng.IntN(faultDivisor) > 0 }},
+	{"agent suspended or resumed", 3, func(sim *simulation) { sim.anyEngine().frozen = sim.rng.IntN(faultDivisor) == 0 }},
+	{"agent restarted", 3, func(sim *simulation) { sim.restartAgent(sim.anyEngine()) }},
+	{"process restarted", 1, func(sim *simulation) { sim.deciders[sim.rng.IntN(len(sim.deciders))] = sim.newDecider() }},
+	{"host replaced", 1, func(sim *simulation) { sim.replaceHost(sim.anyEngine()) }},
+	{"host list updated", 3, (*simulation).updateHostList},
 }
 
-func (w *world) someDecider() *worldDecider { return w.deciders[w.random.IntN(len(w.deciders))] }
-func (w *world) someEngine() *worldEngine {
-	return w.engines[fmt.Sprintf("e%d", w.random.IntN(worldEngines))]
+func (sim *simulation) anyDecider() *simDecider { return sim.deciders[sim.rng.IntN(len(sim.deciders))] }
+func (sim *simulation) anyEngine() *simEngine {
+	return sim.engines[fmt.Sprintf("e%d", sim.rng.IntN(simEngineCount))]
 }
-func (w *world) someModel() string { return fmt.Sprintf("m%d@1", w.random.IntN(worldModels)) }
+func (sim *simulation) anyModel() string { return fmt.Sprintf("m%d@1", sim.rng.IntN(simModelCount)) }
 
-func (w *world) step() {
+func (sim *simulation) step() {
 	total := 0
-	for _, e := range worldEvents {
+	for _, e := range simEvents {
 		total += e.weight
 	}
-	at := w.random.IntN(total)
-	for _, e := range worldEvents {
+	at := sim.rng.IntN(total)
+	for _, e := range simEvents {
 		if at -= e.weight; at < 0 {
-			w.counts[e.name]++
-			e.happen(w)
-			w.check()
+			sim.counts[e.name]++
+			e.apply(sim)
+			sim.check()
 			return
 		}
 	}
 }
 
-func (w *world) decideAndPropose() {
-	d := w.someDecider()
+func (sim *simulation) decideAndPropose() {
+	d := sim.anyDecider()
 	if _, complete := d.store.progress(); !complete {
 		return
 	}
-	for _, c := range w.decide(d) {
-		switch w.random.IntN(6) {
+	for _, c := range sim.decide(d) {
+		switch sim.rng.IntN(6) {
 		case 0:
-			d.stashed = append(d.stashed, c)
+			d.delayed = append(d.delayed, c)
 		case 1:
 		default:
-			w.propose(d, w.conditioned(c), true)
+			sim.propose(d, sim.resolveCondition(c), true)
 		}
 	}
 }
 
-// conditioned gives an unconditional change the condition that always holds.
-func (w *world) conditioned(c Change) Change {
+// resolveCondition gives an unconditional change a condition that holds.
+func (sim *simulation) resolveCondition(c Change) Change {
 	if c.Expected == unconditional {
-		c.Expected = w.table.rows[Key(c.Model)].Revision
+		c.Expected = sim.table.rows[Key(c.Model)].Revision
 	}
 	return c
 }
 
-func (w *world) proposeStashed() {
-	d := w.someDecider()
-	for _, c := range d.stashed {
-		w.propose(d, w.conditioned(c), true)
+func (sim *simulation) proposeDelayed() {
+	d := sim.anyDecider()
+	for _, c := range d.delayed {
+		sim.propose(d, sim.resolveCondition(c), true)
 	}
-	d.stashed = nil
+	d.delayed = nil
 }
 
-func (w *world) deliverLate() {
-	if len(w.late) == 0 {
+func (sim *simulation) deliverLateWrite() {
+	if len(sim.late) == 0 {
 		return
 	}
-	i := w.random.IntN(len(w.late))
-	txn := w.late[i]
-	w.late = slices.Delete(w.late, i, i+1)
-	if _, err := w.table.commit(txn); err == nil {
-		w.counts["late write committed"]++
+	i := sim.rng.IntN(len(sim.late))
+	txn := sim.late[i]
+	sim.late = slices.Delete(sim.late, i, i+1)
+	if _, err := sim.table.commit(txn); err == nil {
+		sim.counts["late write committed"]++
 	}
 }
 
-// pushRows lets a decider send what it knows, old or new, to the agents that it reaches.
-func (w *world) pushRows() {
-	d := w.someDecider()
-	for _, e := range w.engines {
-		if !e.linked {
+// pushRows makes a decider send its rows, current or stale, to the agents that it reaches.
+func (sim *simulation) pushRows() {
+	d := sim.anyDecider()
+	for _, e := range sim.engines {
+		if !e.connected {
 			continue
 		}
 		for _, row := range d.store.rowsOf(e.Name) {
-			if w.random.IntN(faulty) == 0 {
-				w.pushes = append(w.pushes, push{to: e, row: row})
+			if sim.rng.IntN(faultDivisor) == 0 {
+				sim.pushes = append(sim.pushes, push{to: e, row: row})
 				continue
 			}
-			e.see(row)
+			e.receiveRow(row)
 		}
 	}
 }
 
-// deliverPush lets an old row reach an agent.
-func (w *world) deliverPush() {
-	if len(w.pushes) == 0 {
+// deliverPush delivers a delayed row to an agent.
+func (sim *simulation) deliverPush() {
+	if len(sim.pushes) == 0 {
 		return
 	}
-	i := w.random.IntN(len(w.pushes))
-	w.pushes[i].to.see(w.pushes[i].row)
-	w.pushes = slices.Delete(w.pushes, i, i+1)
+	i := sim.rng.IntN(len(sim.pushes))
+	sim.pushes[i].to.receiveRow(sim.pushes[i].row)
+	sim.pushes = slices.Delete(sim.pushes, i, i+1)
 }
 
-// engineThat returns some engine that meets a condition, or just some engine when none does.
-func (w *world) engineThat(meets func(*worldEngine) bool) *worldEngine {
-	first := w.random.IntN(worldEngines)
-	for i := range worldEngines {
-		if e := w.engines[fmt.Sprintf("e%d", (first+i)%worldEngines)]; meets(e) {
+// engineWhere returns a random engine that meets a condition, or any random engine if none does.
+func (sim *simulation) engineWhere(meets func(*simEngine) bool) *simEngine {
+	first := sim.rng.IntN(simEngineCount)
+	for i := range simEngineCount {
+		if e := sim.engines[fmt.Sprintf("e%d", (first+i)%simEngineCount)]; meets(e) {
 			return e
 		}
 	}
-	return w.someEngine()
+	return sim.anyEngine()
 }
 
-func mayBegin(e *worldEngine) bool { return !e.ready && len(e.orders) == 0 }
-func mayLoad(e *worldEngine) bool  { return len(e.loadable()) > 0 }
-func ordered(e *worldEngine) bool  { return len(e.orders) > 0 }
+func canStart(e *simEngine) bool  { return !e.ready && len(e.orders) == 0 }
+func canLoad(e *simEngine) bool   { return len(e.loadable()) > 0 }
+func hasOrders(e *simEngine) bool { return len(e.orders) > 0 }
 
-// mustTidy reports whether an agent knows of a slot that it must give up.
-func mustTidy(e *worldEngine) bool {
+// mustRelease reports whether an agent has a slot that it must release.
+func mustRelease(e *simEngine) bool {
 	for model := range e.rows {
-		if e.acts() && e.slot(model).GetState() == replicaspb.SlotState_RELEASING {
+		if e.active() && e.slot(model).GetState() == replicaspb.SlotState_RELEASING {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) deliverOrder() {
-	if e := w.engineThat(ordered); len(e.orders) > 0 {
-		e.deliver(w.random.IntN(len(e.orders)))
+func (sim *simulation) deliverOrder() {
+	if e := sim.engineWhere(hasOrders); len(e.orders) > 0 {
+		e.deliver(sim.rng.IntN(len(e.orders)))
 	}
 }
 
-func (w *world) editEngine() {
-	e := w.someEngine()
-	switch w.random.IntN(4) {
+func (sim *simulation) editEngine() {
+	e := sim.anyEngine()
+	switch sim.rng.IntN(4) {
 	case 0:
-		e.Drain = w.random.IntN(faulty) == 0
+		e.Drain = sim.rng.IntN(faultDivisor) == 0
 	case 1:
-		e.MemoryBytes = int64(20+w.random.IntN(80)) * gibibyte
+		e.MemoryBytes = int64(20+sim.rng.IntN(80)) * gibibyte
 	case 2:
-		if w.random.IntN(3) == 0 {
+		if sim.rng.IntN(3) == 0 {
 			e.Leaving = true
-			w.listHost(e.Host, backing.HostLeaving)
+			sim.listHost(e.Host, backing.HostLeaving)
 		}
 	default:
-		e.Labels = map[string]string{"pool": []string{"a", "b"}[w.random.IntN(2)]}
+		e.Labels = map[string]string{"pool": []string{"a", "b"}[sim.rng.IntN(2)]}
 	}
 }
 
-func (w *world) restartAgent(e *worldEngine) {
+func (sim *simulation) restartAgent(e *simEngine) {
 	e.restartAgent()
-	if w.broken == guardRowsFirst {
+	if sim.disabledGuard == guardRowsFirst {
 		e.ready = true
 	}
 }
 
-func (w *world) beginAgent(e *worldEngine) {
-	floor := w.table.revision
-	if w.broken == guardRowsFloor {
+func (sim *simulation) startAgent(e *simEngine) {
+	floor := sim.table.revision
+	if sim.disabledGuard == guardRowsFloor {
 		floor = 0
 	}
-	e.begin(w.rows, floor)
+	e.start(sim.rows, floor)
 }
 
-// replaceHost lets a host die; another one with an engine of the same name takes its place. The host list learns of
-// either at once or later.
-func (w *world) replaceHost(e *worldEngine) {
+// replaceHost makes a host fail and replaces it by another one with an engine of the same name. The host list names the
+// new host at once or later.
+func (sim *simulation) replaceHost(e *simEngine) {
 	e.alive = false
-	w.listHost(e.Host, backing.HostGone)
+	sim.listHost(e.Host, backing.HostGone)
 	view := e.EngineView
-	view.Host = w.newID("h")
+	view.Host = sim.newID("h")
 	view.Leaving = false
-	w.engines[e.Name] = newWorldEngine(view, w.broken == guardHostInSlot)
-	if w.random.IntN(2) == 0 {
-		w.listHost(view.Host, backing.HostLive)
+	sim.engines[e.Name] = newSimEngine(view, sim.disabledGuard == guardHostInSlot)
+	if sim.rng.IntN(2) == 0 {
+		sim.listHost(view.Host, backing.HostLive)
 	}
 }
 
-// forgetHost lets the list drop a gone host, or learn of a new one.
-func (w *world) forgetHost() {
-	for _, host := range slices.Sorted(maps.Keys(w.hosts.States)) {
-		if w.hosts.States[host] == backing.HostGone {
-			w.listHost(host, "")
+// updateHostList drops a gone host from the host list, or adds new hosts if there is none.
+func (sim *simulation) updateHostList() {
+	for _, host := range slices.Sorted(maps.Keys(sim.hosts.States)) {
+		if sim.hosts.States[host] == backing.HostGone {
+			sim.listHost(host, "")
 			return
 		}
 	}
-	w.listNewHosts()
+	sim.listNewHosts()
 }
 
-func (w *world) listNewHosts() {
-	for _, name := range slices.Sorted(maps.Keys(w.engines)) {
-		host := w.engines[name].Host
-		if _, listed := w.hosts.States[host]; !listed {
-			w.listHost(host, backing.HostLive)
+func (sim *simulation) listNewHosts() {
+	for _, name := range slices.Sorted(maps.Keys(sim.engines)) {
+		host := sim.engines[name].Host
+		if _, listed := sim.hosts.States[host]; !listed {
+			sim.listHost(host, backing.HostLive)
 		}
 	}
 }
 
-// runWorld lets steps happen and then calms the world.
-func runWorld(seed int64, steps int, broken guard) *world {
-	w := newWorld(seed, broken)
+// runSimulation runs random steps, then ends the faults and waits for a stable state.
+func runSimulation(seed int64, steps int, disabled guard) *simulation {
+	sim := newSimulation(seed, disabled)
 	for range steps {
-		w.step()
-		if w.broke != "" {
-			return w
+		sim.step()
+		if sim.violation != "" {
+			return sim
 		}
 	}
-	w.calm()
-	return w
+	sim.quiesce()
+	return sim
 }
 
-// An engine holds a model version that no row allows it, or more replicas exist than the operator's maximum, after some
-// entries raced each other, a write arrived late, an agent was frozen or restarted, a host was replaced or an operator
-// edited the declarations in between. Once the faults stop, a model version is short of replicas or stays on a wrong
-// engine.
+// The test guards against an engine that holds a model version without a slot, and against more replicas than the
+// operator's maximum, after entries raced each other, a write arrived late, an agent was frozen or restarted, a host
+// was replaced or an operator edited the declarations in between. Once the faults end, no model version may be short of
+// replicas or stay on a wrong engine.
 func TestGrantsHoldUnderRacesAndFaults(t *testing.T) {
 	counts := map[string]int{}
 	parameters := gopter.DefaultTestParametersWithSeed(propertySeed)
@@ -274,11 +274,11 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("loaded replicas are among the slots, slots within the maximum, and both settle", prop.ForAll(
 		func(seed int64, steps int) string {
-			w := runWorld(seed, steps, guardNone)
-			for name, n := range w.counts {
+			sim := runSimulation(seed, steps, guardNone)
+			for name, n := range sim.counts {
 				counts[name] += n
 			}
-			return w.broke + w.unsettled
+			return sim.violation + sim.unsettled
 		},
 		gen.Int64(), gen.IntRange(propertySteps/4, propertySteps),
 	))
@@ -288,8 +288,8 @@
 	}
 }
 
-// The test above would pass for a wrong reason if its world could not show what the guards prevent: with any one of them
-// left out it must find a violation.
+// TestGrantsHoldUnderRacesAndFaults would pass vacuously if its simulation could not show what the guards prevent: with
+// any one of them disabled it must find a violation.
 func TestEachGuardIsNeeded(t *testing.T) {
 	guards := []guard{
 		guardConfirmation, guardConfirmedRevision, guardReleasingCounts, guardCondition, guardHead, guardUnlisted,
@@ -299,8 +299,8 @@
 	for _, g := range guards {
 		t.Run(string(g), func(t *testing.T) {
 			for seed := range int64(seeds) {
-				if w := runWorld(seed, propertySteps, g); w.broke != "" {
-					t.Logf("seed %d: %s", seed, w.broke)
+				if sim := runSimulation(seed, propertySteps, g); sim.violation != "" {
+					t.Logf("seed %d: %s", seed, sim.violation)
 					return
 				}
 			}
--- a/internal/replicas/propose.go
+++ b/internal/replicas/propose.go
@@ -10,14 +10,14 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// Propose writes a change and returns the row as it then is in the table; nil when the row was deleted.
+// Propose writes a change and returns the row as committed; nil if the row was deleted.
 //
-// The write commits only if the row is still the one that the decision was made from. On ErrConflict the caller reads
-// the row again and decides anew. When the answer is lost, Propose reads the row back: if it carries the change's
-// operation id the write took effect, which is reported as success. Otherwise ErrOutcomeUnknown is returned, because
-// the write may still be on its way. Then, too, the caller decides anew from the row as it stands: the lost write has
-// the old revision as its condition, so it commits only if nothing else has been written in between, and any later
-// decision is made and conditioned on the state in which it did.
+// The write commits only if the row is unchanged since the decision. On ErrConflict the caller reads the row again and
+// repeats the decision. If the response is lost, Propose reads the row back: if it carries the change's operation ID,
+// the write took effect and Propose returns success. Otherwise it returns ErrOutcomeUnknown, because the write may
+// still be in flight. In that case, too, the caller decides again from the current row: the lost write is conditional
+// on the old revision, so it commits only if nothing else has been written in between, and any later decision is based
+// and conditional on the state that includes it.
 func Propose(ctx context.Context, table backing.Table, c Change) (*replicaspb.Row, error) {
 	txn, err := transaction(c)
 	if err != nil {
@@ -25,7 +25,7 @@
 	}
 	revision, err := table.Commit(ctx, txn)
 	if err == nil {
-		return committed(c, revision), nil
+		return committedRow(c, revision), nil
 	}
 	if errors.Is(err, backing.ErrOutcomeUnknown) || ctx.Err() != nil {
 		return readBack(ctx, table, c)
@@ -51,7 +51,7 @@
 	return txn, nil
 }
 
-func committed(c Change, revision uint64) *replicaspb.Row {
+func committedRow(c Change, revision uint64) *replicaspb.Row {
 	if len(c.Next.GetSlots()) == 0 {
 		return nil
 	}
@@ -60,7 +60,7 @@
 	return row
 }
 
-// readBack finds out what became of a write whose answer was lost, as far as that can be known now.
+// readBack determines the outcome of a write whose response was lost, as far as it can be determined now.
 func readBack(ctx context.Context, table backing.Table, c Change) (*replicaspb.Row, error) {
 	deleted := len(c.Next.GetSlots()) == 0
 	stored, err := table.Get(ctx, Key(c.Model))
@@ -80,7 +80,7 @@
 	return row, nil
 }
 
-// commitError turns an error of the table into one of this package.
+// commitError maps an error of the table to one of this package.
 func commitError(err error) error {
 	var conflict *backing.ConflictError
 	switch {
--- a/internal/replicas/propose_test.go
+++ b/internal/replicas/propose_test.go
@@ -21,8 +21,8 @@
 	return changes[0]
 }
 
-// An operator sees a grant reported as made, or as not made, and the table says otherwise: the answer to a write was
-// lost, and the process claimed an outcome without looking.
+// The response to a write is lost and Propose reports an outcome without reading the row back: a grant is then reported
+// as made, or as not made, while the table shows the opposite.
 func TestProposeOutcomes(t *testing.T) {
 	lost := backing.ErrOutcomeUnknown
 	cases := []struct {
@@ -34,13 +34,13 @@
 		stored     bool
 	}{
 		{name: "committed", stored: true},
-		{name: "answer lost after the write", answer: lost, takeEffect: true, stored: true},
-		{name: "answer lost, no write seen", answer: lost, want: ErrOutcomeUnknown},
-		{name: "refused for rate", answer: backing.ErrRateLimited, want: ErrUnavailable},
-		{name: "not taken", answer: backing.ErrUnavailable, want: ErrUnavailable},
+		{name: "response lost after the write", answer: lost, takeEffect: true, stored: true},
+		{name: "response lost, no write seen", answer: lost, want: ErrOutcomeUnknown},
+		{name: "rate limited", answer: backing.ErrRateLimited, want: ErrUnavailable},
+		{name: "table unavailable", answer: backing.ErrUnavailable, want: ErrUnavailable},
 		{name: "malformed", answer: backing.ErrInvalid, want: ErrInvalid},
-		{name: "another process was first", raced: true, want: ErrConflict, stored: true},
-		{name: "answer lost, another process was first", raced: true, answer: lost, want: ErrOutcomeUnknown, stored: true},
+		{name: "another process wrote first", raced: true, want: ErrConflict, stored: true},
+		{name: "response lost, another process wrote first", raced: true, answer: lost, want: ErrOutcomeUnknown, stored: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/replicas/rebalance.go
+++ b/internal/replicas/rebalance.go
@@ -5,52 +5,53 @@
 	"slices"
 )
 
-// movingShare is the part of the model versions (one in so many) that may have a slot on its way out before a slot is
-// moved only for a better place.
-const movingShare = 10
+// movingDivisor limits rebalancing: slots are moved only while fewer than one in movingDivisor model versions have a
+// slot that is being released or has to be.
+const movingDivisor = 10
 
-// rebalance moves one idle slot to a better place, when there is nothing else to do: out of a failure domain that two
-// slots of the model version share while another domain has none, or off an engine that holds far more than its share
-// of the declared weights while others hold less, as when an engine has joined.
+// rebalance moves one idle slot to a better engine if the decision has no other changes: out of a failure domain that
+// holds at least two slots of the model version more than another domain, or off an engine whose load is far above its
+// fair share while others are below theirs, for example after an engine has joined.
 //
-// One move per decision, only to a strictly better place, and only while few model versions are moving: a change of many
-// engines at once then costs a bounded rate of writes, and no move is ever answered by one back. A model version whose
-// only slot would have to go first is left where it is, and so is one that holds its maximum on demand.
-func (r *run) rebalance() {
-	if len(r.decision.Changes) > 0 || r.moving*movingShare >= max(len(r.specs), movingShare) {
+// There is at most one move per decision, only to a strictly better engine, and only while few model versions have
+// moving slots. This bounds the rate of writes after many engines change at once, and ensures that no move is reversed
+// by a later one. A model version whose only slot would have to be released first is not moved, and neither is one that
+// holds its maximum because of demand.
+func (r *decisionRun) rebalance() {
+	if len(r.decision.Changes) > 0 || r.moving*movingDivisor >= max(len(r.specs), movingDivisor) {
 		return
 	}
-	if r.spread() {
+	if r.balanceDomains() {
 		return
 	}
-	r.level()
+	r.balanceLoads()
 }
 
-// moveTries bounds the slots for which a better place is looked for in one decision.
+// moveTries limits the number of slots for which a better engine is searched in one decision.
 const moveTries = 8
 
-// settled is a declared model version whose slots are all good.
-type settled struct {
-	spec *ModelSpec
-	view RowView
-	memo *memo
-	// draft is made when it is needed.
+// stableModel is a declared model version whose slots are all healthy.
+type stableModel struct {
+	spec  *ModelSpec
+	view  RowView
+	cache *rowCache
+	// draft is created on first use.
 	draft *draft
 }
 
-// slots returns the drafts of a settled model version's slots, in the order of its row.
-func (r *run) slots(t *settled) []*slotDraft {
+// slots returns the slot drafts of a stable model version, in row order.
+func (r *decisionRun) slots(t *stableModel) []*slotDraft {
 	if t.draft == nil {
 		t.draft = newDraft(t.spec.Model, t.view)
-		r.judge(t.spec, t.draft)
+		r.assessSlots(t.spec, t.draft)
 	}
 	return t.draft.slots
 }
 
-// spread moves a slot out of a failure domain that has two more than another.
-func (r *run) spread() bool {
+// balanceDomains moves a slot out of a failure domain that holds at least two more than another.
+func (r *decisionRun) balanceDomains() bool {
 	tries := moveTries
-	for _, t := range r.settled {
+	for _, t := range r.stable {
 		domain := r.crowdedDomain(t)
 		if domain == "" {
 			continue
@@ -70,14 +71,14 @@
 	return false
 }
 
-// crowdedDomain returns the failure domain with the most slots of a model version, if another one of the domains that
-// its selector reaches has at least two less.
-func (r *run) crowdedDomain(t *settled) string {
-	m := t.memo
-	if m.crowdedKnown {
-		return m.crowded
+// crowdedDomain returns a failure domain that holds at least two slots of a model version more than another domain
+// matched by its selector, or "" if there is none.
+func (r *decisionRun) crowdedDomain(t *stableModel) string {
+	m := t.cache
+	if m.crowdedComputed {
+		return m.crowdedDomain
 	}
-	m.crowdedKnown = true
+	m.crowdedComputed = true
 	counts := map[string]int{}
 	for _, s := range m.row.GetSlots() {
 		counts[s.FailureDomain]++
@@ -88,32 +89,32 @@
 	}
 	for _, s := range m.row.GetSlots() {
 		if counts[s.FailureDomain] >= least+2 {
-			m.crowded = s.FailureDomain
+			m.crowdedDomain = s.FailureDomain
 			break
 		}
 	}
-	return m.crowded
+	return m.crowdedDomain
 }
 
-// overloaded is a slot on an engine that holds more than its share, and by how much.
+// overloaded is a slot on an engine whose load exceeds its fair share. ratio is load divided by share.
 type overloaded struct {
-	*settled
+	*stableModel
 	slot  int
 	ratio float64
 }
 
-// level moves a slot off the engine that is furthest over its share: when it is so by far, or when another engine is far
-// below its own.
-func (r *run) level() {
+// balanceLoads moves a slot off the engine with the highest load relative to its fair share, if that load exceeds
+// MoveBound times the share or another engine is far below its own share.
+func (r *decisionRun) balanceLoads() {
 	found := r.overloaded()
 	slices.SortStableFunc(found, func(a, b overloaded) int { return cmp.Compare(b.ratio, a.ratio) })
 	tries := moveTries
 	for _, o := range found {
-		s := r.slots(o.settled)[o.slot]
-		if !r.movable(o.settled, s) {
+		s := r.slots(o.stableModel)[o.slot]
+		if !r.movable(o.stableModel, s) {
 			continue
 		}
-		if r.move(o.settled, s, ReasonBalance) {
+		if r.move(o.stableModel, s, ReasonBalance) {
 			return
 		}
 		if tries--; tries == 0 {
@@ -122,34 +123,34 @@
 	}
 }
 
-// overloaded returns the slots from which level may choose.
-func (r *run) overloaded() []overloaded {
+// overloaded returns the slots that balanceLoads may move.
+func (r *decisionRun) overloaded() []overloaded {
 	var found []overloaded
 	type kind struct {
 		group *group
 		need  int64
 	}
 	low := map[kind]bool{}
-	for _, t := range r.settled {
+	for _, t := range r.stable {
 		k := kind{r.index.group(t.spec.Selector), t.spec.MemoryBytes}
 		if _, known := low[k]; !known {
-			low[k] = r.hasLow(k.group, k.need)
+			low[k] = r.hasUnderloaded(k.group, k.need)
 		}
 		bound := r.policy.MoveBound
 		if low[k] {
 			bound = 1
 		}
-		for n, engine := range t.memo.granted {
-			if engine >= 0 && r.overWith(engine, k.need, bound) {
-				found = append(found, overloaded{settled: t, slot: n, ratio: float64(r.load[engine]) / r.share[engine]})
+		for n, engine := range t.cache.granted {
+			if engine >= 0 && r.exceedsShareWith(engine, k.need, bound) {
+				found = append(found, overloaded{stableModel: t, slot: n, ratio: float64(r.load[engine]) / r.share[engine]})
 			}
 		}
 	}
 	return found
 }
 
-// hasLow reports whether an engine of a group would still be far below its share with need more.
-func (r *run) hasLow(g *group, need int64) bool {
+// hasUnderloaded reports whether an engine of a group would still be far below its fair share with need more bytes.
+func (r *decisionRun) hasUnderloaded(g *group, need int64) bool {
 	for _, i := range g.members {
 		if r.fill(i, need) == fillLow && r.index.engines[i].Reachable && r.index.live[i] {
 			return true
@@ -158,32 +159,33 @@
 	return false
 }
 
-// overWith reports whether an engine is over bound times its share by a slot of the given weight that it holds.
-func (r *run) overWith(engine int, need int64, bound float64) bool {
+// exceedsShareWith reports whether an engine exceeds bound times its fair share because of a slot of the given size
+// that it holds.
+func (r *decisionRun) exceedsShareWith(engine int, need int64, bound float64) bool {
 	r.load[engine] -= need
-	over := r.over(engine, need, bound)
+	exceeds := r.exceedsShare(engine, need, bound)
 	r.load[engine] += need
-	return over
+	return exceeds
 }
 
-// movable reports whether a slot may move: it holds nothing, and its model version has another slot or room for one.
-func (r *run) movable(t *settled, s *slotDraft) bool {
-	_, most := r.policy.bounds(*t.spec)
-	return s.engine >= 0 && !s.loaded && (len(t.draft.slots) > 1 || most > 1)
+// movable reports whether a slot may move: it is not loaded, and its model version has another slot or room for one.
+func (r *decisionRun) movable(t *stableModel, s *slotDraft) bool {
+	_, maxSlots := r.policy.bounds(*t.spec)
+	return s.engine >= 0 && !s.loaded && (len(t.draft.slots) > 1 || maxSlots > 1)
 }
 
-// move replaces a slot by one in a strictly better place, if there is one.
-func (r *run) move(t *settled, s *slotDraft, reason Reason) bool {
+// move replaces a slot by one on a strictly better engine, if there is one.
+func (r *decisionRun) move(t *stableModel, s *slotDraft, reason Reason) bool {
 	need := t.spec.MemoryBytes
-	home, most := r.policy.bounds(*t.spec)
-	room := most > len(t.draft.slots)
-	if !room && len(t.draft.slots) > home {
+	baseline, maxSlots := r.policy.bounds(*t.spec)
+	room := maxSlots > len(t.draft.slots)
+	if !room && len(t.draft.slots) > baseline {
 		return false
 	}
 	others := *t.draft
 	others.slots = slices.DeleteFunc(slices.Clone(t.draft.slots), func(o *slotDraft) bool { return o == s })
 	r.load[s.engine] -= need
-	target := r.better(t.spec, &others, s, reason)
+	target := r.betterEngine(t.spec, &others, s, reason)
 	r.load[s.engine] += need
 	if target < 0 {
 		return false
@@ -197,10 +199,10 @@
 	return true
 }
 
-// better returns the engine that would get the slot if it were placed anew, or -1 when that is no better than where the
-// slot is. The draft and the loads are those without the slot. For balance the target must not be over its share with the
-// slot, as the engine that it leaves is: such a slot is not moved again while the loads stay as they are.
-func (r *run) better(spec *ModelSpec, others *draft, s *slotDraft, reason Reason) int {
+// betterEngine returns the engine that would get the slot if it were placed again, or -1 if that is no improvement over
+// the current engine. The draft and the loads must exclude the slot. For ReasonBalance the target must not exceed its
+// share with the slot as the current engine does; the slot is then not moved again while the loads stay the same.
+func (r *decisionRun) betterEngine(spec *ModelSpec, others *draft, s *slotDraft, reason Reason) int {
 	found := r.candidates(spec, others)
 	domains := domainCounts(others)
 	best := r.pick(spec, found, domains)
@@ -215,7 +217,7 @@
 	}
 	need := spec.MemoryBytes
 	fill := r.fill(target, need)
-	worth := fill == fillLow || fill == fillEven && r.over(s.engine, need, r.policy.MoveBound)
+	worth := fill == fillLow || fill == fillEven && r.exceedsShare(s.engine, need, r.policy.MoveBound)
 	return targetIf(target, there <= here && worth)
 }
 
--- a/internal/replicas/row.go
+++ b/internal/replicas/row.go
@@ -9,13 +9,13 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// KeyPrefix begins the keys of all rows.
+// KeyPrefix is the key prefix of all rows.
 const KeyPrefix = "grants/"
 
 // Key returns the table key of a model version's row.
 func Key(model string) string { return KeyPrefix + model }
 
-// DecodeRow reads a row of the table and sets its revision.
+// DecodeRow decodes a table row and sets its revision.
 func DecodeRow(r backing.Row) (*replicaspb.Row, error) {
 	row := &replicaspb.Row{}
 	if err := proto.Unmarshal(r.Value, row); err != nil {
@@ -28,19 +28,19 @@
 	return row, nil
 }
 
-// EncodeRow writes a row for the table. The revision is the table's and not part of the value.
+// EncodeRow encodes a row for the table. The revision is assigned by the table and not part of the value.
 func EncodeRow(row *replicaspb.Row) ([]byte, error) {
 	stored := proto.CloneOf(row)
 	stored.Revision = 0
 	return proto.Marshal(stored)
 }
 
-// ModelOfKey returns the model version of a row's key.
+// ModelOfKey returns the model version that a row key names.
 func ModelOfKey(key string) string { return strings.TrimPrefix(key, KeyPrefix) }
 
-// SlotOf returns the slot that an engine on a host has in a row, or nil. An agent must use this, not the engine's name
-// alone: when its host replaced one that ran an engine of the same name, the old host's slot is not its own, and may be
-// removed at any moment because that host is gone.
+// SlotOf returns the slot that an engine on a host has in a row, or nil. An agent must look up its slot by host as well
+// as by engine name: if its host replaced one that ran an engine of the same name, the old host's slot is not its own
+// and may be removed at any moment because that host is gone.
 func SlotOf(row *replicaspb.Row, engine, host string) *replicaspb.Slot {
 	for _, s := range row.GetSlots() {
 		if s.Engine == engine && s.Host == host {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// Warm reports whether an engine's slot is among those that keep the model loaded while idle: the first warm GRANTED
+// Warm reports whether an engine's slot is one of those that keep the model loaded while idle: the first warm GRANTED
 // slots of the row.
 func Warm(row *replicaspb.Row, engine, host string, warm int) bool {
 	for _, s := range row.GetSlots() {
@@ -68,10 +68,10 @@
 	return false
 }
 
-// releasingSince returns the revision at which a RELEASING slot of a row became so.
+// releasingSince returns the revision at which a RELEASING slot of a row entered that state.
 //
-// It is the revision that a confirmation must reach. One that is older may have been given for an earlier slot of the
-// same engine, which was removed and granted again since, and the engine may hold a replica under the new one.
+// A confirmation must have at least this revision. An older one may belong to an earlier slot of the same engine that
+// was removed and granted again since; the engine may hold a replica under the new slot.
 func releasingSince(row *replicaspb.Row, s *replicaspb.Slot) uint64 {
 	if s.ReleasingRevision > 0 {
 		return s.ReleasingRevision
--- a/internal/replicas/run.go
+++ b/internal/replicas/run.go
@@ -10,18 +10,18 @@
 	"balsamsail/internal/timeline"
 )
 
-// stamp tells whether anything that a decision rests on has changed.
-type stamp struct {
+// inputVersions are the versions of all inputs of a decision, compared to detect changes.
+type inputVersions struct {
 	declared, head, engines, hosts, rows, demand uint64
 }
 
-// The kinds of calls in logs and on the time line.
+// Call names in logs and timeline events.
 const (
 	callRead  = "read rows"
 	callWrite = "write row"
 )
 
-// Run follows the table, decides and proposes until the context ends.
+// Run follows the table, decides and proposes until the context is done.
 func (m *Manager) Run(ctx context.Context) error {
 	m.started = m.clock.Now()
 	timer := m.clock.NewTimer(0)
@@ -31,15 +31,15 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-m.wake:
-			m.pause(ctx, m.options.Settle)
+			m.sleep(ctx, m.options.Settle)
 		case <-timer.C():
 		}
 		timer.Reset(m.round(ctx))
 	}
 }
 
-// pause waits, or returns early when the context ends.
-func (m *Manager) pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until the context is done.
+func (m *Manager) sleep(ctx context.Context, d time.Duration) {
 	timer := m.clock.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -48,21 +48,21 @@
 	}
 }
 
-// round reads, decides and proposes once, as far as each is due, and returns the time until the next round.
+// round reads, decides and proposes once, as far as each is due, and returns the delay until the next round.
 func (m *Manager) round(ctx context.Context) time.Duration {
 	now := m.clock.Now()
 	if !now.Before(m.nextRead) {
 		m.readRows(ctx)
-		m.sample(m.clock.Now())
+		m.sampleUsage(m.clock.Now())
 	}
 	next := m.nextRead
-	if m.reading.wait == 0 && m.Complete() {
+	if m.readBackoff.wait == 0 && m.Complete() {
 		next = earlier(next, m.decide(ctx))
 	}
 	return max(next.Sub(m.clock.Now()), m.options.Settle)
 }
 
-// earlier returns the earlier of two times; a zero time stands for never.
+// earlier returns the earlier of two times; a zero time means never.
 func earlier(a, b time.Time) time.Time {
 	if b.IsZero() || !a.IsZero() && a.Before(b) {
 		return a
@@ -70,118 +70,118 @@
 	return b
 }
 
-// readRows reads the rows that changed since the last read, or all of them when that is due.
+// readRows reads the rows that changed since the last read, or all rows when a full read is due.
 func (m *Manager) readRows(ctx context.Context) {
 	now := m.clock.Now()
 	after, complete := m.store.progress()
-	full := !complete || now.Sub(m.fullRead) >= m.options.FullInterval
+	full := !complete || now.Sub(m.lastFullRead) >= m.options.FullInterval
 	if full {
 		after = 0
 	}
 	listing, err := m.table.List(ctx, KeyPrefix, after)
 	if err != nil {
 		m.metrics.reads.WithLabelValues(resultUnavailable).Inc()
-		m.failed(ctx, &m.reading, callRead, err)
-		m.nextRead = m.reading.until
+		m.callFailed(ctx, &m.readBackoff, callRead, err)
+		m.nextRead = m.readBackoff.until
 		return
 	}
 	m.metrics.reads.WithLabelValues(resultOK).Inc()
-	m.succeeded(&m.reading, callRead)
-	for _, key := range m.store.take(m.clock.Now(), listing, full) {
-		m.log.Error("row of the table cannot be read", "key", key, "error", ErrCorruptRow)
+	m.callSucceeded(&m.readBackoff, callRead)
+	for _, key := range m.store.applyListing(m.clock.Now(), listing, full) {
+		m.log.Error("cannot decode table row", "key", key, "error", ErrCorruptRow)
 	}
 	if full {
-		m.fullRead = now
+		m.lastFullRead = now
 	}
-	m.readAt = now
+	m.lastRead = now
 	m.nextRead = m.clock.Now().Add(m.options.Interval)
 }
 
-// failed notes that the table did not answer a kind of call.
-func (m *Manager) failed(ctx context.Context, b *backoff, what string, err error) {
+// callFailed records a failed table call.
+func (m *Manager) callFailed(ctx context.Context, b *backoff, what string, err error) {
 	if ctx.Err() != nil || !b.fail(m.clock.Now(), m.options, m.random) {
 		return
 	}
-	m.log.Warn("table does not answer; grants stay as they are", "call", what, "error", err)
+	m.log.Warn("table unavailable; keeping current grants", "call", what, "error", err)
 	m.timeline.Record(timeline.Event{Kind: timeline.PlatformLost, Detail: what + ": " + err.Error()})
 }
 
-// succeeded notes that the table answered a kind of call. After an outage, the turns begin anew: all processes have waited
-// theirs out, and would propose the same changes.
-func (m *Manager) succeeded(b *backoff, what string) {
+// callSucceeded records a successful table call. After an outage the proposal schedule is reset: the delays of all
+// processes have expired by then, and all would propose the same changes at once.
+func (m *Manager) callSucceeded(b *backoff, what string) {
 	if b.succeed() {
-		m.turns.reset()
-		m.log.Info("table answers again", "call", what)
+		m.schedule.reset()
+		m.log.Info("table available again", "call", what)
 		m.timeline.Record(timeline.Event{Kind: timeline.PlatformBack, Detail: what})
 	}
 }
 
-// sample notes the use of the model versions that have slots which might be taken back.
-func (m *Manager) sample(now time.Time) {
+// sampleUsage records the usage of the model versions that have slots above their baseline.
+func (m *Manager) sampleUsage(now time.Time) {
 	declared, ok := m.inputs.Declarations.Declared()
 	if !ok {
 		return
 	}
 	for i := range declared.Models {
 		spec := &declared.Models[i]
-		home, _ := m.options.Policy.bounds(*spec)
-		if len(m.store.row(spec.Model).GetSlots()) <= home {
-			m.demand.unsample(spec.Model)
+		baseline, _ := m.options.Policy.bounds(*spec)
+		if len(m.store.row(spec.Model).GetSlots()) <= baseline {
+			m.demand.forgetUsage(spec.Model)
 			continue
 		}
 		running, _ := m.inputs.Usage.Usage(spec.Model)
-		m.demand.sample(now, spec.Model, running)
+		m.demand.recordUsage(now, spec.Model, running)
 	}
 }
 
-// decide runs the decision if anything has changed, proposes what is this process's turn, and returns when to come again
-// at the latest (zero: at the next read).
+// decide repeats the decision if an input has changed, proposes the changes that are due, and returns the latest time
+// for the next call (zero: at the next read).
 func (m *Manager) decide(ctx context.Context) time.Time {
 	declared, ok := m.inputs.Declarations.Declared()
 	if !ok {
 		return time.Time{}
 	}
 	now := m.clock.Now()
-	if seen := m.stamp(declared); seen != m.lastSeen || m.due(now) {
+	if versions := m.currentVersions(declared); versions != m.lastVersions || m.recheckDue(now) {
 		if now.Before(m.notBefore) {
 			return m.notBefore
 		}
 		m.decision = m.decideNow(now, declared)
-		m.lastSeen = seen
+		m.lastVersions = versions
 	}
-	if now.Before(m.writing.until) {
-		return m.writing.until
+	if now.Before(m.writeBackoff.until) {
+		return m.writeBackoff.until
 	}
-	d := m.turns.take(now, m.readAt, m.decision.Changes, m.inputs.Peers.Self(), m.inputs.Peers.Live())
+	d := m.schedule.due(now, m.lastRead, m.decision.Changes, m.inputs.Peers.Self(), m.inputs.Peers.Live())
 	if d.stale {
 		m.readRows(ctx)
 		return m.clock.Now()
 	}
 	if len(d.ready) > 0 {
-		if m.writing.wait > 0 {
-			// The table did not answer the last writes: one shows whether it does again.
+		if m.writeBackoff.wait > 0 {
+			// Recent writes failed or were not answered: send a single one as a probe.
 			d.ready = d.ready[:1]
 		}
 		m.propose(ctx, d.ready)
-		m.turns.proposed(m.clock.Now(), d.ready)
+		m.schedule.postpone(m.clock.Now(), d.ready)
 		return m.clock.Now()
 	}
-	return earlier(d.next, m.decision.Again)
+	return earlier(d.next, m.decision.RecheckAt)
 }
 
-func (m *Manager) due(now time.Time) bool {
-	return !m.decision.Again.IsZero() && !now.Before(m.decision.Again)
+func (m *Manager) recheckDue(now time.Time) bool {
+	return !m.decision.RecheckAt.IsZero() && !now.Before(m.decision.RecheckAt)
 }
 
-func (m *Manager) stamp(declared Declared) stamp {
+func (m *Manager) currentVersions(declared Declared) inputVersions {
 	_, engines := m.inputs.Engines.Engines()
-	return stamp{
+	return inputVersions{
 		declared: declared.Revision,
 		head:     declared.Head.Revision,
 		engines:  engines,
 		hosts:    m.inputs.Engines.Hosts().Version,
-		rows:     m.store.at(),
-		demand:   m.demand.at(),
+		rows:     m.store.currentSequence(),
+		demand:   m.demand.currentSequence(),
 	}
 }
 
@@ -196,7 +196,7 @@
 		Hosts:          m.inputs.Engines.Hosts(),
 		Since:          m.started,
 		Demand:         make(map[string]Demand, len(declared.Models)),
-		Releases:       m.demand.confirmed(now, rows),
+		Releases:       m.demand.confirmedRevisions(now, rows),
 	}
 	m.demand.expire(now)
 	for i := range declared.Models {
@@ -214,12 +214,12 @@
 	return decision
 }
 
-// propose writes changes, several at once. When the table does not answer one, no further one is begun.
+// propose writes changes in parallel. After a failed or unanswered write it starts no further one.
 func (m *Manager) propose(ctx context.Context, changes []Change) {
-	group, unanswered := errgroup.WithContext(ctx)
+	group, groupCtx := errgroup.WithContext(ctx)
 	group.SetLimit(m.options.ParallelWrites)
 	for _, c := range changes {
-		if m.limiter.Wait(unanswered) != nil {
+		if m.limiter.Wait(groupCtx) != nil {
 			break
 		}
 		group.Go(func() error {
@@ -231,10 +231,10 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		m.failed(ctx, &m.writing, callWrite, err)
+		m.callFailed(ctx, &m.writeBackoff, callWrite, err)
 		return
 	}
-	m.succeeded(&m.writing, callWrite)
+	m.callSucceeded(&m.writeBackoff, callWrite)
 }
 
 func (m *Manager) proposeOne(ctx context.Context, c Change) error {
@@ -245,14 +245,14 @@
 	m.metrics.proposals.WithLabelValues(resultOf(err)).Inc()
 	switch {
 	case err == nil:
-		m.committed(c, row)
+		m.applyCommitted(c, row)
 	case errors.Is(err, ErrConflict):
 		m.timeline.Record(timeline.Event{Kind: timeline.GrantConflict, Model: c.Model, Detail: c.String()})
 		m.reread(ctx, c.Model)
 	case errors.Is(err, ErrUnavailable):
-		m.log.Debug("grant not changed", "model", c.Model, "change", c.String(), "error", err)
+		m.log.Debug("row change not applied", "model", c.Model, "change", c.String(), "error", err)
 	default:
-		m.log.Warn("grant not known to be changed", "model", c.Model, "change", c.String(), "error", err)
+		m.log.Warn("row change failed or its outcome is unknown", "model", c.Model, "change", c.String(), "error", err)
 	}
 	return err
 }
--- a/internal/replicas/settle.go
+++ b/internal/replicas/settle.go
@@ -2,20 +2,20 @@
 
 import "balsamsail/internal/wire/wirepb"
 
-// settle decides the slots of a declared model version: it gives up slots that must not stay, adds those that are
-// missing as far as the maximum allows, and takes back those that have been replaced or are not needed any more.
-func (r *run) settle(spec *ModelSpec, d *draft) {
+// adjustSlots decides the slots of a declared model version. It releases slots that must not stay, grants missing ones
+// as far as the maximum allows, and releases those that have been replaced or are no longer needed.
+func (r *decisionRun) adjustSlots(spec *ModelSpec, d *draft) {
 	r.releaseLeaving(d)
-	home, most := r.policy.bounds(*spec)
-	if r.releaseExcess(d, most) {
+	baseline, maxSlots := r.policy.bounds(*spec)
+	if r.releaseExcess(d, maxSlots) {
 		return
 	}
 	grow := r.growth(spec, d)
 	good := d.count(healthGood, healthFailing)
-	need := max(home, good+grow) - good
-	room := most - len(d.slots)
+	need := max(baseline, good+grow) - good
+	room := maxSlots - len(d.slots)
 	if need > 0 && room > 0 {
-		reason := grantReason(d, good, home)
+		reason := grantReason(d, good, baseline)
 		if r.place(spec, d, min(need, room), reason) > 0 {
 			return
 		}
@@ -24,29 +24,29 @@
 		r.makeRoom(spec, d, good, grow > 0)
 		return
 	}
-	if r.releaseReplaced(d) {
+	if r.releaseMisplaced(d) {
 		return
 	}
-	r.shrink(spec, d, home)
+	r.shrink(spec, d, baseline)
 }
 
-// grantReason names the cause of new slots.
-func grantReason(d *draft, good, home int) Reason {
+// grantReason returns the reason for new slots.
+func grantReason(d *draft, good, baseline int) Reason {
 	switch {
-	case good >= home:
+	case good >= baseline:
 		return ReasonDemand
-	case d.count(healthSilent) > 0:
-		return ReasonSilent
+	case d.count(healthUnreachable) > 0:
+		return ReasonUnreachable
 	case d.count(healthMisplaced, healthLeaving, healthReleasing) > 0:
 		return ReasonReplace
 	default:
-		return ReasonHome
+		return ReasonBaseline
 	}
 }
 
-// releaseLeaving takes back the slots of leaving and drained engines: they get no new work, so nothing is gained by
+// releaseLeaving releases the slots of leaving and drained engines. These get no new work, so there is no point in
 // waiting for a replacement.
-func (r *run) releaseLeaving(d *draft) {
+func (r *decisionRun) releaseLeaving(d *draft) {
 	for _, s := range d.slots {
 		if s.health == healthLeaving {
 			d.release(s, s.reason)
@@ -54,17 +54,17 @@
 	}
 }
 
-// releaseExcess takes back slots above the maximum, which an operator may have lowered.
-func (r *run) releaseExcess(d *draft, most int) bool {
-	excess := len(d.slots) - d.count(healthReleasing) - most
+// releaseExcess releases slots above the maximum, which an operator may have lowered.
+func (r *decisionRun) releaseExcess(d *draft, maxSlots int) bool {
+	excess := len(d.slots) - d.count(healthReleasing) - maxSlots
 	for range excess {
 		d.release(victim(d), ReasonOverMaximum)
 	}
 	return excess > 0
 }
 
-// victim returns the slot that is missed least: one that does not serve, that holds nothing, that shares its failure
-// domain, the latest.
+// victim returns the slot to release first. It prefers, in this order, slots in worse health, slots that are not
+// loaded, slots in the failure domain with the most slots, and the last in row order.
 func victim(d *draft) *slotDraft {
 	var worst *slotDraft
 	domains := domainCounts(d)
@@ -72,15 +72,15 @@
 		if s.health == healthReleasing {
 			continue
 		}
-		if worst == nil || !lessMissed(worst, s, domains) {
+		if worst == nil || !releaseFirst(worst, s, domains) {
 			worst = s
 		}
 	}
 	return worst
 }
 
-// lessMissed reports whether a is missed less than b, which comes after it in the row.
-func lessMissed(a, b *slotDraft, domains map[string]int) bool {
+// releaseFirst reports whether a, which comes before b in the row, is to be released before b.
+func releaseFirst(a, b *slotDraft, domains map[string]int) bool {
 	if a.health != b.health {
 		return a.health > b.health
 	}
@@ -90,22 +90,22 @@
 	return domains[a.slot.FailureDomain] > domains[b.slot.FailureDomain]
 }
 
-// growth returns how many slots are to be added on demand. Wishes that are older than the row, or hardly younger, do not
-// count: what was changed last may already answer them.
+// growth returns how many slots to add on demand. Slot requests made before the row's last change or within
+// GrowInterval after it are ignored: that change may already satisfy them.
 //
-// A wish that counts makes the decision differ once it does not any more. On a fleet that falls silent then nothing else
-// would bring another decision, and slots that nobody needs would stay granted.
-func (r *run) growth(spec *ModelSpec, d *draft) int {
-	answered := d.since.Add(r.policy.GrowInterval)
-	waiting, wanted := 0, false
-	for _, w := range r.snapshot.Demand[spec.Model].Wants {
-		if helps(w.Reason) && r.fresh(w) && !w.Last.Before(answered) {
-			wanted = true
-			waiting += w.Waiting
-			r.again(w.Last.Add(r.policy.WantLife))
+// Each counted request schedules another decision for the time when it expires. If the fleet becomes idle, no other
+// event would trigger one, and unneeded slots would stay granted.
+func (r *decisionRun) growth(spec *ModelSpec, d *draft) int {
+	countFrom := d.since.Add(r.policy.GrowInterval)
+	waiting, requested := 0, false
+	for _, req := range r.snapshot.Demand[spec.Model].SlotRequests {
+		if servedByMoreSlots(req.Reason) && r.recent(req) && !req.Last.Before(countFrom) {
+			requested = true
+			waiting += req.Waiting
+			r.recheckAt(req.Last.Add(r.policy.WantLife))
 		}
 	}
-	if !wanted {
+	if !requested {
 		return 0
 	}
 	if spec.Concurrency <= 0 {
@@ -115,8 +115,8 @@
 	return min(max(slots, 1), max(1, len(d.slots)))
 }
 
-// helps reports whether another slot would serve the requests that were refused for a reason.
-func helps(reason wirepb.RefusalReason) bool {
+// servedByMoreSlots reports whether another slot would serve the requests that were refused for a reason.
+func servedByMoreSlots(reason wirepb.RefusalReason) bool {
 	switch reason {
 	case wirepb.RefusalReason_STORE_BUSY, wirepb.RefusalReason_LEAVING, wirepb.RefusalReason_CANCELLED,
 		wirepb.RefusalReason_UNKNOWN_TARGET:
@@ -126,20 +126,20 @@
 	}
 }
 
-// makeRoom takes back one slot that is not usable, when the model version needs another one and the maximum leaves no
-// room for it. One at a time, so that as many as possible go on serving; a release that cannot be confirmed soon does not
-// hold up the next.
-func (r *run) makeRoom(spec *ModelSpec, d *draft, good int, wanted bool) {
+// makeRoom releases one unusable slot if the model version needs another one and the maximum leaves no room for it. It
+// releases one at a time to keep as many as possible serving; a pending release whose engine is unreachable does not
+// delay the next one.
+func (r *decisionRun) makeRoom(spec *ModelSpec, d *draft, good int, growing bool) {
 	if r.releasesPending(d) {
 		return
 	}
 	for _, s := range d.slots {
-		if s.health == healthMisplaced && (good == 0 || r.replaced(d, s)) {
+		if s.health == healthMisplaced && (good == 0 || r.canRelease(d, s)) {
 			d.release(s, s.reason)
 			return
 		}
 	}
-	if !wanted || !r.hasAlternative(spec, d) {
+	if !growing || !r.hasAlternative(spec, d) {
 		return
 	}
 	for _, s := range d.slots {
@@ -150,18 +150,18 @@
 	}
 }
 
-// releasesPending reports whether a slot is RELEASING whose engine answers.
-func (r *run) releasesPending(d *draft) bool {
+// releasesPending reports whether a slot is RELEASING whose engine is not considered unreachable.
+func (r *decisionRun) releasesPending(d *draft) bool {
 	for _, s := range d.slots {
-		if s.health == healthReleasing && !s.quiet {
+		if s.health == healthReleasing && !s.unreachable {
 			return true
 		}
 	}
 	return false
 }
 
-// hasAlternative reports whether an engine could take a slot that has not failed lately.
-func (r *run) hasAlternative(spec *ModelSpec, d *draft) bool {
+// hasAlternative reports whether an engine that is not to be avoided could take a slot.
+func (r *decisionRun) hasAlternative(spec *ModelSpec, d *draft) bool {
 	for _, c := range r.candidates(spec, d) {
 		if !c.avoid {
 			return true
@@ -170,11 +170,11 @@
 	return false
 }
 
-// releaseReplaced takes back misplaced slots once there are enough others.
-func (r *run) releaseReplaced(d *draft) bool {
+// releaseMisplaced releases the misplaced slots that canRelease allows. There are enough other slots at this point.
+func (r *decisionRun) releaseMisplaced(d *draft) bool {
 	released := false
 	for _, s := range d.slots {
-		if s.health == healthMisplaced && r.replaced(d, s) {
+		if s.health == healthMisplaced && r.canRelease(d, s) {
 			d.release(s, s.reason)
 			released = true
 		}
@@ -182,9 +182,9 @@
 	return released
 }
 
-// replaced reports whether a misplaced slot can go without callers waiting for a load: it holds nothing, or another slot
-// is loaded, or there was time enough for that.
-func (r *run) replaced(d *draft, misplaced *slotDraft) bool {
+// canRelease reports whether a misplaced slot can be released without callers having to wait for a load: it is not
+// loaded, another slot is loaded, or MoveTimeout has passed since the last change of the row.
+func (r *decisionRun) canRelease(d *draft, misplaced *slotDraft) bool {
 	if !misplaced.loaded {
 		return true
 	}
@@ -196,51 +196,51 @@
 	if !r.now.Before(d.since.Add(r.policy.MoveTimeout)) {
 		return true
 	}
-	r.again(r.now.Add(recheckInterval))
+	r.recheckAt(r.now.Add(recheckInterval))
 	return false
 }
 
-// shrink takes back slots above the home slots whose demand has been gone for long: a part of them at a time, so that a
-// wrong guess costs little.
-func (r *run) shrink(spec *ModelSpec, d *draft, home int) {
+// shrink releases slots above the baseline whose demand ended at least ExtraHold ago. It releases only a part of them
+// at a time, to limit the cost if the demand returns.
+func (r *decisionRun) shrink(spec *ModelSpec, d *draft, baseline int) {
 	granted := len(d.slots) - d.count(healthReleasing)
-	if granted <= home {
+	if granted <= baseline {
 		return
 	}
 	good := d.count(healthGood, healthFailing)
-	keep := max(home, r.neededNow(spec, d))
+	keep := max(baseline, r.slotsForUsage(spec, d))
 	if good <= keep {
 		return
 	}
 	if r.now.Before(d.since.Add(r.policy.ExtraHold)) {
-		r.again(d.since.Add(r.policy.ExtraHold))
+		r.recheckAt(d.since.Add(r.policy.ExtraHold))
 		return
 	}
 	const part = 4
-	n := min(good-keep, max(1, (good-home)/part))
+	n := min(good-keep, max(1, (good-baseline)/part))
 	for range n {
 		d.release(victim(d), ReasonUnneeded)
 	}
 }
 
-// neededNow returns how many slots the use within the last ExtraHold called for.
-func (r *run) neededNow(spec *ModelSpec, d *draft) int {
+// slotsForUsage returns how many slots the usage within the last ExtraHold requires.
+func (r *decisionRun) slotsForUsage(spec *ModelSpec, d *draft) int {
 	demand := r.snapshot.Demand[spec.Model]
 	granted := len(d.slots) - d.count(healthReleasing)
-	for _, w := range demand.Wants {
-		if r.now.Sub(w.Last) < r.policy.ExtraHold {
-			r.again(w.Last.Add(r.policy.ExtraHold))
+	for _, req := range demand.SlotRequests {
+		if r.now.Sub(req.Last) < r.policy.ExtraHold {
+			r.recheckAt(req.Last.Add(r.policy.ExtraHold))
 			return granted
 		}
 	}
 	if !demand.Usage.Known {
-		r.again(r.now.Add(r.policy.ExtraHold / 2))
+		r.recheckAt(r.now.Add(r.policy.ExtraHold / 2))
 		return granted
 	}
 	if demand.Usage.Peak == 0 {
 		return 0
 	}
-	r.again(r.now.Add(r.policy.ExtraHold / 2))
+	r.recheckAt(r.now.Add(r.policy.ExtraHold / 2))
 	if spec.Concurrency <= 0 {
 		return granted
 	}
--- a/internal/replicas/snapshot.go
+++ b/internal/replicas/snapshot.go
@@ -8,24 +8,24 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// Selector chooses engines by their labels. Selectors with equal String values must choose alike.
+// Selector selects engines by their labels. Selectors with equal String values must select the same engines.
 type Selector interface {
 	Matches(labels map[string]string) bool
 	String() string
 }
 
-// ModelSpec is what the decision must know of one declared model version.
+// ModelSpec is the part of a declared model version that the decision depends on.
 type ModelSpec struct {
 	// Model is "name@version".
 	Model    string
 	Selector Selector
-	// MemoryBytes is what one replica takes of an engine: weights and the least KV cache.
+	// MemoryBytes is the engine memory that one replica needs: weights and the minimum KV cache.
 	MemoryBytes int64
-	// Min and Max bound the number of slots; 0 stands for the policy's default.
+	// Min and Max bound the number of slots; 0 means the policy's default.
 	Min, Max int
 	// Warm is how many replicas stay loaded while idle.
 	Warm int
-	// Concurrency is how many requests one replica runs at once; 0 when not known.
+	// Concurrency is how many requests one replica runs at once; 0 if not known.
 	Concurrency int
 }
 
@@ -33,31 +33,30 @@
 type Declared struct {
 	// Revision is the revision of the declarations.
 	Revision uint64
-	// Head, when its key is not empty, is added to the conditions of each write: the table's row that names the newest
-	// revision of the declarations, at the table revision read with this set. No grant decided under an older set can
-	// then commit after an edit was accepted.
+	// Head, if its key is not empty, is added to the conditions of each write: the table row that names the newest
+	// revision of the declarations, at the table revision read with this set. It prevents a grant decided under an older
+	// set from committing after an edit was accepted.
 	Head   backing.Condition
 	Models []ModelSpec
 }
 
-// EngineView is what a process knows of one engine.
+// EngineView is a process's view of one engine.
 type EngineView struct {
 	Name          string
 	FailureDomain string
-	// Host is the identifier of the host that the engine runs on. Only an engine whose host is listed as live in the host
-	// list gets slots.
+	// Host identifies the host that the engine runs on. Only an engine whose host the host list names as live gets slots.
 	Host   string
 	Labels map[string]string
 	// MemoryBytes is the engine's accelerator memory; 0 when not known.
 	MemoryBytes int64
-	// Reachable says that the engine's agent answers and is ready; Since is when that last changed.
+	// Reachable is true while the engine's agent answers and is ready. Since is when Reachable last changed.
 	Reachable bool
 	Since     time.Time
-	// Leaving says that the host or the endpoint stops. Drain is set by an operator.
+	// Leaving is true when the host or the endpoint is shutting down. Drain is set by an operator.
 	Leaving, Drain bool
 }
 
-// HostsView is the platform's host list as last read. The zero value knows nothing.
+// HostsView is the platform's host list as last read. The zero value lists no hosts.
 type HostsView struct {
 	Version uint64
 	States  map[string]backing.HostState
@@ -65,9 +64,9 @@
 
 // Gone reports whether a host that was seen in the given version of the list (0: never) is known to be gone.
 //
-// The platform lists a gone host as such for a while and then no longer. A process that did not look during that while
-// would count the host's slots for ever; the version tells a host that is not listed any more from one that is not
-// listed yet.
+// The platform lists a gone host for a limited time and then drops it. A process that missed that period would
+// otherwise count the host's slots forever; the version distinguishes a host that is no longer listed from one that is
+// not listed yet.
 func (v HostsView) Gone(host string, seen uint64) bool {
 	if host == "" {
 		return false
@@ -79,33 +78,34 @@
 	return seen > 0 && v.Version > seen
 }
 
-// Want is a wish for another slot elsewhere, because an engine cannot serve a model version's demand.
-type Want struct {
-	// Engine is empty when an entry found no engine at all.
+// SlotRequest is an engine's request for another slot elsewhere because it cannot serve a model version's demand.
+type SlotRequest struct {
+	// Engine is empty if an entry found no engine at all.
 	Engine string
 	Reason wirepb.RefusalReason
-	// Waiting is the number of requests that waited or were refused within the last second in which the engine said so.
+	// Waiting is the number of requests that waited or were refused, summed over the last slotRequestWindow with a report.
 	Waiting int
-	// First and Last are when the engine first and last said so, without a longer pause between.
+	// First and Last are the times of the first and the last report with this reason, with no gap of WantLife or more
+	// between reports.
 	First, Last time.Time
-	// window is when the second of Waiting began.
-	window time.Time
+	// windowStart is when the window of Waiting began.
+	windowStart time.Time
 }
 
-// Usage is how much a model version's replicas are used.
+// Usage describes the load on a model version's replicas.
 type Usage struct {
-	// Peak is the greatest number of requests that ran or waited at once within the policy's ExtraHold.
+	// Peak is the maximum number of requests that ran or waited at once within the policy's ExtraHold.
 	Peak int
-	// Known says that Peak covers the whole of ExtraHold.
+	// Known is true if Peak covers the whole of ExtraHold.
 	Known bool
 	// Loaded lists the engines that report a loaded or loading replica.
 	Loaded []string
 }
 
-// Demand is what a process knows of the demand for one model version.
+// Demand is a process's view of the demand for one model version.
 type Demand struct {
-	Wants []Want
-	Usage Usage
+	SlotRequests []SlotRequest
+	Usage        Usage
 }
 
 // Release is an engine's confirmation that it holds nothing of a model version and will load nothing under revisions up
@@ -117,26 +117,27 @@
 	Revision uint64
 }
 
-// Holder names one engine on one host: a replacement host may run an engine of the same name.
+// Holder identifies one engine on one host; a replacement host may run an engine of the same name.
 type Holder struct{ Engine, Host string }
 
-// RowView is a row of the table and when this process first saw it at this revision.
+// RowView is a row of the table and the time at which this process first saw it at this revision.
 type RowView struct {
 	Row   *replicaspb.Row
 	Since time.Time
 }
 
-// Snapshot is everything that a decision rests on.
+// Snapshot is the complete input of a decision.
 type Snapshot struct {
 	Declared Declared
 	// Rows holds the rows of the table by model version.
 	Rows map[string]RowView
-	// Engines must not be changed after it was handed in; EnginesVersion differs whenever Engines does. With version 0
-	// nothing that was worked out for earlier engines is used again.
+	// Engines must not be modified after it was passed in. EnginesVersion changes whenever Engines does; with version 0
+	// nothing computed for earlier engines is reused.
 	Engines        []EngineView
 	EnginesVersion uint64
 	Hosts          HostsView
-	// Since is when the process began to follow the engines. One that it has not heard of counts as silent since then.
+	// Since is when the process began to follow the engines. An engine without any report counts as unreachable since
+	// then.
 	Since  time.Time
 	Demand map[string]Demand
 	// Releases holds the highest revision that each engine has confirmed, by model version.
--- a/internal/replicas/store.go
+++ b/internal/replicas/store.go
@@ -11,35 +11,35 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// store keeps the rows as last read from the table. Rows are never changed once they are in it.
-type store struct {
+// rowStore caches the rows as last read from the table. Stored rows are never modified.
+type rowStore struct {
 	mu       sync.RWMutex
 	rows     map[string]storedRow
 	byEngine map[string]map[string]struct{}
-	// sequence rises with each change.
+	// sequence increases with each change.
 	sequence uint64
-	// read is the table revision up to which all rows have been read.
-	read     uint64
-	complete bool
-	watchers map[chan struct{}]struct{}
+	// readRevision is the table revision up to which all rows have been read.
+	readRevision uint64
+	complete     bool
+	watchers     map[chan struct{}]struct{}
 }
 
 type storedRow struct {
 	view RowView
-	// sequence is the store's at the row's last change; a deleted row stays with no row in its view.
+	// sequence is the store's sequence number at the row's last change. A deleted row is kept with a nil Row in its view.
 	sequence uint64
 }
 
-func newStore() *store {
-	return &store{
+func newRowStore() *rowStore {
+	return &rowStore{
 		rows:     map[string]storedRow{},
 		byEngine: map[string]map[string]struct{}{},
 		watchers: map[chan struct{}]struct{}{},
 	}
 }
 
-// put takes in a row unless a newer one is known, and reports whether it did.
-func (s *store) put(now time.Time, row *replicaspb.Row) bool {
+// put stores a row unless a newer one is stored, and reports whether it did.
+func (s *rowStore) put(now time.Time, row *replicaspb.Row) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.rows[row.Model].view.Row
@@ -50,8 +50,8 @@
 	return true
 }
 
-// drop forgets a row that the table was seen without, unless a row newer than the given revision is known.
-func (s *store) drop(now time.Time, model string, revision uint64) bool {
+// drop removes a row that is missing from the table, unless a row newer than the given revision is stored.
+func (s *rowStore) drop(now time.Time, model string, revision uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.rows[model].view.Row
@@ -62,7 +62,7 @@
 	return true
 }
 
-func (s *store) replace(model string, view RowView) {
+func (s *rowStore) replace(model string, view RowView) {
 	for _, slot := range s.rows[model].view.Row.GetSlots() {
 		delete(s.byEngine[slot.Engine], model)
 	}
@@ -84,9 +84,9 @@
 	}
 }
 
-// take takes in a listing, of all rows or of those that changed since the last one, and returns the keys of rows that
-// cannot be read.
-func (s *store) take(now time.Time, listing backing.Listing, full bool) (corrupt []string) {
+// applyListing applies a listing of all rows, or of those that changed since the last one, and returns the keys of the
+// rows that cannot be decoded.
+func (s *rowStore) applyListing(now time.Time, listing backing.Listing, full bool) (corrupt []string) {
 	listed := make(map[string]struct{}, len(listing.Rows))
 	for _, r := range listing.Rows {
 		listed[ModelOfKey(r.Key)] = struct{}{}
@@ -100,12 +100,12 @@
 	if full {
 		s.dropUnlisted(now, listed, listing.Revision)
 	}
-	s.readTo(listing.Revision)
+	s.advance(listing.Revision)
 	return corrupt
 }
 
-// dropUnlisted forgets the rows that a listing of all rows does not have.
-func (s *store) dropUnlisted(now time.Time, listed map[string]struct{}, revision uint64) {
+// dropUnlisted removes the rows that are missing from a listing of all rows.
+func (s *rowStore) dropUnlisted(now time.Time, listed map[string]struct{}, revision uint64) {
 	rows, _ := s.views()
 	for model := range rows {
 		if _, ok := listed[model]; !ok {
@@ -114,23 +114,24 @@
 	}
 }
 
-// readTo notes that all rows up to a table revision have been read.
-func (s *store) readTo(revision uint64) {
+// advance records that all rows up to a table revision have been read.
+func (s *rowStore) advance(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.read = max(s.read, revision)
+	s.readRevision = max(s.readRevision, revision)
 	s.complete = true
 }
 
-// progress returns the table revision up to which all rows have been read, and whether they have been read at all.
-func (s *store) progress() (uint64, bool) {
+// progress returns the table revision up to which all rows have been read, and whether all rows have been read at least
+// once.
+func (s *rowStore) progress() (uint64, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.read, s.complete
+	return s.readRevision, s.complete
 }
 
-// views returns all rows and the sequence that they are at.
-func (s *store) views() (map[string]RowView, uint64) {
+// views returns all rows and the current sequence number.
+func (s *rowStore) views() (map[string]RowView, uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	views := make(map[string]RowView, len(s.rows))
@@ -142,20 +143,20 @@
 	return views, s.sequence
 }
 
-func (s *store) row(model string) *replicaspb.Row {
+func (s *rowStore) row(model string) *replicaspb.Row {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.rows[model].view.Row
 }
 
-func (s *store) at() uint64 {
+func (s *rowStore) currentSequence() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.sequence
 }
 
-// rowsOf returns the rows that name an engine, in the order of their model versions.
-func (s *store) rowsOf(engine string) []*replicaspb.Row {
+// rowsOf returns the rows that contain a slot of an engine, ordered by model version.
+func (s *rowStore) rowsOf(engine string) []*replicaspb.Row {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	var rows []*replicaspb.Row
@@ -165,9 +166,9 @@
 	return rows
 }
 
-// since returns the rows that changed after a sequence, the model versions whose rows were deleted after it, and the
-// sequence to ask from next.
-func (s *store) since(after uint64) (rows []*replicaspb.Row, deleted []string, next uint64) {
+// since returns the rows that changed after a sequence number, the model versions whose rows were deleted after it, and
+// the sequence number for the next call.
+func (s *rowStore) since(after uint64) (rows []*replicaspb.Row, deleted []string, next uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if after == s.sequence {
@@ -187,7 +188,7 @@
 	return rows, deleted, s.sequence
 }
 
-func (s *store) watch() (<-chan struct{}, func()) {
+func (s *rowStore) watch() (<-chan struct{}, func()) {
 	c := make(chan struct{}, 1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replicas/turn.go
+++ b/internal/replicas/turn.go
@@ -6,49 +6,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// turns says when a process proposes what it has decided. The process that rendezvous hashing ranks first for a model
-// version proposes at once; the others wait, longer by rank, for the change to have been made. Nothing rests on this: any
-// number of processes may propose at any time, they only waste conflicts.
-type turns struct {
-	step time.Duration
+// proposalSchedule determines when a process proposes the changes that it has decided. The process that rendezvous
+// hashing ranks first for a model version proposes at once; the others wait, in order of rank, to give it time to do
+// so. Correctness does not depend on this: any number of processes may propose at any time, at the cost of conflicts.
+type proposalSchedule struct {
+	rankDelay time.Duration
 	// jitter returns a number in [0, 1).
-	jitter func() float64
-	due    map[string]turn
+	jitter  func() float64
+	pending map[string]scheduledProposal
 }
 
-// turn is a change that a process waits to propose.
-type turn struct {
+// scheduledProposal is the time at which a process may propose a change.
+type scheduledProposal struct {
 	revision uint64
 	at       time.Time
-	// deferred says that another process may have made the change while this one waited.
+	// deferred is true if another process may have made the change during the delay.
 	deferred bool
 }
 
-func newTurns(step time.Duration, jitter func() float64) *turns {
-	return &turns{step: step, jitter: jitter, due: map[string]turn{}}
+func newProposalSchedule(rankDelay time.Duration, jitter func() float64) *proposalSchedule {
+	return &proposalSchedule{rankDelay: rankDelay, jitter: jitter, pending: map[string]scheduledProposal{}}
 }
 
-// due is what a process is to do about the changes that it has decided.
-type due struct {
+// dueProposals is the result of proposalSchedule.due.
+type dueProposals struct {
 	// ready are the changes to propose now.
 	ready []Change
-	// stale says that the rows must be read again first, to see what others have done while this process waited its turn: a
-	// read costs the table less than a write that fails.
+	// stale means that the rows must be read again first, because another process may have written during the delay. A
+	// read is cheaper for the table than a write that fails.
 	stale bool
-	// next is when the next change is due; zero when none is.
+	// next is when the next change is due; zero if none is.
 	next time.Time
 }
 
-// take returns what is due. The rows were last read at readAt.
-func (t *turns) take(now, readAt time.Time, changes []Change, self string, live []string) due {
-	t.forget(changes)
-	var d due
+// due returns the changes that are due. readAt is when the rows were last read.
+func (s *proposalSchedule) due(now, readAt time.Time, changes []Change, self string, live []string) dueProposals {
+	s.prune(changes)
+	var d dueProposals
 	for _, c := range changes {
-		turn := t.turn(now, c, self, live)
+		scheduled := s.schedule(now, c, self, live)
 		switch {
-		case now.Before(turn.at):
-			d.next = earlier(turn.at, d.next)
-		case turn.deferred && readAt.Before(turn.at):
+		case now.Before(scheduled.at):
+			d.next = earlier(scheduled.at, d.next)
+		case scheduled.deferred && readAt.Before(scheduled.at):
 			d.stale = true
 		default:
 			d.ready = append(d.ready, c)
@@ -57,52 +57,52 @@
 	return d
 }
 
-// turn returns when a change is due; the first time that it is decided, its turn is settled.
-func (t *turns) turn(now time.Time, c Change, self string, live []string) turn {
-	settled, ok := t.due[c.Model]
-	if !ok || settled.revision != c.Expected {
-		delay := t.delay(c.Model, self, live)
-		settled = turn{revision: c.Expected, at: now.Add(delay), deferred: delay > 0}
-		t.due[c.Model] = settled
+// schedule returns when a change is due. The time is set when the change is first decided.
+func (s *proposalSchedule) schedule(now time.Time, c Change, self string, live []string) scheduledProposal {
+	scheduled, ok := s.pending[c.Model]
+	if !ok || scheduled.revision != c.Expected {
+		delay := s.delay(c.Model, self, live)
+		scheduled = scheduledProposal{revision: c.Expected, at: now.Add(delay), deferred: delay > 0}
+		s.pending[c.Model] = scheduled
 	}
-	return settled
+	return scheduled
 }
 
-// proposed makes changes that were just proposed wait before they are proposed again, should they still be decided from
-// the same rows: the declarations that they were decided from may be out of date, or the write may be on its way.
-func (t *turns) proposed(now time.Time, changes []Change) {
+// postpone delays the next proposal of changes that were just proposed, in case they are decided again from the same
+// rows: the declarations they were decided from may be out of date, or the write may still be in flight.
+func (s *proposalSchedule) postpone(now time.Time, changes []Change) {
 	for _, c := range changes {
-		wait := time.Duration((1 + t.jitter()) * float64(t.step))
-		t.due[c.Model] = turn{revision: c.Expected, at: now.Add(wait), deferred: true}
+		wait := time.Duration((1 + s.jitter()) * float64(s.rankDelay))
+		s.pending[c.Model] = scheduledProposal{revision: c.Expected, at: now.Add(wait), deferred: true}
 	}
 }
 
-// reset makes every change that is still decided wait its turn again.
-func (t *turns) reset() { clear(t.due) }
+// reset schedules all changes anew.
+func (s *proposalSchedule) reset() { clear(s.pending) }
 
-// forget drops the model versions for which no change is decided any more.
-func (t *turns) forget(changes []Change) {
+// prune drops the model versions that no longer have a change to propose.
+func (s *proposalSchedule) prune(changes []Change) {
 	decided := make(map[string]struct{}, len(changes))
 	for _, c := range changes {
 		decided[c.Model] = struct{}{}
 	}
-	for model := range t.due {
+	for model := range s.pending {
 		if _, ok := decided[model]; !ok {
-			delete(t.due, model)
+			delete(s.pending, model)
 		}
 	}
 }
 
-func (t *turns) delay(model, self string, live []string) time.Duration {
-	place := turnOf(model, self, live)
-	if place == 0 {
+func (s *proposalSchedule) delay(model, self string, live []string) time.Duration {
+	rank := proposerRank(model, self, live)
+	if rank == 0 {
 		return 0
 	}
-	return time.Duration((float64(place) + t.jitter()) * float64(t.step))
+	return time.Duration((float64(rank) + s.jitter()) * float64(s.rankDelay))
 }
 
-// turnOf returns how many live processes come before self for a model version.
-func turnOf(model, self string, live []string) int {
+// proposerRank returns how many live processes rank before self for a model version.
+func proposerRank(model, self string, live []string) int {
 	hash := xxhash.Sum64String(model)
 	own := mix(hash ^ mix(xxhash.Sum64String(self)))
 	before := 0
--- a/internal/replicas/world_calm_test.go
+++ b/internal/replicas/world_calm_test.go
@@ -8,85 +8,85 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// calm ends all faults and lets the world settle; what is then wrong is noted.
-func (w *world) calm() {
-	for len(w.late) > 0 {
-		w.deliverLate()
-		w.check()
+// quiesce ends all faults, runs until nothing changes and checks the final state.
+func (sim *simulation) quiesce() {
+	for len(sim.late) > 0 {
+		sim.deliverLateWrite()
+		sim.check()
 	}
-	w.listNewHosts()
+	sim.listNewHosts()
 	quiet := 0
 	const rounds, enough = 400, 5
 	for round := 0; round < rounds && quiet < enough; round++ {
 		quiet++
-		if w.calmRound() > 0 {
+		if sim.quiesceRound() > 0 {
 			quiet = 0
 		}
-		w.check()
+		sim.check()
 	}
 	if quiet < enough {
-		w.unsettledBy("still changing: %v", w.decide(w.deciders[0]))
+		sim.recordUnsettled("still changing: %v", sim.decide(sim.deciders[0]))
 	}
-	w.checkSettled()
+	sim.checkSettled()
 }
 
-func (w *world) calmRound() int {
+func (sim *simulation) quiesceRound() int {
 	changed := 0
-	for _, name := range slices.Sorted(maps.Keys(w.engines)) {
-		changed += w.calmEngine(w.engines[name])
+	for _, name := range slices.Sorted(maps.Keys(sim.engines)) {
+		changed += sim.quiesceEngine(sim.engines[name])
 	}
-	for _, d := range w.deciders {
-		w.catchUp(d)
-		for _, c := range w.decide(d) {
-			w.propose(d, w.conditioned(c), false)
+	for _, d := range sim.deciders {
+		sim.catchUp(d)
+		for _, c := range sim.decide(d) {
+			sim.propose(d, sim.resolveCondition(c), false)
 			changed++
 		}
 	}
-	w.now = w.now.Add(worldPolicy().ExtraHold / 2)
+	sim.now = sim.now.Add(simPolicy().ExtraHold / 2)
 	return changed
 }
 
-func (w *world) calmEngine(e *worldEngine) int {
-	e.frozen, e.linked = false, true
+func (sim *simulation) quiesceEngine(e *simEngine) int {
+	e.frozen, e.connected = false, true
 	orders := len(e.orders)
 	for len(e.orders) > 0 {
 		e.deliver(0)
 	}
-	w.beginAgent(e)
-	for _, row := range w.rows {
-		e.see(row)
+	sim.startAgent(e)
+	for _, row := range sim.rows {
+		e.receiveRow(row)
 	}
-	w.confirmations(e, 1)
+	sim.sendConfirmations(e, 1)
 	return orders
 }
 
-// checkSettled checks that the rows are what the declarations ask for.
-func (w *world) checkSettled() {
-	for _, row := range w.rows {
-		if _, declared := w.models[row.Model]; !declared {
-			w.unsettledBy("%s is not declared and still has a row: %s", row.Model, short(row))
+// checkSettled checks that the rows match the declarations.
+func (sim *simulation) checkSettled() {
+	for _, row := range sim.rows {
+		if _, declared := sim.models[row.Model]; !declared {
+			sim.recordUnsettled("%s is not declared but still has a row: %s", row.Model, short(row))
 		}
 	}
-	for model, spec := range w.models {
-		able := 0
-		row := w.rows[model]
-		for _, e := range w.engines {
-			fits := w.fits(spec, e)
+	for model, spec := range sim.models {
+		suitable := 0
+		row := sim.rows[model]
+		for _, e := range sim.engines {
+			fits := sim.fits(spec, e)
 			if fits {
-				able++
+				suitable++
 			}
 			if slot := SlotOf(row, e.Name, e.Host); slot != nil && !fits {
-				w.unsettledBy("%s: %s has a slot and must not: %s", model, e.Name, short(row))
+				sim.recordUnsettled("%s: %s must not have a slot: %s", model, e.Name, short(row))
 			}
 		}
-		home, _ := worldPolicy().bounds(spec)
-		if want := min(home, able); len(row.GetSlots()) != want || releasing(row) {
-			w.unsettledBy("%s: slots %q, want %d of %d able engines", model, short(row), want, able)
+		baseline, _ := simPolicy().bounds(spec)
+		if want := min(baseline, suitable); len(row.GetSlots()) != want || releasing(row) {
+			sim.recordUnsettled("%s: slots %q, want %d, with %d suitable engines", model, short(row), want, suitable)
 		}
 	}
 }
 
-func (w *world) fits(spec ModelSpec, e *worldEngine) bool {
+func (sim *simulation) fits(spec ModelSpec, e *simEngine) bool {
 	return !e.Leaving && !e.Drain && spec.Selector.Matches(e.Labels) && e.MemoryBytes >= spec.MemoryBytes
 }
 
@@ -96,8 +96,8 @@
 	})
 }
 
-func (w *world) unsettledBy(format string, args ...any) {
-	if w.unsettled == "" {
-		w.unsettled = fmt.Sprintf(format, args...)
+func (sim *simulation) recordUnsettled(format string, args ...any) {
+	if sim.unsettled == "" {
+		sim.unsettled = fmt.Sprintf(format, args...)
 	}
 }
