--- a/internal/replicas/world_test.go
+++ b/internal/replicas/world_test.go
@@ -20,60 +20,61 @@
 
 const headKey = "declarations/head"
 
-// worldDecider is one process that decides, with its own, mostly stale, view of everything.
-type worldDecider struct {
+// simDecider is a deciding process with its own, mostly stale, view of all inputs.
+type simDecider struct {
 	decider  *Decider
-	store    *store
-	demand   *demandBook
+	store    *rowStore
+	demand   *demandTracker
 	declared Declared
 	hosts    HostsView
 	engines  map[string]EngineView
-	// version is that of engines.
+	// version is the version of engines.
 	version uint64
 	since   time.Time
-	// stashed are changes that the process decided and, paused, has not proposed yet.
-	stashed []Change
+	// delayed are changes that the process decided but, being paused, has not proposed yet.
+	delayed []Change
 }
 
-// push is a row on its way to an agent.
+// push is a row in flight to an agent.
 type push struct {
-	to  *worldEngine
+	to  *simEngine
 	row *replicaspb.Row
 }
 
-// world is a few racing deciders, a table, engines and everything that may go wrong between them.
-type world struct {
-	random   *rand.Rand
+// simulation is a set of racing deciders, a table, engines, and the faults between them.
+type simulation struct {
+	rng      *rand.Rand
 	now      time.Time
 	table    *memoryTable
-	deciders []*worldDecider
-	engines  map[string]*worldEngine
+	deciders []*simDecider
+	engines  map[string]*simEngine
 	hosts    HostsView
 	models   map[string]ModelSpec
 	declared Declared
-	// rows are the rows as they are in the table.
+	// rows are the rows as stored in the table.
 	rows map[string]*replicaspb.Row
-	// pushes are rows on their way to agents.
+	// pushes are rows in flight to agents.
 	pushes []push
-	// late are writes whose answers were lost and that may still arrive.
+	// late are writes whose responses were lost and that may still take effect.
 	late []backing.Txn
-	// broken names the guard that is left out; empty in the real thing.
-	broken guard
-	// broke is the first violation of what must always hold, unsettled the first thing wrong after the faults have stopped.
-	broke     string
+	// disabledGuard is the guard that is disabled, if any.
+	disabledGuard guard
+	// violation is the first violation of an invariant, unsettled the first error in the state after the faults have
+	// ended.
+	violation string
 	unsettled string
 	counts    map[string]int
 	nextID    int
 }
 
 const (
-	worldEngines  = 5
-	worldModels   = 3
-	worldDeciders = 3
+	simEngineCount  = 5
+	simModelCount   = 3
+	simDeciderCount = 3
 )
 
-// worldPolicy has short times, so that slots come and go within a run.
-func worldPolicy() Policy {
+// simPolicy returns a policy with short times, so that slots are granted and released within a run.
+func simPolicy() Policy {
 	p := DefaultPolicy()
 	p.ExtraHold = 20 * time.Second
 	p.AvoidFor = 20 * time.Second
@@ -83,139 +84,139 @@
 	return p
 }
 
-func newWorld(seed int64, broken guard) *world {
-	w := &world{
-		random:  rand.New(rand.NewPCG(uint64(seed), 1)),
-		now:     start,
-		table:   newMemoryTable(),
-		engines: map[string]*worldEngine{},
-		hosts:   HostsView{States: map[string]backing.HostState{}},
-		models:  map[string]ModelSpec{},
-		rows:    map[string]*replicaspb.Row{},
-		broken:  broken,
-		counts:  map[string]int{},
-	}
-	w.table.observe = w.observe
-	for i, view := range engines(worldEngines, "north", "east", "cargo") {
-		view.Host = w.newID("h")
+func newSimulation(seed int64, disabled guard) *simulation {
+	sim := &simulation{
+		rng:           rand.New(rand.NewPCG(uint64(seed), 1)),
+		now:           start,
+		table:         newMemoryTable(),
+		engines:       map[string]*simEngine{},
+		hosts:         HostsView{States: map[string]backing.HostState{}},
+		models:        map[string]ModelSpec{},
+		rows:          map[string]*replicaspb.Row{},
+		disabledGuard: disabled,
+		counts:        map[string]int{},
+	}
+	sim.table.observe = sim.observe
+	for i, view := range engines(simEngineCount, "north", "east", "cargo") {
+		view.Host = sim.newID("h")
 		view.Labels = map[string]string{"pool": []string{"a", "b"}[i%2]}
-		w.engines[view.Name] = newWorldEngine(view, broken == guardHostInSlot)
-		w.engines[view.Name].begin(nil, 0)
-		w.listHost(view.Host, backing.HostLive)
+		sim.engines[view.Name] = newSimEngine(view, disabled == guardHostInSlot)
+		sim.engines[view.Name].start(nil, 0)
+		sim.listHost(view.Host, backing.HostLive)
 	}
-	for i := range worldModels {
-		w.declare(fmt.Sprintf("m%d@1", i))
+	for i := range simModelCount {
+		sim.declare(fmt.Sprintf("m%d@1", i))
 	}
-	for range worldDeciders {
-		d := w.newDecider()
-		w.catchUp(d)
-		w.deciders = append(w.deciders, d)
+	for range simDeciderCount {
+		d := sim.newDecider()
+		sim.catchUp(d)
+		sim.deciders = append(sim.deciders, d)
 	}
-	return w
+	return sim
 }
 
-func (w *world) newID(prefix string) string {
-	w.nextID++
-	return fmt.Sprintf("%s%d", prefix, w.nextID)
+func (sim *simulation) newID(prefix string) string {
+	sim.nextID++
+	return fmt.Sprintf("%s%d", prefix, sim.nextID)
 }
 
-func (w *world) newDecider() *worldDecider {
-	return &worldDecider{
-		decider:  NewDecider(worldPolicy()),
-		store:    newStore(),
-		demand:   newDemandBook(worldPolicy()),
-		declared: w.declared,
+func (sim *simulation) newDecider() *simDecider {
+	return &simDecider{
+		decider:  NewDecider(simPolicy()),
+		store:    newRowStore(),
+		demand:   newDemandTracker(simPolicy()),
+		declared: sim.declared,
 		engines:  map[string]EngineView{},
-		since:    w.now,
+		since:    sim.now,
 	}
 }
 
-// catchUp shows a decider everything as it is.
-func (w *world) catchUp(d *worldDecider) {
-	w.read(d, true)
-	d.hosts = w.hosts
-	d.declared = w.declared
-	for name := range w.engines {
-		w.look(d, name)
+// catchUp updates a decider's view to the current state.
+func (sim *simulation) catchUp(d *simDecider) {
+	sim.readRows(d, true)
+	d.hosts = sim.hosts
+	d.declared = sim.declared
+	for name := range sim.engines {
+		sim.observeEngine(d, name)
 	}
 }
 
-// violated notes the first violation.
-func (w *world) violated(format string, args ...any) {
-	if w.broke == "" {
-		w.broke = fmt.Sprintf(format, args...)
+// recordViolation records the first violation.
+func (sim *simulation) recordViolation(format string, args ...any) {
+	if sim.violation == "" {
+		sim.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// declare gives a model version new numbers and a new selector.
-func (w *world) declare(model string) {
+// declare declares a model version with a random size, selector and bounds.
+func (sim *simulation) declare(model string) {
 	selectors := []string{"pool = a", "pool = b", "pool in (a, b)"}
-	most := 1 + w.random.IntN(3)
-	w.models[model] = ModelSpec{
+	most := 1 + sim.rng.IntN(3)
+	sim.models[model] = ModelSpec{
 		Model:       model,
-		Selector:    selector.MustParse(selectors[w.random.IntN(len(selectors))]),
-		MemoryBytes: int64(1+w.random.IntN(60)) * gibibyte,
-		Min:         w.random.IntN(most + 1),
+		Selector:    selector.MustParse(selectors[sim.rng.IntN(len(selectors))]),
+		MemoryBytes: int64(1+sim.rng.IntN(60)) * gibibyte,
+		Min:         sim.rng.IntN(most + 1),
 		Max:         most,
 		Concurrency: 4,
 	}
-	w.publish()
+	sim.publish()
 }
 
-// publish makes the declared models a new revision of the declarations.
-func (w *world) publish() {
-	head, err := w.table.Commit(context.Background(), backing.Txn{Puts: []backing.Put{{Key: headKey}}})
+// publish commits the declared models as a new revision of the declarations.
+func (sim *simulation) publish() {
+	head, err := sim.table.Commit(context.Background(), backing.Txn{Puts: []backing.Put{{Key: headKey}}})
 	if err != nil {
 		panic(err)
 	}
-	w.declared = Declared{Revision: head, Head: backing.Condition{Key: headKey, Revision: head}}
-	for _, model := range slices.Sorted(maps.Keys(w.models)) {
-		w.declared.Models = append(w.declared.Models, w.models[model])
+	sim.declared = Declared{Revision: head, Head: backing.Condition{Key: headKey, Revision: head}}
+	for _, model := range slices.Sorted(maps.Keys(sim.models)) {
+		sim.declared.Models = append(sim.declared.Models, sim.models[model])
 	}
 }
 
-// listHost makes a new version of the host list; with no state the host is not listed any more.
-func (w *world) listHost(host string, state backing.HostState) {
-	next := HostsView{Version: w.hosts.Version + 1, States: maps.Clone(w.hosts.States)}
+// listHost creates a new version of the host list; an empty state removes the host from it.
+func (sim *simulation) listHost(host string, state backing.HostState) {
+	next := HostsView{Version: sim.hosts.Version + 1, States: maps.Clone(sim.hosts.States)}
 	if state == "" {
 		delete(next.States, host)
 	} else {
 		next.States[host] = state
 	}
-	w.hosts = next
+	sim.hosts = next
 }
 
-// observe checks each commit as it happens: a grant keeps to the maximum in force, a slot that is being released is never
-// granted again, and nothing leaves a row that its engine holds.
-func (w *world) observe(before, after backing.Row) {
+// observe checks each commit: a grant respects the maximum in force, and a RELEASING slot is never granted again. check
+// detects the removal of a slot whose engine still holds a replica.
+func (sim *simulation) observe(before, after backing.Row) {
 	if !strings.HasPrefix(before.Key+after.Key, KeyPrefix) {
 		return
 	}
 	old, next := mustDecode(before), mustDecode(after)
-	delete(w.rows, old.GetModel())
+	delete(sim.rows, old.GetModel())
 	if next != nil {
-		w.rows[next.Model] = next
+		sim.rows[next.Model] = next
 	}
-	w.counts["commit"]++
+	sim.counts["commit"]++
 	for _, s := range next.GetSlots() {
 		was := SlotOf(old, s.Engine, s.Host)
 		if was == nil {
-			w.checkGrant(next)
+			sim.checkGrant(next)
 		}
 		if was.GetState() == replicaspb.SlotState_RELEASING && s.State == replicaspb.SlotState_GRANTED {
-			w.violated("%s: slot of %s granted again while it was being released", next.Model, s.Engine)
+			sim.recordViolation("%s: slot of %s granted again while it was being released", next.Model, s.Engine)
 		}
 	}
 }
 
-func (w *world) checkGrant(row *replicaspb.Row) {
-	w.counts["grant"]++
-	spec, declared := w.models[row.Model]
+func (sim *simulation) checkGrant(row *replicaspb.Row) {
+	sim.counts["grant"]++
+	spec, declared := sim.models[row.Model]
 	if !declared {
-		w.violated("%s: granted though it is not declared", row.Model)
+		sim.recordViolation("%s: granted although not declared", row.Model)
 	}
 	if len(row.Slots) > spec.Max {
-		w.violated("%s: granted %s, above the maximum %d", row.Model, short(row), spec.Max)
+		sim.recordViolation("%s: granted %s, above the maximum %d", row.Model, short(row), spec.Max)
 	}
 }
 
@@ -230,42 +231,42 @@
 	return row
 }
 
-// check looks at the truth: whatever an engine holds, it has a slot for.
-func (w *world) check() {
+// check compares the engines with the table: every engine has a slot for whatever it holds.
+func (sim *simulation) check() {
 	holders := map[string]int{}
-	for _, e := range w.engines {
-		for _, model := range e.holds() {
+	for _, e := range sim.engines {
+		for _, model := range e.loadedModels() {
 			holders[model]++
-			row := w.rows[model]
+			row := sim.rows[model]
 			if SlotOf(row, e.Name, e.Host) == nil {
-				w.violated("%s on %s (%s) holds %s, row: %s", e.Name, e.Host, e.FailureDomain, model, short(row))
+				sim.recordViolation("%s on %s (%s) holds %s, row: %s", e.Name, e.Host, e.FailureDomain, model, short(row))
 			}
 		}
 	}
 }
 
-// read brings a decider's rows up to date, with or without deletions.
-func (w *world) read(d *worldDecider, full bool) {
+// readRows updates a decider's rows, with or without deletions.
+func (sim *simulation) readRows(d *simDecider, full bool) {
 	after, complete := d.store.progress()
 	if full || !complete {
 		full, after = true, 0
 	}
-	listing, err := w.table.List(context.Background(), KeyPrefix, after)
+	listing, err := sim.table.List(context.Background(), KeyPrefix, after)
 	if err != nil {
 		return
 	}
-	d.store.take(w.now, listing, full)
+	d.store.applyListing(sim.now, listing, full)
 }
 
-// look lets a decider see one engine as it is.
-func (w *world) look(d *worldDecider, name string) {
-	e := w.engines[name]
+// observeEngine updates a decider's view of one engine.
+func (sim *simulation) observeEngine(d *simDecider, name string) {
+	e := sim.engines[name]
 	view := e.EngineView
-	view.Reachable = e.acts() && e.linked
+	view.Reachable = e.active() && e.connected
 	old, known := d.engines[name]
 	view.Since = old.Since
 	if !known || old.Reachable != view.Reachable || old.Host != view.Host {
-		view.Since = w.now
+		view.Since = sim.now
 	}
 	d.engines[name] = view
 	if !reflect.DeepEqual(old, view) {
@@ -274,8 +275,8 @@
 }
 
 // decide runs one decision of a decider.
-func (w *world) decide(d *worldDecider) []Change {
-	w.counts["decision"]++
+func (sim *simulation) decide(d *simDecider) []Change {
+	sim.counts["decision"]++
 	rows, _ := d.store.views()
 	s := &Snapshot{
 		Declared:       d.declared,
@@ -284,73 +285,73 @@
 		Hosts:          d.hosts,
 		Since:          d.since,
 		Demand:         map[string]Demand{},
-		Releases:       d.demand.confirmed(w.now, rows),
+		Releases:       d.demand.confirmedRevisions(sim.now, rows),
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.engines)) {
 		s.Engines = append(s.Engines, d.engines[name])
 	}
-	d.demand.expire(w.now)
-	for model := range w.models {
-		demand := d.demand.demand(w.now, model)
-		demand.Usage = Usage{Known: true, Loaded: w.loadedAt(model)}
+	d.demand.expire(sim.now)
+	for model := range sim.models {
+		demand := d.demand.demand(sim.now, model)
+		demand.Usage = Usage{Known: true, Loaded: sim.enginesWithLoaded(model)}
 		s.Demand[model] = demand
 	}
-	if w.broken == guardNone && w.random.IntN(4) == 0 {
-		w.compareWithFresh(d, s)
+	if sim.disabledGuard == guardNone && sim.rng.IntN(4) == 0 {
+		sim.compareWithFresh(d, s)
 	}
-	return w.broken.decide(d.decider, w.now, s)
+	return sim.disabledGuard.decide(d.decider, sim.now, s)
 }
 
-// compareWithFresh checks that what a Decider keeps between decisions does not change them.
-func (w *world) compareWithFresh(d *worldDecider, s *Snapshot) {
-	used, fresh := d.decider.Decide(w.now, s), NewDecider(worldPolicy()).Decide(w.now, s)
+// compareWithFresh checks that the caches of a Decider do not change its decisions.
+func (sim *simulation) compareWithFresh(d *simDecider, s *Snapshot) {
+	used, fresh := d.decider.Decide(sim.now, s), NewDecider(simPolicy()).Decide(sim.now, s)
 	if fmt.Sprint(used) != fmt.Sprint(fresh) {
-		w.violated("decided %v, a fresh process decides %v", used, fresh)
+		sim.recordViolation("decided %v, a new Decider decides %v", used, fresh)
 	}
 }
 
-func (w *world) loadedAt(model string) []string {
+func (sim *simulation) enginesWithLoaded(model string) []string {
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(w.engines)) {
-		if w.engines[name].loaded[model] {
+	for _, name := range slices.Sorted(maps.Keys(sim.engines)) {
+		if sim.engines[name].loaded[model] {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// propose writes a change with whatever may happen to a write.
-func (w *world) propose(d *worldDecider, c Change, faults bool) {
-	w.counts["proposal"]++
-	c.Next.OperationId = w.newID("op")
-	w.table.fault = nil
+// propose writes a change, with random faults if enabled.
+func (sim *simulation) propose(d *simDecider, c Change, faults bool) {
+	sim.counts["proposal"]++
+	c.Next.OperationId = sim.newID("op")
+	sim.table.fault = nil
 	if faults {
-		w.table.fault = w.commitFault
+		sim.table.fault = sim.commitFault
 	}
-	row, err := Propose(context.Background(), w.table, c)
-	w.table.fault = nil
+	row, err := Propose(context.Background(), sim.table, c)
+	sim.table.fault = nil
 	switch {
 	case errors.Is(err, ErrConflict):
-		w.counts["proposal in conflict"]++
-		w.read(d, w.random.IntN(2) == 0)
+		sim.counts["proposal in conflict"]++
+		sim.readRows(d, sim.rng.IntN(2) == 0)
 	case err != nil:
-		w.counts["proposal lost"]++
+		sim.counts["proposal lost"]++
 	case row == nil:
-		d.store.drop(w.now, c.Model, c.Expected)
+		d.store.drop(sim.now, c.Model, c.Expected)
 	default:
-		d.store.put(w.now, row)
+		d.store.put(sim.now, row)
 	}
 }
 
-// commitFault loses some answers, with the write made, never made, or still to come.
-func (w *world) commitFault(txn backing.Txn) (error, bool) {
-	switch w.random.IntN(12) {
+// commitFault returns the fault of a commit: a response may be lost with the write made, never made or delayed.
+func (sim *simulation) commitFault(txn backing.Txn) (error, bool) {
+	switch sim.rng.IntN(12) {
 	case 0:
 		return backing.ErrOutcomeUnknown, true
 	case 1:
 		return backing.ErrOutcomeUnknown, false
 	case 2:
-		w.late = append(w.late, txn)
+		sim.late = append(sim.late, txn)
 		return backing.ErrOutcomeUnknown, false
 	case 3:
 		return backing.ErrUnavailable, false
@@ -359,24 +360,24 @@
 	}
 }
 
-// confirmations lets an agent tidy up and tells some deciders of what it confirms.
-func (w *world) confirmations(e *worldEngine, share float64) {
-	for _, r := range e.tidy() {
-		for _, d := range w.deciders {
-			if w.random.Float64() < share {
-				d.demand.released(w.now, r)
+// sendConfirmations reconciles an agent and sends its confirmations to some of the deciders.
+func (sim *simulation) sendConfirmations(e *simEngine, share float64) {
+	for _, r := range e.reconcile() {
+		for _, d := range sim.deciders {
+			if sim.rng.Float64() < share {
+				d.demand.addRelease(sim.now, r)
 			}
 		}
 	}
 }
 
-// want lets an engine ask for another slot.
-func (w *world) want(e *worldEngine, model string) {
+// requestSlot makes an engine request another slot.
+func (sim *simulation) requestSlot(e *simEngine, model string) {
 	reasons := []wirepb.RefusalReason{
 		wirepb.RefusalReason_NO_MEMORY, wirepb.RefusalReason_LOAD_FAILED, wirepb.RefusalReason_QUEUE_FULL,
 	}
-	reason := reasons[w.random.IntN(len(reasons))]
-	for _, d := range w.deciders {
-		d.demand.wanted(w.now, e.Name, model, reason, 1+w.random.IntN(20))
+	reason := reasons[sim.rng.IntN(len(reasons))]
+	for _, d := range sim.deciders {
+		d.demand.addSlotRequest(sim.now, e.Name, model, reason, 1+sim.rng.IntN(20))
 	}
 }
