--- a/internal/atmostonce/claiming.go
+++ b/internal/atmostonce/claiming.go
@@ -6,105 +6,107 @@
 	"balsamsail/internal/backing"
 )
 
-// tableEvent is what came of a call to the table.
+// tableEvent is the result of a table call.
 type tableEvent int
 
 const (
-	// writeDone: the write took effect at a revision.
+	// writeDone: the write was committed at a revision.
 	writeDone tableEvent = iota
-	// writeConflict and writeNoEffect: the write had and will have no effect; after a conflict the row differs.
+	// writeConflict and writeNoEffect: the write had no effect and never will. After a conflict, the row is not at the
+	// expected revision.
 	writeConflict
 	writeNoEffect
-	// writeLost: the answer was lost; the write may have taken effect, or may still do so.
-	writeLost
-	// rowRead and rowAbsent are the results of a read, readFailed its failure.
+	// writeUnknown: the response was lost. The write may have taken effect or may still do so.
+	writeUnknown
+	// rowRead and rowAbsent are the results of a successful read; readFailed is a failed read.
 	rowRead
 	rowAbsent
 	readFailed
-	// timeUp: the time for the whole call is over.
-	timeUp
+	// timedOut: the time limit of the whole operation has passed, or the write can never succeed.
+	timedOut
 )
 
-// tableInput is an event with what it brought.
-type tableInput struct {
+// tableResult is the result of a table call with its data.
+type tableResult struct {
 	event tableEvent
-	// revision is that of a write that was done, and row the result of a read.
+	// revision is set for writeDone, and row for rowRead.
 	revision uint64
 	row      backing.Row
 }
 
-// tableCall is the next call that a machine wants.
+// tableCall is the next table call that a state machine requests.
 type tableCall int
 
 const (
-	// callEnd: the machine has ended.
+	// callEnd: the state machine has finished.
 	callEnd tableCall = iota
-	// callWrite writes the machine's row on its condition, callRead reads the row.
+	// callWrite writes the row if its condition holds; callRead reads the row.
 	callWrite
 	callRead
-	// callPauseWrite and callPauseRead are the same after a pause.
-	callPauseWrite
-	callPauseRead
+	// callBackoffWrite and callBackoffRead are the same after a backoff delay.
+	callBackoffWrite
+	callBackoffRead
 )
 
-// claiming is one attempt to claim a key: insert the row if it is absent, and find out by reading what became of an
-// insert whose answer was lost.
+// claimAttempt is the state machine of one attempt to claim a key. It inserts the row if it is absent, and after a lost
+// response reads the row to find out whether the insert took effect.
 //
-// A lost answer is the dangerous case: an owner who took it for a failure and went on under another claim, or took it for
-// a success, could run a request that somebody else runs as well. Nothing is concluded from the lost answer itself; the
-// row is read back. While it is absent the insert is tried again on the same condition, so that of all inserts, a delayed
-// one included, at most one takes effect; and one with this owner's name is this owner's whichever of them it was.
-type claiming struct {
+// Treating a lost response as a failure or as a success could run the request twice, because another owner may claim
+// the key meanwhile. So the row is read back. While it is absent, the insert is retried under the same condition: at
+// most one of all inserts, including delayed ones, takes effect. A row with this owner's name belongs to this owner
+// whichever of its inserts wrote it.
+type claimAttempt struct {
 	owner       string
 	fingerprint uint64
-	// condition is the revision that the row must have for the write: 0 while it is absent, or that of a freed row.
+	// condition is the revision that the row must have for the write: 0 for an absent row, or the revision of a freed
+	// row.
 	condition uint64
-	// maybeWritten is set while a write of this owner may have taken effect or may still do so.
+	// maybeWritten is set while a write by this owner may have taken effect or may still do so.
 	maybeWritten bool
 
 	outcome ClaimOutcome
-	held    backing.Row
+	row     backing.Row
 	claim   Claim
 	ended   bool
 }
 
-func newClaiming(owner string, fingerprint uint64) *claiming {
-	return &claiming{owner: owner, fingerprint: fingerprint}
+func newClaimAttempt(owner string, fingerprint uint64) *claimAttempt {
+	return &claimAttempt{owner: owner, fingerprint: fingerprint}
 }
 
-// start returns the first call.
-func (c *claiming) start() tableCall { return callWrite }
+// start returns the first table call.
+func (c *claimAttempt) start() tableCall { return callWrite }
 
-// step takes the result of a call and returns the next one.
-func (c *claiming) step(in tableInput) tableCall {
+// step processes the result of a table call and returns the next one.
+func (c *claimAttempt) step(in tableResult) tableCall {
 	switch in.event {
 	case writeDone:
 		return c.end(ClaimGranted, backing.Row{Revision: in.revision}, Claim{})
 	case writeConflict:
 		return callRead
 	case writeNoEffect:
-		return callPauseWrite
-	case writeLost:
+		return callBackoffWrite
+	case writeUnknown:
 		c.maybeWritten = true
 		return callRead
 	case rowAbsent:
 		c.condition = 0
 		return callWrite
 	case rowRead:
-		return c.found(in.row)
+		return c.evaluate(in.row)
 	case readFailed:
-		return callPauseRead
+		return callBackoffRead
 	default:
 		return c.end(0, backing.Row{}, Claim{})
 	}
 }
 
-// found judges the row that stands in the table.
-func (c *claiming) found(row backing.Row) tableCall {
+// evaluate decides the outcome from the row in the table.
+func (c *claimAttempt) evaluate(row backing.Row) tableCall {
 	var claim Claim
 	if err := json.Unmarshal(row.Value, &claim); err != nil {
-		// A row that cannot be read may belong to a request that ran.
-		return c.end(ClaimLost, row, Claim{})
+		// A row that cannot be decoded may belong to a request that ran.
+		return c.end(ClaimOutcomeUnknown, row, Claim{})
 	}
 	switch {
 	case claim.Owner == c.owner && claim.State == ClaimHeld:
@@ -119,17 +121,18 @@
 	case claim.State == ClaimHeld:
 		return c.end(ClaimInProgress, row, claim)
 	default:
-		return c.end(ClaimLost, row, claim)
+		return c.end(ClaimOutcomeUnknown, row, claim)
 	}
 }
 
-func (c *claiming) end(outcome ClaimOutcome, row backing.Row, claim Claim) tableCall {
+func (c *claimAttempt) end(outcome ClaimOutcome, row backing.Row, claim Claim) tableCall {
 	c.ended = true
-	c.outcome, c.held, c.claim = outcome, row, claim
+	c.outcome, c.row, c.claim = outcome, row, claim
 	return callEnd
 }
 
-// abandoned reports whether the attempt ended without an outcome although its write may stand or come to stand.
-func (c *claiming) abandoned() bool {
+// mayHold reports whether the attempt ended without an outcome although one of its writes may have taken effect or may
+// still do so.
+func (c *claimAttempt) mayHold() bool {
 	return c.ended && c.outcome == 0 && c.maybeWritten
 }
--- a/internal/atmostonce/claims.go
+++ b/internal/atmostonce/claims.go
@@ -15,89 +15,91 @@
 	"balsamsail/internal/backing"
 )
 
-// ClaimOutcome is what came of an attempt to claim a key.
+// ClaimOutcome is the result of an attempt to claim a key.
 type ClaimOutcome int
 
 // The outcomes of a claim.
 const (
-	// ClaimGranted: the key is the owner's; the request may be offered, and Finish or Free must follow.
+	// ClaimGranted: the key belongs to the owner. The request may be offered; Finish or Free must follow.
 	ClaimGranted ClaimOutcome = iota + 1
-	// ClaimInProgress: another attempt holds the key, or died holding it; its outcome is unknown.
+	// ClaimInProgress: another attempt holds the key and may have failed while holding it; its outcome is unknown.
 	ClaimInProgress
-	// ClaimAnswered: the request ran before; its recorded answer is in the claim.
+	// ClaimAnswered: the request ran before; the claim contains its recorded response.
 	ClaimAnswered
-	// ClaimLost: the request may have run before; its outcome is unknown for good.
-	ClaimLost
-	// ClaimMismatch: another request was made under the same key.
+	// ClaimOutcomeUnknown: the request may have run before; its outcome will never be known.
+	ClaimOutcomeUnknown
+	// ClaimMismatch: the key was used for a different request.
 	ClaimMismatch
 )
 
-// ClaimRequest names what is to be claimed.
+// ClaimRequest describes a key to claim.
 type ClaimRequest struct {
-	// Service is the service or model whose idempotency key Key is, and Caller whose: callers don't share keys.
+	// Service is the service or model that the idempotency key Key applies to, and Caller is the caller that sent it.
+	// Callers do not share keys.
 	Service, Caller, Key string
-	// Owner names the request in the row. Claims adds what makes it unique to this call.
+	// Owner identifies the request in the row. Claims adds a suffix that makes it unique to this call.
 	Owner       string
 	Fingerprint uint64
 	Deadline    time.Time
 }
 
-// Held is a row of the table as last seen.
+// Held is a row of the table as last read or written.
 type Held struct {
-	// RowKey and Revision name the row's version.
+	// RowKey and Revision identify the version of the row.
 	RowKey   string
 	Revision uint64
 	Claim    Claim
 }
 
-// Answer is a recorded answer.
+// Answer is a response to record.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Dropped says that Body is not the whole body.
+	// Dropped is set when Body is not the whole body.
 	Dropped bool
 }
 
 const (
-	defaultPatience      = time.Second
+	defaultTimeout       = time.Second
 	defaultRetention     = 24 * time.Hour
 	defaultMaxBodyBytes  = 16 << 10
 	defaultSweepInterval = time.Minute
-	// firstPause and lastPause bound the pause before a call is tried again.
-	firstPause = 10 * time.Millisecond
-	lastPause  = 200 * time.Millisecond
+	// minBackoff and maxBackoff bound the delay before a table call is retried.
+	minBackoff = 10 * time.Millisecond
+	maxBackoff = 200 * time.Millisecond
 )
 
-// ClaimsOptions are the settings of Claims.
+// ClaimsOptions configures Claims.
 type ClaimsOptions struct {
-	// Patience bounds one call of Claim, Finish or Free (0: 1 s).
+	// Patience is the time limit of one call of Claim, Finish or Free (0: 1 s).
 	Patience time.Duration
 	// Retention is how long a key stays claimed (0: 24 h).
 	Retention time.Duration
-	// MaxBodyBytes bounds a recorded answer (0: 16 KiB).
+	// MaxBodyBytes is the size limit of a recorded response body (0: 16 KiB).
 	MaxBodyBytes int
-	// SweepInterval is the time between two looks for claims older than the retention (0: 1 min).
+	// SweepInterval is the interval between sweeps for claims older than Retention (0: 1 min).
 	SweepInterval time.Duration
-	// Services names the services whose old claims Run deletes, besides those claimed here since the start.
+	// Services returns the services whose expired claims Run deletes, in addition to the services of keys claimed by
+	// this process.
 	Services func() []string
-	// Seed seeds the jitter.
+	// Seed seeds the backoff jitter.
 	Seed uint64
 }
 
 func (o ClaimsOptions) withDefaults() ClaimsOptions {
-	o.Patience = cmp.Or(o.Patience, defaultPatience)
+	o.Patience = cmp.Or(o.Patience, defaultTimeout)
 	o.Retention = cmp.Or(o.Retention, defaultRetention)
 	o.MaxBodyBytes = cmp.Or(o.MaxBodyBytes, defaultMaxBodyBytes)
 	o.SweepInterval = cmp.Or(o.SweepInterval, defaultSweepInterval)
 	return o
 }
 
-// Claims keeps idempotency keys in the platform's table. It is safe for concurrent use.
+// Claims stores idempotency keys in the platform's table. It is safe for concurrent use.
 type Claims struct {
 	table   backing.Table
 	options ClaimsOptions
-	// nonce sets this process's owners apart from those of all others.
+	// nonce makes the owners of this process distinct from those of all others.
 	nonce    string
 	releases chan release
 
@@ -107,7 +109,7 @@
 	services map[string]bool
 }
 
-// NewClaims returns the claims in a table.
+// NewClaims returns a Claims that uses the given table.
 func NewClaims(table backing.Table, options ClaimsOptions) *Claims {
 	return &Claims{
 		table:    table,
@@ -119,35 +121,36 @@
 	}
 }
 
-// Claim tries to get a key for its owner. It fails with ErrClaimUnavailable or ErrClaimUnknown in bounded time; after
-// either the owner must not run the request, and the key is freed in the background.
+// Claim tries to claim a key for its owner. If it cannot within the time limit, it fails with ErrClaimUnavailable or
+// ErrClaimUnknown. The owner must then not run the request, and a key that may have been claimed is freed in the
+// background.
 func (c *Claims) Claim(ctx context.Context, r ClaimRequest) (Held, ClaimOutcome, error) {
-	ctx, cancel := c.bounded(ctx, r.Deadline)
+	ctx, cancel := c.withTimeout(ctx, r.Deadline)
 	defer cancel()
 	rowKey := rowKey(r)
 	claim := Claim{
 		State:       ClaimHeld,
-		Owner:       c.owner(r),
+		Owner:       c.newOwner(r),
 		Fingerprint: r.Fingerprint,
 		ClaimedAt:   time.Now(),
 	}
-	machine := newClaiming(claim.Owner, r.Fingerprint)
-	c.drive(ctx, machine, rowKey, claim, func() uint64 { return machine.condition })
+	machine := newClaimAttempt(claim.Owner, r.Fingerprint)
+	c.runMachine(ctx, machine, rowKey, claim, func() uint64 { return machine.condition })
 	switch {
 	case machine.outcome == ClaimGranted:
-		return Held{RowKey: rowKey, Revision: machine.held.Revision, Claim: claim}, ClaimGranted, nil
+		return Held{RowKey: rowKey, Revision: machine.row.Revision, Claim: claim}, ClaimGranted, nil
 	case machine.outcome != 0:
-		return Held{RowKey: rowKey, Revision: machine.held.Revision, Claim: machine.claim}, machine.outcome, nil
-	case machine.abandoned():
-		c.abandon(release{rowKey: rowKey, claim: claim})
+		return Held{RowKey: rowKey, Revision: machine.row.Revision, Claim: machine.claim}, machine.outcome, nil
+	case machine.mayHold():
+		c.queueRelease(release{rowKey: rowKey, claim: claim})
 		return Held{}, 0, errors.Wrapf(ErrClaimUnknown, "key %q of %s", r.Key, r.Service)
 	default:
 		return Held{}, 0, errors.Wrapf(ErrClaimUnavailable, "key %q of %s", r.Key, r.Service)
 	}
 }
 
-// Finish records the final state of a claim that was granted: ClaimDone with the answer, or ClaimUnknown. When it fails
-// with ErrClaimUnavailable the key stays held, which later callers are told as an unknown outcome; it never runs again.
+// Finish records the final state of a granted claim: ClaimDone with the response, or ClaimUnknown. If it fails with
+// ErrClaimUnavailable, the key may stay held: later callers get an unknown outcome, and the request never runs again.
 func (c *Claims) Finish(ctx context.Context, h Held, state ClaimState, a Answer) error {
 	claim := h.Claim
 	claim.State = state
@@ -161,31 +164,31 @@
 	return c.settle(ctx, h, claim)
 }
 
-// Free gives a granted key back because the request certainly did not run. When it fails the key is freed in the
+// Free releases a granted key because the request certainly did not run. If it fails, the key is freed in the
 // background.
 func (c *Claims) Free(ctx context.Context, h Held) error {
 	claim := h.Claim
 	claim.State = ClaimFree
 	err := c.settle(ctx, h, claim)
 	if err != nil {
-		c.abandon(release{rowKey: h.RowKey, claim: h.Claim})
+		c.queueRelease(release{rowKey: h.RowKey, claim: h.Claim})
 	}
 	return err
 }
 
 func (c *Claims) settle(ctx context.Context, h Held, claim Claim) error {
-	ctx, cancel := c.bounded(ctx, time.Time{})
+	ctx, cancel := c.withTimeout(ctx, time.Time{})
 	defer cancel()
-	machine := newSettling(claim.Owner, claim.State, h.Revision)
-	c.drive(ctx, machine, h.RowKey, claim, func() uint64 { return machine.condition })
+	machine := newSettleAttempt(claim.Owner, claim.State, h.Revision)
+	c.runMachine(ctx, machine, h.RowKey, claim, func() uint64 { return machine.condition })
 	if !machine.done {
-		return errors.Wrapf(ErrClaimUnavailable, "claim of %s stays held", claim.Owner)
+		return errors.Wrapf(ErrClaimUnavailable, "claim of %s could not be updated", claim.Owner)
 	}
 	return nil
 }
 
-// bounded returns a context that ends with the patience, or earlier with the deadline when that is set.
-func (c *Claims) bounded(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
+// withTimeout returns a context that ends after Patience, or at the deadline if that is set and earlier.
+func (c *Claims) withTimeout(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	end := time.Now().Add(c.options.Patience)
 	if !deadline.IsZero() && deadline.Before(end) {
 		end = deadline
@@ -193,9 +196,9 @@
 	return context.WithDeadline(ctx, end)
 }
 
-// owner makes a name that no other call has: two calls with one request identifier must not take each other's row for
-// their own.
-func (c *Claims) owner(r ClaimRequest) string {
+// newOwner returns an owner name that is unique to the call. Two calls with the same request ID must not mistake each
+// other's row for their own.
+func (c *Claims) newOwner(r ClaimRequest) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
@@ -203,25 +206,25 @@
 	return r.Owner + "/" + c.nonce + "/" + strconv.FormatUint(c.calls, 36)
 }
 
-// machine is a claiming or settling.
+// machine is a claimAttempt or settleAttempt.
 type machine interface {
 	start() tableCall
-	step(tableInput) tableCall
+	step(tableResult) tableCall
 }
 
-// drive makes the calls that a machine wants until it ends or ctx does.
-func (c *Claims) drive(ctx context.Context, m machine, rowKey string, claim Claim, condition func() uint64) {
-	pause := firstPause
+// runMachine performs the table calls that a machine requests until it finishes or ctx ends.
+func (c *Claims) runMachine(ctx context.Context, m machine, rowKey string, claim Claim, condition func() uint64) {
+	backoff := minBackoff
 	for call := m.start(); call != callEnd; {
-		if call == callPauseWrite || call == callPauseRead {
-			c.sleep(ctx, pause)
-			pause = min(2*pause, lastPause)
+		if call == callBackoffWrite || call == callBackoffRead {
+			c.sleep(ctx, backoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 		if ctx.Err() != nil {
-			m.step(tableInput{event: timeUp})
+			m.step(tableResult{event: timedOut})
 			return
 		}
-		if call == callRead || call == callPauseRead {
+		if call == callRead || call == callBackoffRead {
 			call = m.step(c.read(ctx, rowKey))
 			continue
 		}
@@ -229,22 +232,22 @@
 	}
 }
 
-func (c *Claims) read(ctx context.Context, rowKey string) tableInput {
+func (c *Claims) read(ctx context.Context, rowKey string) tableResult {
 	row, err := c.table.Get(ctx, rowKey)
 	switch {
 	case err == nil:
-		return tableInput{event: rowRead, row: row}
+		return tableResult{event: rowRead, row: row}
 	case errors.Is(err, backing.ErrNotFound):
-		return tableInput{event: rowAbsent}
+		return tableResult{event: rowAbsent}
 	default:
-		return tableInput{event: readFailed}
+		return tableResult{event: readFailed}
 	}
 }
 
-func (c *Claims) write(ctx context.Context, rowKey string, condition uint64, claim Claim) tableInput {
+func (c *Claims) write(ctx context.Context, rowKey string, condition uint64, claim Claim) tableResult {
 	value, err := json.Marshal(claim)
 	if err != nil {
-		return tableInput{event: timeUp}
+		return tableResult{event: timedOut}
 	}
 	revision, err := c.table.Commit(ctx, backing.Txn{
 		Conditions: []backing.Condition{{Key: rowKey, Revision: condition}},
@@ -253,19 +256,19 @@
 	var conflict *backing.ConflictError
 	switch {
 	case err == nil:
-		return tableInput{event: writeDone, revision: revision}
+		return tableResult{event: writeDone, revision: revision}
 	case errors.As(err, &conflict):
-		return tableInput{event: writeConflict}
+		return tableResult{event: writeConflict}
 	case errors.Is(err, backing.ErrUnavailable), errors.Is(err, backing.ErrRateLimited):
-		return tableInput{event: writeNoEffect}
+		return tableResult{event: writeNoEffect}
 	case errors.Is(err, backing.ErrInvalid):
-		return tableInput{event: timeUp}
+		return tableResult{event: timedOut}
 	default:
-		return tableInput{event: writeLost}
+		return tableResult{event: writeUnknown}
 	}
 }
 
-// sleep pauses for about d, jittered so that entries in step part ways, or until ctx ends.
+// sleep waits until ctx ends, or for about d with jitter, so that entries that fail together do not retry together.
 func (c *Claims) sleep(ctx context.Context, d time.Duration) {
 	c.mu.Lock()
 	jittered := d/2 + time.Duration(c.random.Int64N(int64(d)))
--- a/internal/atmostonce/claims_test.go
+++ b/internal/atmostonce/claims_test.go
@@ -12,14 +12,14 @@
 	"balsamsail/internal/backing"
 )
 
-// memoryTable is a table whose next calls of Commit and Get can be made to fail.
+// memoryTable is an in-memory table whose next calls of Commit and Get can be made to fail.
 type memoryTable struct {
 	mu       sync.Mutex
 	rows     map[string]backing.Row
 	revision uint64
-	// commits and gets are the errors of the next calls; a commit that fails with errAfterWrite took effect.
+	// commits and gets are the errors of the next calls. A commit that fails with errAfterWrite took effect.
 	commits, gets []error
-	// down fails all calls.
+	// down is the error of all other calls, if set.
 	down error
 }
 
@@ -90,12 +90,12 @@
 	return len(m.rows)
 }
 
-// notice is a request to send one penalty notice.
-func notice(owner string) ClaimRequest {
+// noticeRequest returns the claim of a request to send one penalty notice.
+func noticeRequest(owner string) ClaimRequest {
 	return ClaimRequest{Service: "ledger", Caller: "c", Key: "notice-1", Owner: owner, Fingerprint: 7, Deadline: time.Now().Add(time.Minute)}
 }
 
-func claim(t *testing.T, c *Claims, r ClaimRequest, want ClaimOutcome) Held {
+func mustClaim(t *testing.T, c *Claims, r ClaimRequest, want ClaimOutcome) Held {
 	t.Helper()
 	held, outcome, err := c.Claim(t.Context(), r)
 	if err != nil || outcome != want {
@@ -105,10 +105,10 @@
 }
 
 func TestClaimAgainAfterTheFirstEnded(t *testing.T) {
-	other := notice("second")
-	other.Fingerprint = 8
-	stranger := notice("second")
-	stranger.Caller = "d"
+	otherRequest := noticeRequest("second")
+	otherRequest.Fingerprint = 8
+	otherCaller := noticeRequest("second")
+	otherCaller.Caller = "d"
 	done := func(c *Claims, h Held) error {
 		return c.Finish(t.Context(), h, ClaimDone, Answer{Status: 201, Body: []byte("sent")})
 	}
@@ -118,30 +118,30 @@
 		second ClaimRequest
 		want   ClaimOutcome
 	}{
-		{"still held", func(*Claims, Held) error { return nil }, notice("second"), ClaimInProgress},
-		{"held under the same request identifier", func(*Claims, Held) error { return nil }, notice("first"), ClaimInProgress},
-		{"done", done, notice("second"), ClaimAnswered},
-		{"unknown", func(c *Claims, h Held) error { return c.Finish(t.Context(), h, ClaimUnknown, Answer{}) }, notice("second"), ClaimLost},
-		{"freed", func(c *Claims, h Held) error { return c.Free(t.Context(), h) }, notice("second"), ClaimGranted},
-		{"another request under the key", done, other, ClaimMismatch},
-		{"another caller's key", done, stranger, ClaimGranted},
+		{"still held", func(*Claims, Held) error { return nil }, noticeRequest("second"), ClaimInProgress},
+		{"held under the same request identifier", func(*Claims, Held) error { return nil }, noticeRequest("first"), ClaimInProgress},
+		{"done", done, noticeRequest("second"), ClaimAnswered},
+		{"unknown", func(c *Claims, h Held) error { return c.Finish(t.Context(), h, ClaimUnknown, Answer{}) }, noticeRequest("second"), ClaimOutcomeUnknown},
+		{"freed", func(c *Claims, h Held) error { return c.Free(t.Context(), h) }, noticeRequest("second"), ClaimGranted},
+		{"another request under the key", done, otherRequest, ClaimMismatch},
+		{"another caller's key", done, otherCaller, ClaimGranted},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			claims := NewClaims(newMemoryTable(), ClaimsOptions{})
-			if err := c.end(claims, claim(t, claims, notice("first"), ClaimGranted)); err != nil {
+			if err := c.end(claims, mustClaim(t, claims, noticeRequest("first"), ClaimGranted)); err != nil {
 				t.Fatal(err)
 			}
-			held := claim(t, claims, c.second, c.want)
+			held := mustClaim(t, claims, c.second, c.want)
 			if c.want == ClaimAnswered && (held.Claim.Status != 201 || string(held.Claim.Body) != "sent" || !held.Claim.BodyKept) {
-				t.Errorf("recorded answer %+v", held.Claim)
+				t.Errorf("recorded response %+v", held.Claim)
 			}
 		})
 	}
 }
 
-// The table's answer to a claim is lost, before or after the write took effect, or the table is down. The claim must come
-// to the one true outcome, or say within its patience that there is none.
+// The response to a claim is lost before or after the write took effect, or the table is down. Claim must return the
+// correct outcome, or fail within its time limit.
 func TestClaimWhenTheTableFails(t *testing.T) {
 	unavailable, lost := backing.ErrUnavailable, backing.ErrOutcomeUnknown
 	cases := []struct {
@@ -154,10 +154,10 @@
 		{"lost after the write", []error{errAfterWrite}, nil, nil, nil},
 		{"lost before the write", []error{lost}, nil, nil, nil},
 		{"lost, and the read fails", []error{errAfterWrite}, []error{unavailable, unavailable}, nil, nil},
-		{"refused over the rate, then taken", []error{backing.ErrRateLimited, unavailable}, nil, nil, nil},
+		{"rate limited, then accepted", []error{backing.ErrRateLimited, unavailable}, nil, nil, nil},
 		{"outage", nil, nil, unavailable, ErrClaimUnavailable},
-		{"outage after a lost write", []error{errAfterWrite}, nil, unavailable, ErrClaimUnknown},
-		{"malformed", []error{backing.ErrInvalid}, nil, nil, ErrClaimUnavailable},
+		{"outage after a lost response", []error{errAfterWrite}, nil, unavailable, ErrClaimUnknown},
+		{"invalid call", []error{backing.ErrInvalid}, nil, nil, ErrClaimUnavailable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -166,23 +166,24 @@
 				table.commits, table.gets, table.down = c.commits, c.gets, c.down
 				claims := NewClaims(table, ClaimsOptions{})
 				began := time.Now()
-				held, _, err := claims.Claim(t.Context(), notice("first"))
+				held, _, err := claims.Claim(t.Context(), noticeRequest("first"))
 				if !errors.Is(err, c.wantErr) {
 					t.Fatalf("error %v, want %v", err, c.wantErr)
 				}
-				if took := time.Since(began); took > defaultPatience+lastPause {
+				if took := time.Since(began); took > defaultTimeout+maxBackoff {
 					t.Errorf("took %v", took)
 				}
 				if err == nil && held.Revision != table.rows[held.RowKey].Revision {
-					t.Errorf("held at revision %d, the row is at %d", held.Revision, table.rows[held.RowKey].Revision)
+					t.Errorf("held at revision %d, but the row is at %d", held.Revision, table.rows[held.RowKey].Revision)
 				}
 			})
 		})
 	}
 }
 
-// A claim takes effect but its answer is lost and the table stays down past the patience: the caller hears "not run". When
-// the table is back the key must become free, so that the caller can send the request after all.
+// A claim takes effect, but its response is lost and the table stays down beyond the time limit, so the caller is told
+// that the request did not run. When the table is available again the key must become free, so that the caller can
+// retry the request.
 func TestRunFreesKeysThatWereGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newMemoryTable()
@@ -190,36 +191,36 @@
 		claims := NewClaims(table, ClaimsOptions{})
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = claims.Run(ctx) }()
-		if _, _, err := claims.Claim(ctx, notice("first")); !errors.Is(err, ErrClaimUnknown) {
-			t.Fatalf("error %v", err)
+		if _, _, err := claims.Claim(ctx, noticeRequest("first")); !errors.Is(err, ErrClaimUnknown) {
+			t.Fatalf("got error %v", err)
 		}
 		time.Sleep(3 * time.Second)
 		table.setDown(nil)
 		time.Sleep(3 * time.Second)
-		claim(t, claims, notice("second"), ClaimGranted)
+		mustClaim(t, claims, noticeRequest("second"), ClaimGranted)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// The answer to the recording of an answer is lost for good: later callers hear "outcome unknown", and nobody runs the
-// request again, however often they ask.
+// The table is down while the response is to be recorded. Later callers must get an unknown outcome and must never run
+// the request again.
 func TestFinishThatFailsLeavesTheKeyHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newMemoryTable()
 		claims := NewClaims(table, ClaimsOptions{})
-		held := claim(t, claims, notice("first"), ClaimGranted)
+		held := mustClaim(t, claims, noticeRequest("first"), ClaimGranted)
 		table.setDown(backing.ErrUnavailable)
 		if err := claims.Finish(t.Context(), held, ClaimDone, Answer{Status: 200}); !errors.Is(err, ErrClaimUnavailable) {
-			t.Fatalf("error %v", err)
+			t.Fatalf("got error %v", err)
 		}
 		table.setDown(nil)
-		claim(t, claims, notice("second"), ClaimInProgress)
+		mustClaim(t, claims, noticeRequest("second"), ClaimInProgress)
 	})
 }
 
-// Claims are deleted once they are older than the retention, whatever their state, and never earlier: a key that is
-// claimed again within it would run its request twice.
+// Claims are deleted once they are older than the retention, whatever their state, and never earlier. A key that could
+// be claimed again within the retention would let its request run twice.
 func TestRunDeletesOnlyOldClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const retention = time.Hour
@@ -228,9 +229,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = claims.Run(ctx) }()
 		for _, key := range []string{"a", "b", "c"} {
-			r := notice("first")
+			r := noticeRequest("first")
 			r.Key = key
-			claim(t, claims, r, ClaimGranted)
+			mustClaim(t, claims, r, ClaimGranted)
 		}
 		time.Sleep(retention)
 		if n := table.len(); n != 3 {
--- a/internal/atmostonce/exchange.go
+++ b/internal/atmostonce/exchange.go
@@ -3,22 +3,23 @@
 // ExchangeEvent is an input of an Exchange.
 type ExchangeEvent int
 
-// The events of an exchange: frames from the agent, and what befalls the entry.
+// The events of an exchange: frames from the agent and local events at the entry.
 const (
 	// GotAccepted and GotReady are the agent's frames before the request runs.
 	GotAccepted ExchangeEvent = iota
 	GotReady
-	// GotRefused says that the agent did not and will not run the request.
+	// GotRefused: the agent did not run the request and will not.
 	GotRefused
-	// GotHead is the first answer frame and GotTrailer, with a matching checksum, the last.
+	// GotHead is the first frame of the response, and GotTrailer the last, with a matching checksum.
 	GotHead
 	GotTrailer
-	// GotFailedClean and GotFailedUnclear are Failed frames; only the first says that the endpoint did not run it.
+	// GotFailedClean and GotFailedUnclear are Failed frames. Only the first guarantees that the endpoint did not run
+	// the request.
 	GotFailedClean
 	GotFailedUnclear
-	// GaveUp: the caller went away, the patience or the deadline ended.
+	// GaveUp: the caller disconnected, or the wait limit or the deadline passed.
 	GaveUp
-	// StreamBroke: the stream ended or carried a wrong frame.
+	// StreamBroke: the stream ended or carried an invalid frame.
 	StreamBroke
 )
 
@@ -27,123 +28,126 @@
 
 // The actions of an exchange.
 const (
-	// SendCommit sends the commit; the request may run from now on.
+	// SendCommit sends the commit; the request may run from then on.
 	SendCommit ExchangeAction = iota
-	// SendCancel withdraws the offer or stops the work.
+	// SendCancel withdraws the offer or cancels the running request.
 	SendCancel
-	// EndNotRun ends the attempt: it certainly did not run and will not.
+	// EndNotRun ends the attempt: the request certainly did not run and will not.
 	EndNotRun
-	// EndServed ends the attempt: the whole answer is here.
+	// EndServed ends the attempt: the whole response was received.
 	EndServed
-	// EndUnknown ends the attempt without a definite end before the answer began.
+	// EndUnknown ends the attempt with an unknown outcome, before the response began.
 	EndUnknown
-	// EndCut ends the attempt after the answer began.
+	// EndCut ends the attempt with an unknown outcome, after the response began.
 	EndCut
-	// SettleServed, SettleNotRun and SettleUnknown tell the fate of a committed request whose attempt ended with
-	// EndUnknown or EndCut while the stream stayed open for it.
+	// SettleServed, SettleNotRun and SettleUnknown report the outcome of a committed request whose attempt had ended
+	// with EndUnknown or EndCut while its stream was kept open.
 	SettleServed
 	SettleNotRun
 	SettleUnknown
 )
 
-// Exchange is the entry's side of one offer. It is not safe for concurrent use.
+// Exchange is the entry's state machine of one offer. It is not safe for concurrent use.
 //
-// A two-step request is offered, and sent a commit once the agent is ready. Until the commit is handed to the stream the
-// agent cannot start it, so that whatever ends the exchange before means "not run"; from then on only the agent's word
-// does. A one-step request may start as soon as it was offered, so that only the agent's word ever means "not run".
+// A two-step request is offered first and committed once the agent is ready. Until the commit is passed to the stream
+// the agent cannot start the request, so any earlier end of the exchange means that it did not run. After that, only a
+// message from the agent proves that it did not run. A one-step request may start as soon as it is offered, so there
+// only a message from the agent ever proves it.
 type Exchange struct {
 	twoStep bool
-	// committed is set when the commit was handed to the stream.
+	// committed is set when the commit was passed to the stream.
 	committed bool
-	// begun is set when the answer began, ended when the attempt did, and settled when nothing more can follow.
-	begun   bool
-	ended   bool
-	settled bool
+	// answerStarted is set when the response began, ended when the attempt ended, and settled when no action can
+	// follow.
+	answerStarted bool
+	ended         bool
+	settled       bool
 }
 
-// NewExchange returns the state of an offer that is sent now.
+// NewExchange returns the state of an offer that is being sent.
 func NewExchange(twoStep bool) *Exchange { return &Exchange{twoStep: twoStep} }
 
-// Committed reports whether a two-step request's commit was handed to the stream.
+// Committed reports whether the commit of a two-step request was passed to the stream.
 func (x *Exchange) Committed() bool { return x.committed }
 
-// Open reports whether the stream must be kept: the attempt has not ended, or its fate may still come.
+// Open reports whether the stream must be kept open: the attempt has not ended, or its outcome may still arrive.
 func (x *Exchange) Open() bool { return !x.settled }
 
-// Step takes one event and returns what to do, in order.
+// Step processes one event and returns the actions to take, in order.
 func (x *Exchange) Step(e ExchangeEvent) []ExchangeAction {
 	if x.settled {
 		return nil
 	}
-	if x.withheld() && e.saysStarted() {
-		// The agent started a request that was not committed; it broke the protocol, and "not run" is no longer true.
+	if x.uncommitted() && e.impliesStarted() {
+		// The agent violated the protocol by starting an uncommitted request, so a broken stream no longer proves that
+		// it did not run.
 		x.committed = true
 	}
 	switch e {
 	case GotReady:
 		return x.ready()
 	case GotHead:
-		x.begun = true
+		x.answerStarted = true
 	case GotTrailer:
 		return x.finish(EndServed, SettleServed)
 	case GotRefused, GotFailedClean:
 		return x.refused()
 	case GotFailedUnclear, StreamBroke:
-		return x.broke()
+		return x.failed()
 	case GaveUp:
 		return x.giveUp()
 	}
 	return nil
 }
 
-// withheld reports whether the request cannot have started because its commit was not sent.
-func (x *Exchange) withheld() bool { return x.twoStep && !x.committed }
+// uncommitted reports whether the request cannot have started because its commit was not sent.
+func (x *Exchange) uncommitted() bool { return x.twoStep && !x.committed }
 
-// saysStarted reports whether only a request that was started can bring the event.
-func (e ExchangeEvent) saysStarted() bool {
+// impliesStarted reports whether the event can occur only for a request that was started.
+func (e ExchangeEvent) impliesStarted() bool {
 	return e == GotHead || e == GotTrailer || e == GotFailedUnclear
 }
 
 func (x *Exchange) ready() []ExchangeAction {
-	if !x.withheld() {
+	if !x.uncommitted() {
 		return nil
 	}
 	x.committed = true
 	return []ExchangeAction{SendCommit}
 }
 
-// refused ends the attempt by the agent's word; after the answer began that word is wrong.
+// refused ends the attempt as not run. A refusal after the response began cannot be true and is treated as a failure.
 func (x *Exchange) refused() []ExchangeAction {
-	if x.begun {
-		return x.broke()
+	if x.answerStarted {
+		return x.failed()
 	}
 	return x.finish(EndNotRun, SettleNotRun)
 }
 
-func (x *Exchange) broke() []ExchangeAction {
-	if x.withheld() {
+func (x *Exchange) failed() []ExchangeAction {
+	if x.uncommitted() {
 		return x.finish(EndNotRun, SettleNotRun)
 	}
-	return x.finish(x.indefinite(), SettleUnknown)
+	return x.finish(x.unknownEnd(), SettleUnknown)
 }
 
-// giveUp ends the attempt for the caller. A committed request that may run only once is not cancelled: its stream is kept
-// until its fate is known, so that its claim can say so.
+// giveUp ends the attempt for the caller. A committed two-step request is not cancelled: its stream is kept open until
+// its outcome is known, so that the outcome can be recorded in the claim.
 func (x *Exchange) giveUp() []ExchangeAction {
 	switch {
 	case x.ended:
 		return x.finish(EndUnknown, SettleUnknown)
-	case x.withheld():
+	case x.uncommitted():
 		return append([]ExchangeAction{SendCancel}, x.finish(EndNotRun, SettleNotRun)...)
 	case x.twoStep:
 		x.ended = true
-		return []ExchangeAction{x.indefinite()}
+		return []ExchangeAction{x.unknownEnd()}
 	default:
-		return append([]ExchangeAction{SendCancel}, x.finish(x.indefinite(), SettleUnknown)...)
+		return append([]ExchangeAction{SendCancel}, x.finish(x.unknownEnd(), SettleUnknown)...)
 	}
 }
 
-// finish ends the attempt, or tells its fate when it ended before.
+// finish ends the attempt, or reports its outcome if it had already ended.
 func (x *Exchange) finish(end, settle ExchangeAction) []ExchangeAction {
 	x.settled = true
 	if x.ended {
@@ -153,8 +157,8 @@
 	return []ExchangeAction{end}
 }
 
-func (x *Exchange) indefinite() ExchangeAction {
-	if x.begun {
+func (x *Exchange) unknownEnd() ExchangeAction {
+	if x.answerStarted {
 		return EndCut
 	}
 	return EndUnknown
--- a/internal/atmostonce/execution.go
+++ b/internal/atmostonce/execution.go
@@ -3,22 +3,23 @@
 // ExecutionEvent is an input of an Execution.
 type ExecutionEvent int
 
-// The events of an execution: frames from the entry, and what befalls the agent.
+// The events of an execution: frames from the entry and local events at the agent.
 const (
-	// TurnCame: the queue gave the request its turn.
+	// TurnCame: the queue admitted the request, which may now run.
 	TurnCame ExecutionEvent = iota
-	// QueueRefused: the queue refused or displaced the request.
+	// QueueRefused: the queue rejected or evicted the request.
 	QueueRefused
-	// GotCommit and GotCancel are the entry's frames.
+	// GotCommit and GotCancel are frames from the entry.
 	GotCommit
 	GotCancel
-	// EntryLost: the stream broke.
+	// EntryLost: the stream to the entry broke.
 	EntryLost
-	// CommitLate: no commit came in the time that a ready request may hold its turn.
+	// CommitLate: no commit arrived within the time that a ready request may stay admitted.
 	CommitLate
-	// CallAnswered: the endpoint's whole answer was sent on.
+	// CallAnswered: the endpoint's whole response was forwarded.
 	CallAnswered
-	// CallFailedClean and CallFailedUnclear: the endpoint call failed; only the first certainly did not run.
+	// CallFailedClean and CallFailedUnclear: the endpoint call failed. Only the first guarantees that the request did
+	// not run.
 	CallFailedClean
 	CallFailedUnclear
 )
@@ -28,21 +29,21 @@
 
 // The actions of an execution.
 const (
-	// SendReady asks for the commit.
+	// SendReady tells the entry that the agent is ready and waits for the commit.
 	SendReady ExecutionAction = iota
-	// StartCall sends the request to the endpoint. It comes at most once.
+	// StartCall sends the request to the endpoint. It is returned at most once.
 	StartCall
-	// StopCall gives up the endpoint call.
+	// StopCall cancels the endpoint call.
 	StopCall
-	// LeaveQueue takes the request out of the queue.
+	// LeaveQueue removes the request from the queue.
 	LeaveQueue
-	// GiveBackTurn frees the turn that a ready or running request held.
+	// GiveBackTurn releases the admission of a ready or running request.
 	GiveBackTurn
 	// SendRefused tells the entry that the request did not run.
 	SendRefused
-	// SendTrailer ends the answer.
+	// SendTrailer ends the response.
 	SendTrailer
-	// SendFailedClean and SendFailedUnclear tell the entry that the call failed.
+	// SendFailedClean and SendFailedUnclear tell the entry that the endpoint call failed.
 	SendFailedClean
 	SendFailedUnclear
 )
@@ -56,22 +57,22 @@
 	executionEnded
 )
 
-// Execution is the agent's side of one offer. It is not safe for concurrent use.
+// Execution is the agent's state machine of one offer. It is not safe for concurrent use.
 type Execution struct {
 	twoStep bool
 	state   executionState
 }
 
-// NewExecution returns the state of an offer that the queue just accepted.
+// NewExecution returns the state of an offer that the queue has just accepted.
 func NewExecution(twoStep bool) *Execution { return &Execution{twoStep: twoStep} }
 
-// Ended reports whether nothing more can follow.
+// Ended reports whether the execution has ended.
 func (x *Execution) Ended() bool { return x.state == executionEnded }
 
-// Running reports whether the endpoint call is under way.
+// Running reports whether the endpoint call is in progress.
 func (x *Execution) Running() bool { return x.state == executionRunning }
 
-// Step takes one event and returns what to do, in order.
+// Step processes one event and returns the actions to take, in order.
 func (x *Execution) Step(e ExecutionEvent) []ExecutionAction {
 	switch x.state {
 	case executionWaiting:
@@ -131,7 +132,7 @@
 	case CallFailedUnclear:
 		return x.endCall(SendFailedUnclear)
 	case GotCancel, EntryLost:
-		// A call that may run only once goes on to its end, so that its outcome is definite.
+		// A call that must run at most once is not cancelled, so that its outcome becomes known.
 		if !x.twoStep {
 			return []ExecutionAction{StopCall}
 		}
@@ -144,7 +145,7 @@
 	return []ExecutionAction{GiveBackTurn, end}
 }
 
-// ended gives back a turn that came while the request was being taken out of the queue.
+// ended releases an admission that was granted while the request was being removed from the queue.
 func (x *Execution) ended(e ExecutionEvent) []ExecutionAction {
 	if e == TurnCame {
 		return []ExecutionAction{GiveBackTurn}
--- a/internal/atmostonce/faults_test.go
+++ b/internal/atmostonce/faults_test.go
@@ -7,26 +7,26 @@
 	"balsamsail/internal/backing"
 )
 
-// lossyTable is a table that loses answers, delays writes and refuses calls.
-type lossyTable struct {
+// faultyTable is a table that loses responses, delays writes and fails calls.
+type faultyTable struct {
 	random   *rand.Rand
 	faults   bool
 	rows     map[string]backing.Row
 	revision uint64
 	delayed  []func()
-	// lost counts the answers that were lost, before or after the write, and failed the calls that had no effect.
+	// lost counts the responses that were lost, before or after the write; failed counts the calls that had no effect.
 	lost, failed int
 }
 
-func (t *lossyTable) write(key string, condition uint64, claim Claim) tableInput {
+func (t *faultyTable) write(key string, condition uint64, claim Claim) tableResult {
 	value, _ := json.Marshal(claim)
-	apply := func() tableInput {
+	apply := func() tableResult {
 		if t.rows[key].Revision != condition {
-			return tableInput{event: writeConflict}
+			return tableResult{event: writeConflict}
 		}
 		t.revision++
 		t.rows[key] = backing.Row{Key: key, Revision: t.revision, Value: value}
-		return tableInput{event: writeDone, revision: t.revision}
+		return tableResult{event: writeDone, revision: t.revision}
 	}
 	if !t.faults {
 		return apply()
@@ -34,7 +34,7 @@
 	switch t.random.IntN(8) {
 	case 0:
 		t.failed++
-		return tableInput{event: writeNoEffect}
+		return tableResult{event: writeNoEffect}
 	case 1:
 	case 2:
 		apply()
@@ -44,42 +44,42 @@
 		return apply()
 	}
 	t.lost++
-	return tableInput{event: writeLost}
+	return tableResult{event: writeUnknown}
 }
 
-func (t *lossyTable) read(key string) tableInput {
+func (t *faultyTable) read(key string) tableResult {
 	if t.faults && t.random.IntN(6) == 0 {
 		t.failed++
-		return tableInput{event: readFailed}
+		return tableResult{event: readFailed}
 	}
 	row, ok := t.rows[key]
 	if !ok {
-		return tableInput{event: rowAbsent}
+		return tableResult{event: rowAbsent}
 	}
-	return tableInput{event: rowRead, row: row}
+	return tableResult{event: rowRead, row: row}
 }
 
-// link is one request stream with the two machines at its ends and the endpoint call behind them.
-type link struct {
+// stream is one request stream with the state machines at both ends and the endpoint calls behind it.
+type stream struct {
 	agent     int
 	exchange  *Exchange
 	execution *Execution
 	down      []ExecutionEvent
 	up        []ExchangeEvent
-	// cut and agentGone are set when the stream broke, agentGone also when the agent died.
-	cut, agentGone bool
-	// calls counts the endpoint calls that may still run the request, and runs how often one did.
+	// broken and agentCrashed are set when the stream broke, agentCrashed only when the agent crashed.
+	broken, agentCrashed bool
+	// calls counts the endpoint calls that may still run the request, and runs how often it was run.
 	calls, runs int
 }
 
-func (l *link) toAgent(actions []ExchangeAction) {
+func (s *stream) sendToAgent(actions []ExchangeAction) {
 	for _, a := range actions {
 		switch {
-		case l.cut:
+		case s.broken:
 		case a == SendCommit:
-			l.down = append(l.down, GotCommit)
+			s.down = append(s.down, GotCommit)
 		case a == SendCancel:
-			l.down = append(l.down, GotCancel)
+			s.down = append(s.down, GotCancel)
 		}
 	}
 }
@@ -89,16 +89,16 @@
 	SendFailedClean: GotFailedClean, SendFailedUnclear: GotFailedUnclear,
 }
 
-func (l *link) atAgent(e ExecutionEvent) {
-	if l.agentGone && e != EntryLost {
+func (s *stream) deliverToAgent(e ExecutionEvent) {
+	if s.agentCrashed && e != EntryLost {
 		return
 	}
-	for _, a := range l.execution.Step(e) {
+	for _, a := range s.execution.Step(e) {
 		if a == StartCall {
-			l.calls++
+			s.calls++
 		}
-		if frame, ok := frameOf[a]; ok && !l.cut {
-			l.up = append(l.up, frame)
+		if frame, ok := frameOf[a]; ok && !s.broken {
+			s.up = append(s.up, frame)
 		}
 	}
 }
--- a/internal/atmostonce/machines_test.go
+++ b/internal/atmostonce/machines_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A slot confirmation is offered, and then the stream, the patience or the agent fails at some point. What the caller is
-// told must follow from whether the commit had left: before it "not run", after it only what the agent says.
+// A two-step request is offered, and then the stream fails, the entry gives up or the agent fails. Whether the attempt
+// ends as not run depends on whether the commit was sent: before it, always; after it, only if the agent says so.
 func TestExchangeTellsNotRunOnlyWhenCertain(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -17,23 +17,23 @@
 		{"served", false, []ExchangeEvent{GotAccepted, GotReady, GotHead, GotTrailer}, []ExchangeAction{SendCommit, EndServed}},
 		{"refused before the commit", false, []ExchangeEvent{GotRefused}, []ExchangeAction{EndNotRun}},
 		{"refused as the commit came too late", false, []ExchangeEvent{GotReady, GotRefused}, []ExchangeAction{SendCommit, EndNotRun}},
-		{"refused after the answer began", false, []ExchangeEvent{GotReady, GotHead, GotRefused}, []ExchangeAction{SendCommit, EndCut}},
+		{"refused after the response began", false, []ExchangeEvent{GotReady, GotHead, GotRefused}, []ExchangeAction{SendCommit, EndCut}},
 		{"broken before the commit", false, []ExchangeEvent{GotAccepted, StreamBroke}, []ExchangeAction{EndNotRun}},
 		{"broken after the commit", false, []ExchangeEvent{GotReady, StreamBroke}, []ExchangeAction{SendCommit, EndUnknown}},
-		{"broken within the answer", false, []ExchangeEvent{GotReady, GotHead, StreamBroke}, []ExchangeAction{SendCommit, EndCut}},
+		{"broken within the response", false, []ExchangeEvent{GotReady, GotHead, StreamBroke}, []ExchangeAction{SendCommit, EndCut}},
 		{"given up while waiting", false, []ExchangeEvent{GotAccepted, GaveUp, GotReady}, []ExchangeAction{SendCancel, EndNotRun}},
 		{"given up after the commit, then served", false, []ExchangeEvent{GotReady, GaveUp, GotHead, GotTrailer},
 			[]ExchangeAction{SendCommit, EndUnknown, SettleServed}},
 		{"given up after the commit, then not run", false, []ExchangeEvent{GotReady, GaveUp, GotFailedClean},
 			[]ExchangeAction{SendCommit, EndUnknown, SettleNotRun}},
-		{"given up twice", false, []ExchangeEvent{GotReady, GaveUp, GaveUp}, []ExchangeAction{SendCommit, EndUnknown, SettleUnknown}},
+		{"given up twice after the commit", false, []ExchangeEvent{GotReady, GaveUp, GaveUp}, []ExchangeAction{SendCommit, EndUnknown, SettleUnknown}},
 		{"ready twice", false, []ExchangeEvent{GotReady, GotReady}, []ExchangeAction{SendCommit}},
-		{"an agent that starts uncommitted", false, []ExchangeEvent{GotHead, StreamBroke}, []ExchangeAction{EndCut}},
-		{"an agent that fails uncommitted", false, []ExchangeEvent{GotFailedUnclear}, []ExchangeAction{EndUnknown}},
-		{"one step served", true, []ExchangeEvent{GotAccepted, GotHead, GotTrailer}, []ExchangeAction{EndServed}},
-		{"one step broken while it waits", true, []ExchangeEvent{GotAccepted, StreamBroke}, []ExchangeAction{EndUnknown}},
-		{"one step given up", true, []ExchangeEvent{GotAccepted, GaveUp}, []ExchangeAction{SendCancel, EndUnknown}},
-		{"one step refused", true, []ExchangeEvent{GotRefused}, []ExchangeAction{EndNotRun}},
+		{"an agent that starts an uncommitted request", false, []ExchangeEvent{GotHead, StreamBroke}, []ExchangeAction{EndCut}},
+		{"an agent that fails an uncommitted request", false, []ExchangeEvent{GotFailedUnclear}, []ExchangeAction{EndUnknown}},
+		{"one step, served", true, []ExchangeEvent{GotAccepted, GotHead, GotTrailer}, []ExchangeAction{EndServed}},
+		{"one step, broken while waiting", true, []ExchangeEvent{GotAccepted, StreamBroke}, []ExchangeAction{EndUnknown}},
+		{"one step, given up", true, []ExchangeEvent{GotAccepted, GaveUp}, []ExchangeAction{SendCancel, EndUnknown}},
+		{"one step, refused", true, []ExchangeEvent{GotRefused}, []ExchangeAction{EndNotRun}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// Frames come twice, late or crossed with the agent's own decision to withdraw. The endpoint must be called at most once,
-// and never after the agent said that the request did not run.
+// Frames are duplicated, late, or race with the agent's own decision to withdraw. The endpoint must be called at most
+// once, and never after the agent reported that the request did not run.
 func TestExecutionCallsTheEndpointOnce(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -61,16 +61,16 @@
 		{"two steps", false, []ExecutionEvent{TurnCame, GotCommit, CallAnswered}, []ExecutionAction{SendReady, StartCall, GiveBackTurn, SendTrailer}},
 		{"one step", true, []ExecutionEvent{TurnCame, CallAnswered}, []ExecutionAction{StartCall, GiveBackTurn, SendTrailer}},
 		{"commit twice", false, []ExecutionEvent{TurnCame, GotCommit, GotCommit}, []ExecutionAction{SendReady, StartCall}},
-		{"commit before the turn", false, []ExecutionEvent{GotCommit, TurnCame}, []ExecutionAction{SendReady}},
-		{"commit after it was withdrawn", false, []ExecutionEvent{TurnCame, GotCancel, GotCommit}, []ExecutionAction{SendReady, GiveBackTurn, SendRefused}},
-		{"commit after the patience", false, []ExecutionEvent{TurnCame, CommitLate, GotCommit}, []ExecutionAction{SendReady, GiveBackTurn, SendRefused}},
+		{"commit before the request is admitted", false, []ExecutionEvent{GotCommit, TurnCame}, []ExecutionAction{SendReady}},
+		{"commit after the request was cancelled", false, []ExecutionEvent{TurnCame, GotCancel, GotCommit}, []ExecutionAction{SendReady, GiveBackTurn, SendRefused}},
+		{"commit after the timeout", false, []ExecutionEvent{TurnCame, CommitLate, GotCommit}, []ExecutionAction{SendReady, GiveBackTurn, SendRefused}},
 		{"commit after the stream broke", false, []ExecutionEvent{TurnCame, EntryLost, GotCommit}, []ExecutionAction{SendReady, GiveBackTurn}},
 		{"refused by the queue", false, []ExecutionEvent{QueueRefused, GotCommit, TurnCame}, []ExecutionAction{SendRefused, GiveBackTurn}},
-		{"withdrawn while it waits", false, []ExecutionEvent{GotCancel}, []ExecutionAction{LeaveQueue, SendRefused}},
-		{"stream broken while it waits", false, []ExecutionEvent{EntryLost}, []ExecutionAction{LeaveQueue}},
-		{"a committed call goes on without its entry", false, []ExecutionEvent{TurnCame, GotCommit, EntryLost, CallAnswered},
+		{"cancelled while waiting", false, []ExecutionEvent{GotCancel}, []ExecutionAction{LeaveQueue, SendRefused}},
+		{"stream broken while waiting", false, []ExecutionEvent{EntryLost}, []ExecutionAction{LeaveQueue}},
+		{"a committed call continues without its entry", false, []ExecutionEvent{TurnCame, GotCommit, EntryLost, CallAnswered},
 			[]ExecutionAction{SendReady, StartCall, GiveBackTurn, SendTrailer}},
-		{"a call that may be repeated stops with its entry", true, []ExecutionEvent{TurnCame, EntryLost, CallFailedUnclear},
+		{"a one-step call is cancelled when its entry is lost", true, []ExecutionEvent{TurnCame, EntryLost, CallFailedUnclear},
 			[]ExecutionAction{StartCall, StopCall, GiveBackTurn, SendFailedUnclear}},
 		{"the endpoint did not run it", false, []ExecutionEvent{TurnCame, GotCommit, CallFailedClean},
 			[]ExecutionAction{SendReady, StartCall, GiveBackTurn, SendFailedClean}},
--- a/internal/atmostonce/property_test.go
+++ b/internal/atmostonce/property_test.go
@@ -17,7 +17,7 @@
 	propertyRuns = 10000
 )
 
-// forAllSeeds runs check with fixed seeds.
+// forAllSeeds runs check with a fixed sequence of random seeds.
 func forAllSeeds(t *testing.T, check func(seed uint64) error) {
 	t.Helper()
 	parameters := gopter.DefaultTestParametersWithSeed(propertySeed)
@@ -30,100 +30,100 @@
 	properties.TestingRun(t)
 }
 
-// judge compares what the callers were told with what the endpoints ran.
-func (w *world) judge() error {
+// checkInvariants compares the outcomes reported to the callers with the runs at the endpoints.
+func (sim *simulation) checkInvariants() error {
 	runsOfKey := map[string]int{}
-	runsOf := map[string]int{}
-	for _, c := range w.clients {
-		for _, l := range c.links {
-			if l.runs > 1 {
-				return fmt.Errorf("one offer of request %s ran %d times", c.id, l.runs)
+	runsOfRequest := map[string]int{}
+	for _, c := range sim.clients {
+		for _, st := range c.streams {
+			if st.runs > 1 {
+				return fmt.Errorf("one offer of request %s ran %d times, want at most 1", c.id, st.runs)
 			}
-			runsOfKey[c.key] += l.runs
-			runsOf[c.id] += l.runs
+			runsOfKey[c.key] += st.runs
+			runsOfRequest[c.id] += st.runs
 		}
 	}
 	for key, runs := range runsOfKey {
 		if runs > 1 {
-			return fmt.Errorf("%s ran %d times", key, runs)
+			return fmt.Errorf("%s ran %d times, want at most 1", key, runs)
 		}
 	}
-	for _, c := range w.clients {
-		if err := w.released(c); err != nil {
+	for _, c := range sim.clients {
+		if err := sim.checkReleased(c); err != nil {
 			return err
 		}
 		switch {
-		case c.told == "not run" && runsOf[c.id] > 0:
-			return fmt.Errorf("request %s was told not run, and ran", c.id)
-		case c.told == "served" && runsOf[c.id] != 1:
-			return fmt.Errorf("request %s was told served, and ran %d times", c.id, runsOf[c.id])
-		case c.told == "answered" && runsOfKey[c.key] != 1:
-			return fmt.Errorf("request %s got a recorded answer, and %s ran %d times", c.id, c.key, runsOfKey[c.key])
+		case c.callerOutcome == "not run" && runsOfRequest[c.id] > 0:
+			return fmt.Errorf("request %s was reported as not run, but ran", c.id)
+		case c.callerOutcome == "served" && runsOfRequest[c.id] != 1:
+			return fmt.Errorf("request %s was reported as served, but ran %d times", c.id, runsOfRequest[c.id])
+		case c.callerOutcome == "answered" && runsOfKey[c.key] != 1:
+			return fmt.Errorf("request %s got a recorded response, but %s ran %d times", c.id, c.key, runsOfKey[c.key])
 		}
 	}
 	return nil
 }
 
-// released checks that a key that was freed is not held by the same owner later on, when a delayed write of its claim
-// takes effect: nobody would ever free it again.
-func (w *world) released(c *client) error {
-	if c.settling == nil || c.settling.state != ClaimFree || !c.settling.done {
+// checkReleased checks that a freed key is not held again by the same owner when a delayed write of its claim takes
+// effect, because nothing would free it again.
+func (sim *simulation) checkReleased(c *client) error {
+	if c.settleAttempt == nil || c.settleAttempt.state != ClaimFree || !c.settleAttempt.done {
 		return nil
 	}
 	var claim Claim
-	_ = json.Unmarshal(w.table.rows[c.key].Value, &claim)
+	_ = json.Unmarshal(sim.table.rows[c.key].Value, &claim)
 	if claim.Owner == c.id && claim.State != ClaimFree {
-		return fmt.Errorf("request %s freed its key and holds it again", c.id)
+		return fmt.Errorf("request %s freed its key but holds it again", c.id)
 	}
 	return nil
 }
 
-// A penalty notice is sent by several entries at once under one idempotency key. Answers of the table are lost, its
-// writes come late, streams break at any frame, entries and agents die at any step. Whatever the order, the notice goes
-// out at most once, and who was told "not run" can rely on it.
+// Several entries send the same request under one idempotency key. Table responses are lost, table writes are delayed,
+// streams break at any frame, and entries and agents crash at any step. The request must run at most once, and must not
+// have run if the caller was told so.
 func TestNothingRunsTwiceAndNotRunIsTrue(t *testing.T) {
-	told := map[string]int{}
+	outcomes := map[string]int{}
 	var lost, failed, breaks, crashes int
 	forAllSeeds(t, func(seed uint64) error {
-		w := newWorld(seed)
-		for range worldSteps {
-			w.step()
+		sim := newSimulation(seed)
+		for range simSteps {
+			sim.step()
 		}
-		w.finish()
-		for _, c := range w.clients {
-			told[c.told]++
+		sim.finish()
+		for _, c := range sim.clients {
+			outcomes[c.callerOutcome]++
 		}
-		lost, failed = lost+w.table.lost, failed+w.table.failed
-		breaks, crashes = breaks+w.breaks, crashes+w.crashes
-		if err := w.judge(); err != nil {
+		lost, failed = lost+sim.table.lost, failed+sim.table.failed
+		breaks, crashes = breaks+sim.breaks, crashes+sim.crashes
+		if err := sim.checkInvariants(); err != nil {
 			return err
 		}
-		if !porcupine.CheckOperations(claimsModel, w.history) {
-			return fmt.Errorf("the history of claims is not linearizable: %+v", w.history)
+		if !porcupine.CheckOperations(claimsModel, sim.history) {
+			return fmt.Errorf("the history of claims is not linearizable: %+v", sim.history)
 		}
 		return nil
 	})
-	t.Logf("%d seeds of %d steps: %d lost answers, %d failed calls, %d broken streams, %d dead processes; callers were told %v",
-		propertyRuns, worldSteps, lost, failed, breaks, crashes, told)
-	for _, word := range []string{"not run", "served", "unknown", "in progress", "answered"} {
-		if told[word] < propertyRuns/20 {
-			t.Errorf("only %d callers were told %q: the runs show too little", told[word], word)
+	t.Logf("%d seeds of %d steps: %d lost responses, %d failed calls, %d broken streams, %d crashed processes; outcomes reported to callers: %v",
+		propertyRuns, simSteps, lost, failed, breaks, crashes, outcomes)
+	for _, outcome := range []string{"not run", "served", "unknown", "in progress", "answered"} {
+		if outcomes[outcome] < propertyRuns/20 {
+			t.Errorf("only %d callers got the outcome %q: coverage is too low", outcomes[outcome], outcome)
 		}
 	}
 }
 
-// holder is the state of one key in the sequential model.
-type holder struct {
+// keyState is the state of one key in the sequential model.
+type keyState struct {
 	state ClaimState
 	owner string
 }
 
-// claimsModel is what claims look like to one who sees them one after the other.
+// claimsModel is the sequential specification of Claims for the linearizability check.
 var claimsModel = (&porcupine.NondeterministicModel{
 	Partition: partitionByKey,
-	Init:      func() []any { return []any{holder{state: ClaimFree}} },
+	Init:      func() []any { return []any{keyState{state: ClaimFree}} },
 	Step: func(state, input, output any) []any {
-		return stepModel(state.(holder), input.(operation), output.(result))
+		return stepModel(state.(keyState), input.(operation), output.(result))
 	},
 }).ToModel()
 
@@ -140,12 +140,12 @@
 	return parts
 }
 
-func stepModel(now holder, o operation, r result) []any {
-	after := holder{state: o.state, owner: o.owner}
+func stepModel(now keyState, o operation, r result) []any {
+	after := keyState{state: o.state, owner: o.owner}
 	if o.state != ClaimHeld {
 		return settleModel(now, after, r)
 	}
-	wants := map[ClaimOutcome]ClaimState{ClaimInProgress: ClaimHeld, ClaimAnswered: ClaimDone, ClaimLost: ClaimUnknown}
+	wants := map[ClaimOutcome]ClaimState{ClaimInProgress: ClaimHeld, ClaimAnswered: ClaimDone, ClaimOutcomeUnknown: ClaimUnknown}
 	switch {
 	case !r.definite && now.state == ClaimFree:
 		return []any{now, after}
@@ -160,8 +160,9 @@
 	}
 }
 
-// settleModel ends a claim that the owner holds; a release of a key that it does not hold changes nothing.
-func settleModel(now, after holder, r result) []any {
+// settleModel applies the settlement of a claim that the owner holds. Releasing a key that the owner does not hold
+// changes nothing.
+func settleModel(now, after keyState, r result) []any {
 	holds := now.state == ClaimHeld && now.owner == after.owner
 	switch {
 	case holds && !r.definite:
--- a/internal/atmostonce/sweep.go
+++ b/internal/atmostonce/sweep.go
@@ -15,20 +15,20 @@
 
 const (
 	claimsPrefix = "claims/"
-	// rowHashBytes is enough that two keys never share a row, whoever chooses them.
+	// rowHashBytes is long enough to rule out collisions, including deliberate ones.
 	rowHashBytes = 16
-	// maxReleases bounds the keys that wait to be freed; beyond it they stay held, which is safe.
+	// maxReleases bounds the queue of keys to free. Keys beyond it stay held, which is safe.
 	maxReleases = 1024
-	// sweepBatch bounds the rows that one transaction deletes, and sweepBatches the transactions of one sweep.
+	// sweepBatch bounds the rows deleted by one transaction, and sweepBatches the transactions of one sweep.
 	sweepBatch   = 64
 	sweepBatches = 4
-	// skewAllowance is added to the retention, because the age of a claim is told by another process's clock.
+	// skewAllowance is added to the retention because ClaimedAt comes from another process's clock.
 	skewAllowance = 5 * time.Minute
-	// releaseAttempts bounds how often the freeing of one key is tried; each lasts up to the patience.
+	// releaseAttempts bounds the attempts to free one key; each lasts at most Patience.
 	releaseAttempts = 20
 )
 
-// rowKey names the row of a request's key.
+// rowKey returns the key of the row that stores a request's claim.
 func rowKey(r ClaimRequest) string {
 	sum := sha256.Sum256([]byte(r.Caller + "\x00" + r.Key))
 	return servicePrefix(r.Service) + hex.EncodeToString(sum[:rowHashBytes])
@@ -38,23 +38,23 @@
 	return claimsPrefix + url.PathEscape(service) + "/"
 }
 
-// release is a key that its owner gave up without knowing whether it holds it.
+// release is a key to free that its owner gave up without knowing whether it holds the key.
 type release struct {
 	rowKey   string
 	claim    Claim
 	attempts int
 }
 
-// abandon hands a key to Run to be freed. When too many wait the key stays held; later callers then hear that its outcome
-// is unknown, although it did not run.
-func (c *Claims) abandon(r release) {
+// queueRelease queues a key for Run to free. If the queue is full the key stays held, and later callers get an unknown
+// outcome although the request did not run.
+func (c *Claims) queueRelease(r release) {
 	select {
 	case c.releases <- r:
 	default:
 	}
 }
 
-// Run frees abandoned keys and deletes claims older than the retention until ctx ends.
+// Run frees queued keys and deletes claims older than the retention until ctx ends.
 func (c *Claims) Run(ctx context.Context) error {
 	timer := time.NewTimer(c.options.SweepInterval)
 	defer timer.Stop()
@@ -72,40 +72,41 @@
 	}
 }
 
-// release frees one key, or puts it back to be tried again.
+// release tries to free one key and queues it again if that fails.
 func (c *Claims) release(ctx context.Context, r release) {
-	bounded, cancel := c.bounded(ctx, time.Time{})
+	attemptCtx, cancel := c.withTimeout(ctx, time.Time{})
 	defer cancel()
 	claim := r.claim
 	claim.State = ClaimFree
-	machine := newRelease(claim.Owner)
-	c.drive(bounded, machine, r.rowKey, claim, func() uint64 { return machine.condition })
+	machine := newReleaseAttempt(claim.Owner)
+	c.runMachine(attemptCtx, machine, r.rowKey, claim, func() uint64 { return machine.condition })
 	r.attempts++
 	if !machine.done && r.attempts < releaseAttempts {
-		c.abandon(r)
+		c.queueRelease(r)
 	}
 }
 
-// shards is the number of parts of a service's claims that are listed one at a time: a list of all of them would be too
-// long for one answer.
+// shards is the number of key ranges into which a service's claims are split. A sweep lists one of them, because a list
+// of all claims could exceed the size limit of a response.
 const shards = 256
 
-// sweep deletes some claims older than the retention from one shard of each service.
+// sweep deletes expired claims in one shard of each service, up to a limit.
 //
-// A claim that was not settled is deleted by the same rule: within the retention no key can be claimed again, whatever
-// became of its request. Rows that changed since the list was read make the transaction fail, and wait for the next sweep.
+// Claims without a final state are deleted by the same rule, because within the retention no key may be claimed again
+// whatever the outcome of its request. A row that changed since it was listed makes the transaction fail; its batch is
+// left for a later sweep.
 func (c *Claims) sweep(ctx context.Context, shard uint64) {
-	for _, service := range c.known() {
-		bounded, cancel := c.bounded(ctx, time.Time{})
+	for _, service := range c.serviceNames() {
+		serviceCtx, cancel := c.withTimeout(ctx, time.Time{})
 		prefix := servicePrefix(service) + hex.EncodeToString([]byte{byte(shard % shards)})
-		if listing, err := c.table.List(bounded, prefix, 0); err == nil {
-			c.deleteOld(bounded, listing.Rows)
+		if listing, err := c.table.List(serviceCtx, prefix, 0); err == nil {
+			c.deleteExpired(serviceCtx, listing.Rows)
 		}
 		cancel()
 	}
 }
 
-func (c *Claims) known() []string {
+func (c *Claims) serviceNames() []string {
 	c.mu.Lock()
 	services := maps.Clone(c.services)
 	c.mu.Unlock()
@@ -117,11 +118,11 @@
 	return slices.Sorted(maps.Keys(services))
 }
 
-func (c *Claims) deleteOld(ctx context.Context, rows []backing.Row) {
+func (c *Claims) deleteExpired(ctx context.Context, rows []backing.Row) {
 	now := time.Now()
-	old := slices.DeleteFunc(rows, func(r backing.Row) bool { return !c.isOld(now, r) })
+	expired := slices.DeleteFunc(rows, func(r backing.Row) bool { return !c.isExpired(now, r) })
 	batches := 0
-	for batch := range slices.Chunk(old, sweepBatch) {
+	for batch := range slices.Chunk(expired, sweepBatch) {
 		var txn backing.Txn
 		for _, r := range batch {
 			txn.Conditions = append(txn.Conditions, backing.Condition{Key: r.Key, Revision: r.Revision})
@@ -134,8 +135,8 @@
 	}
 }
 
-// isOld reports whether a row may be deleted. A row that cannot be read stays.
-func (c *Claims) isOld(now time.Time, r backing.Row) bool {
+// isExpired reports whether a row may be deleted. A row that cannot be decoded is kept.
+func (c *Claims) isExpired(now time.Time, r backing.Row) bool {
 	var claim Claim
 	if err := json.Unmarshal(r.Value, &claim); err != nil {
 		return false
--- a/internal/atmostonce/world_test.go
+++ b/internal/atmostonce/world_test.go
@@ -20,308 +20,308 @@
 	endPhase
 )
 
-// client is one request with an idempotency key at one entry, from its claim to the settling of the claim.
+// client is one request with an idempotency key at one entry, from its claim until the claim is settled.
 type client struct {
-	id, key  string
-	phase    phase
-	claiming *claiming
-	settling *settling
-	call     tableCall
-	claim    Claim
-	revision uint64
-	attempts int
-	links    []*link
-	told     string
-	// operation is the index of the claim or settling under way in the history.
+	id, key       string
+	phase         phase
+	claimAttempt  *claimAttempt
+	settleAttempt *settleAttempt
+	call          tableCall
+	claim         Claim
+	revision      uint64
+	attempts      int
+	streams       []*stream
+	callerOutcome string
+	// operation is the index in the history of the claim or settlement in progress.
 	operation int
 }
 
-// world joins several entries, two agents and one table.
-type world struct {
+// simulation models several entries, two agents and one table.
+type simulation struct {
 	random  *rand.Rand
-	table   *lossyTable
+	table   *faultyTable
 	clients []*client
-	links   []*link
+	streams []*stream
 	now     int64
 	history []porcupine.Operation
-	// breaks and crashes count the broken streams and the processes that died.
+	// breaks and crashes count broken streams and crashed processes.
 	breaks, crashes int
 }
 
 const (
-	worldClients = 5
-	worldAgents  = 2
-	worldSteps   = 1000
-	maxOffers    = 3
+	simClients = 5
+	simAgents  = 2
+	simSteps   = 1000
+	maxOffers  = 3
 )
 
-func newWorld(seed uint64) *world {
+func newSimulation(seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, 0))
-	table := &lossyTable{random: random, faults: true, rows: map[string]backing.Row{}}
-	return &world{random: random, table: table}
+	table := &faultyTable{random: random, faults: true, rows: map[string]backing.Row{}}
+	return &simulation{random: random, table: table}
 }
 
-func (w *world) step() {
-	w.now++
-	switch kind := w.random.IntN(20); {
-	case kind == 0 && len(w.clients) < worldClients && w.random.IntN(6) == 0:
-		w.arrive()
-	case kind == 1 && len(w.table.delayed) > 0:
-		i := w.random.IntN(len(w.table.delayed))
-		w.table.delayed[i]()
-		w.table.delayed = slices.Delete(w.table.delayed, i, i+1)
-	case kind == 2 && w.random.IntN(16) == 0:
-		w.crashAgent(w.random.IntN(worldAgents))
-	case kind < 10 && len(w.clients) > 0:
-		w.stepClient(w.clients[w.random.IntN(len(w.clients))])
-	case len(w.links) > 0:
-		w.stepLink(w.links[w.random.IntN(len(w.links))])
+func (sim *simulation) step() {
+	sim.now++
+	switch kind := sim.random.IntN(20); {
+	case kind == 0 && len(sim.clients) < simClients && sim.random.IntN(6) == 0:
+		sim.addClient()
+	case kind == 1 && len(sim.table.delayed) > 0:
+		i := sim.random.IntN(len(sim.table.delayed))
+		sim.table.delayed[i]()
+		sim.table.delayed = slices.Delete(sim.table.delayed, i, i+1)
+	case kind == 2 && sim.random.IntN(16) == 0:
+		sim.crashAgent(sim.random.IntN(simAgents))
+	case kind < 10 && len(sim.clients) > 0:
+		sim.stepClient(sim.clients[sim.random.IntN(len(sim.clients))])
+	case len(sim.streams) > 0:
+		sim.stepStream(sim.streams[sim.random.IntN(len(sim.streams))])
 	}
 }
 
-func (w *world) arrive() {
-	c := &client{id: fmt.Sprint(len(w.clients)), key: fmt.Sprint("key", w.random.IntN(2))}
+func (sim *simulation) addClient() {
+	c := &client{id: fmt.Sprint(len(sim.clients)), key: fmt.Sprint("key", sim.random.IntN(2))}
 	c.claim = Claim{State: ClaimHeld, Owner: c.id, Fingerprint: 7}
-	c.claiming = newClaiming(c.id, 7)
-	c.call = c.claiming.start()
-	c.operation = w.begin(operation{key: c.key, owner: c.id, state: ClaimHeld})
-	w.clients = append(w.clients, c)
+	c.claimAttempt = newClaimAttempt(c.id, 7)
+	c.call = c.claimAttempt.start()
+	c.operation = sim.begin(operation{key: c.key, owner: c.id, state: ClaimHeld})
+	sim.clients = append(sim.clients, c)
 }
 
-func (w *world) stepClient(c *client) {
-	if w.table.faults && w.random.IntN(150) == 0 {
-		w.crashEntry(c)
+func (sim *simulation) stepClient(c *client) {
+	if sim.table.faults && sim.random.IntN(150) == 0 {
+		sim.crashEntry(c)
 		return
 	}
 	switch c.phase {
 	case claimingPhase:
-		w.stepClaiming(c)
+		sim.stepClaiming(c)
 	case exchangePhase:
-		w.stepExchange(c)
+		sim.stepExchange(c)
 	case settlingPhase:
-		w.stepSettling(c)
+		sim.stepSettling(c)
 	}
 }
 
-// callTable makes the call that a machine wants, or ends its time.
-func (w *world) callTable(c *client, condition uint64) tableInput {
-	if w.table.faults && w.random.IntN(12) == 0 {
-		return tableInput{event: timeUp}
+// callTable performs the table call that a state machine requests, or ends its time limit.
+func (sim *simulation) callTable(c *client, condition uint64) tableResult {
+	if sim.table.faults && sim.random.IntN(12) == 0 {
+		return tableResult{event: timedOut}
 	}
-	if c.call == callRead || c.call == callPauseRead {
-		return w.table.read(c.key)
+	if c.call == callRead || c.call == callBackoffRead {
+		return sim.table.read(c.key)
 	}
-	return w.table.write(c.key, condition, c.claim)
+	return sim.table.write(c.key, condition, c.claim)
 }
 
-func (w *world) stepClaiming(c *client) {
-	c.call = c.claiming.step(w.callTable(c, c.claiming.condition))
+func (sim *simulation) stepClaiming(c *client) {
+	c.call = c.claimAttempt.step(sim.callTable(c, c.claimAttempt.condition))
 	if c.call != callEnd {
 		return
 	}
-	w.end(c.operation, c.claiming.outcome, c.claiming.outcome != 0 || !c.claiming.abandoned())
+	sim.end(c.operation, c.claimAttempt.outcome, c.claimAttempt.outcome != 0 || !c.claimAttempt.mayHold())
 	switch {
-	case c.claiming.outcome == ClaimGranted:
-		c.revision = c.claiming.held.Revision
+	case c.claimAttempt.outcome == ClaimGranted:
+		c.revision = c.claimAttempt.row.Revision
 		c.phase = exchangePhase
-	case c.claiming.outcome != 0:
-		c.told = map[ClaimOutcome]string{ClaimAnswered: "answered", ClaimInProgress: "in progress", ClaimLost: "unknown"}[c.claiming.outcome]
+	case c.claimAttempt.outcome != 0:
+		c.callerOutcome = map[ClaimOutcome]string{ClaimAnswered: "answered", ClaimInProgress: "in progress", ClaimOutcomeUnknown: "unknown"}[c.claimAttempt.outcome]
 		c.phase = endPhase
-	case c.claiming.abandoned():
-		c.told = "not run"
-		w.settle(c, newRelease(c.id), ClaimFree)
+	case c.claimAttempt.mayHold():
+		c.callerOutcome = "not run"
+		sim.settle(c, newReleaseAttempt(c.id), ClaimFree)
 	default:
-		c.told = "not run"
+		c.callerOutcome = "not run"
 		c.phase = endPhase
 	}
 }
 
-// stepExchange makes the next offer, gives up, or breaks the stream.
-func (w *world) stepExchange(c *client) {
-	if len(c.links) == 0 || !c.links[len(c.links)-1].exchange.Open() {
-		l := &link{agent: w.random.IntN(worldAgents), exchange: NewExchange(true), execution: NewExecution(true)}
-		c.links = append(c.links, l)
-		w.links = append(w.links, l)
+// stepExchange sends the next offer, gives up, or breaks the stream.
+func (sim *simulation) stepExchange(c *client) {
+	if len(c.streams) == 0 || !c.streams[len(c.streams)-1].exchange.Open() {
+		st := &stream{agent: sim.random.IntN(simAgents), exchange: NewExchange(true), execution: NewExecution(true)}
+		c.streams = append(c.streams, st)
+		sim.streams = append(sim.streams, st)
 		c.attempts++
 		return
 	}
-	l := c.links[len(c.links)-1]
-	switch w.random.IntN(80) {
+	st := c.streams[len(c.streams)-1]
+	switch sim.random.IntN(80) {
 	case 0:
-		w.atEntry(c, l, GaveUp)
+		sim.deliverToEntry(c, st, GaveUp)
 	case 1:
-		w.breakLink(l)
+		sim.breakStream(st)
 	}
 }
 
-func (w *world) breakLink(l *link) {
-	w.breaks++
-	l.cut = true
-	l.down = l.down[:w.random.IntN(len(l.down)+1)]
-	l.up = l.up[:w.random.IntN(len(l.up)+1)]
+func (sim *simulation) breakStream(st *stream) {
+	sim.breaks++
+	st.broken = true
+	st.down = st.down[:sim.random.IntN(len(st.down)+1)]
+	st.up = st.up[:sim.random.IntN(len(st.up)+1)]
 }
 
-// atEntry gives an event to the exchange and acts on its end.
-func (w *world) atEntry(c *client, l *link, e ExchangeEvent) {
-	actions := l.exchange.Step(e)
-	l.toAgent(actions)
+// deliverToEntry passes an event to the exchange and acts on the returned actions.
+func (sim *simulation) deliverToEntry(c *client, st *stream, e ExchangeEvent) {
+	actions := st.exchange.Step(e)
+	st.sendToAgent(actions)
 	for _, a := range actions {
 		switch a {
 		case EndNotRun:
 			if c.attempts >= maxOffers {
-				c.told = "not run"
-				w.settle(c, newSettling(c.id, ClaimFree, c.revision), ClaimFree)
+				c.callerOutcome = "not run"
+				sim.settle(c, newSettleAttempt(c.id, ClaimFree, c.revision), ClaimFree)
 			}
 		case EndServed:
-			c.told = "served"
-			w.settle(c, newSettling(c.id, ClaimDone, c.revision), ClaimDone)
+			c.callerOutcome = "served"
+			sim.settle(c, newSettleAttempt(c.id, ClaimDone, c.revision), ClaimDone)
 		case EndUnknown, EndCut:
-			c.told = "unknown"
-			if !l.exchange.Open() {
-				w.settle(c, newSettling(c.id, ClaimUnknown, c.revision), ClaimUnknown)
+			c.callerOutcome = "unknown"
+			if !st.exchange.Open() {
+				sim.settle(c, newSettleAttempt(c.id, ClaimUnknown, c.revision), ClaimUnknown)
 			}
 		case SettleServed:
-			w.settle(c, newSettling(c.id, ClaimDone, c.revision), ClaimDone)
+			sim.settle(c, newSettleAttempt(c.id, ClaimDone, c.revision), ClaimDone)
 		case SettleNotRun:
-			w.settle(c, newSettling(c.id, ClaimFree, c.revision), ClaimFree)
+			sim.settle(c, newSettleAttempt(c.id, ClaimFree, c.revision), ClaimFree)
 		case SettleUnknown:
-			w.settle(c, newSettling(c.id, ClaimUnknown, c.revision), ClaimUnknown)
+			sim.settle(c, newSettleAttempt(c.id, ClaimUnknown, c.revision), ClaimUnknown)
 		}
 	}
 }
 
-func (w *world) settle(c *client, s *settling, state ClaimState) {
-	c.phase, c.settling, c.call = settlingPhase, s, s.start()
+func (sim *simulation) settle(c *client, s *settleAttempt, state ClaimState) {
+	c.phase, c.settleAttempt, c.call = settlingPhase, s, s.start()
 	c.claim.State = state
-	c.operation = w.begin(operation{key: c.key, owner: c.id, state: state})
+	c.operation = sim.begin(operation{key: c.key, owner: c.id, state: state})
 }
 
-func (w *world) stepSettling(c *client) {
-	c.call = c.settling.step(w.callTable(c, c.settling.condition))
+func (sim *simulation) stepSettling(c *client) {
+	c.call = c.settleAttempt.step(sim.callTable(c, c.settleAttempt.condition))
 	if c.call == callEnd {
-		w.end(c.operation, 0, c.settling.done)
+		sim.end(c.operation, 0, c.settleAttempt.done)
 		c.phase = endPhase
 	}
 }
 
-func (w *world) crashEntry(c *client) {
-	w.crashes++
+func (sim *simulation) crashEntry(c *client) {
+	sim.crashes++
 	c.phase = endPhase
-	for _, l := range c.links {
-		w.breakLink(l)
-		l.up = nil
-		l.exchange = NewExchange(true)
-		l.exchange.Step(StreamBroke)
+	for _, st := range c.streams {
+		sim.breakStream(st)
+		st.up = nil
+		st.exchange = NewExchange(true)
+		st.exchange.Step(StreamBroke)
 	}
 }
 
-func (w *world) crashAgent(agent int) {
-	w.crashes++
-	for _, l := range w.links {
-		if l.agent == agent {
-			w.breakLink(l)
-			l.agentGone = true
-			l.execution = NewExecution(true)
-			l.execution.Step(EntryLost)
+func (sim *simulation) crashAgent(agent int) {
+	sim.crashes++
+	for _, st := range sim.streams {
+		if st.agent == agent {
+			sim.breakStream(st)
+			st.agentCrashed = true
+			st.execution = NewExecution(true)
+			st.execution.Step(EntryLost)
 		}
 	}
 }
 
-func (w *world) stepLink(l *link) {
-	switch w.random.IntN(10) {
+func (sim *simulation) stepStream(st *stream) {
+	switch sim.random.IntN(10) {
 	case 0, 1, 2:
-		w.deliverDown(l)
+		sim.deliverDown(st)
 	case 3, 4, 5:
-		w.deliverUp(l)
+		sim.deliverUp(st)
 	case 6:
-		l.atAgent([]ExecutionEvent{TurnCame, TurnCame, TurnCame, QueueRefused, CommitLate}[w.random.IntN(5)])
+		st.deliverToAgent([]ExecutionEvent{TurnCame, TurnCame, TurnCame, QueueRefused, CommitLate}[sim.random.IntN(5)])
 	default:
-		w.stepCall(l)
+		sim.stepCall(st)
 	}
 }
 
-func (w *world) deliverDown(l *link) {
-	if len(l.down) == 0 {
-		if l.cut {
-			l.atAgent(EntryLost)
+func (sim *simulation) deliverDown(st *stream) {
+	if len(st.down) == 0 {
+		if st.broken {
+			st.deliverToAgent(EntryLost)
 		}
 		return
 	}
-	e := l.down[0]
-	l.down = l.down[1:]
-	l.atAgent(e)
-	if w.random.IntN(4) == 0 {
-		// A frame that comes twice must change nothing.
-		l.atAgent(e)
+	e := st.down[0]
+	st.down = st.down[1:]
+	st.deliverToAgent(e)
+	if sim.random.IntN(4) == 0 {
+		// A duplicate frame must change nothing.
+		st.deliverToAgent(e)
 	}
 }
 
-func (w *world) deliverUp(l *link) {
-	i := slices.IndexFunc(w.clients, func(c *client) bool { return slices.Contains(c.links, l) })
-	if len(l.up) == 0 {
-		if l.cut {
-			w.atEntry(w.clients[i], l, StreamBroke)
+func (sim *simulation) deliverUp(st *stream) {
+	i := slices.IndexFunc(sim.clients, func(c *client) bool { return slices.Contains(c.streams, st) })
+	if len(st.up) == 0 {
+		if st.broken {
+			sim.deliverToEntry(sim.clients[i], st, StreamBroke)
 		}
 		return
 	}
-	e := l.up[0]
-	l.up = l.up[1:]
-	w.atEntry(w.clients[i], l, e)
+	e := st.up[0]
+	st.up = st.up[1:]
+	sim.deliverToEntry(sim.clients[i], st, e)
 }
 
-// stepCall lets the endpoint run the request, or the call end with or without it having run.
-func (w *world) stepCall(l *link) {
-	if l.calls == 0 {
+// stepCall makes the endpoint run the request, or ends the call with or without having run it.
+func (sim *simulation) stepCall(st *stream) {
+	if st.calls == 0 {
 		return
 	}
-	switch w.random.IntN(4) {
+	switch sim.random.IntN(4) {
 	case 0:
-		l.runs++
-		l.calls--
-		l.atAgent(CallAnswered)
+		st.runs++
+		st.calls--
+		st.deliverToAgent(CallAnswered)
 	case 1:
-		l.runs++
-		l.calls--
-		l.atAgent(CallFailedUnclear)
+		st.runs++
+		st.calls--
+		st.deliverToAgent(CallFailedUnclear)
 	case 2:
-		l.calls--
-		l.atAgent(CallFailedClean)
+		st.calls--
+		st.deliverToAgent(CallFailedClean)
 	default:
-		// The endpoint runs the request after its agent gave up on the call.
-		l.atAgent(CallFailedUnclear)
+		// The endpoint may run the request after its agent gave up on the call.
+		st.deliverToAgent(CallFailedUnclear)
 	}
 }
 
-// finish lets everything that may still take effect do so.
-func (w *world) finish() {
-	for _, write := range w.table.delayed {
+// finish completes all delayed writes and endpoint calls.
+func (sim *simulation) finish() {
+	for _, write := range sim.table.delayed {
 		write()
 	}
-	for _, l := range w.links {
-		l.runs += l.calls
+	for _, st := range sim.streams {
+		st.runs += st.calls
 	}
 }
 
-// operation is an input of the history: the claim of a key, or the end of a claim.
+// operation is an input of the history: the claim or the settlement of a key.
 type operation struct {
 	key, owner string
 	state      ClaimState
 }
 
-// result is its output; when it is not definite the operation may take effect at any later time.
+// result is the output of an operation. If it is not definite, the operation may take effect at any later time.
 type result struct {
 	outcome  ClaimOutcome
 	definite bool
 }
 
-func (w *world) begin(o operation) int {
-	w.history = append(w.history, porcupine.Operation{Input: o, Call: w.now, Output: result{}, Return: math.MaxInt64})
-	return len(w.history) - 1
+func (sim *simulation) begin(o operation) int {
+	sim.history = append(sim.history, porcupine.Operation{Input: o, Call: sim.now, Output: result{}, Return: math.MaxInt64})
+	return len(sim.history) - 1
 }
 
-func (w *world) end(i int, outcome ClaimOutcome, definite bool) {
+func (sim *simulation) end(i int, outcome ClaimOutcome, definite bool) {
 	if definite {
-		w.history[i].Output = result{outcome: outcome, definite: true}
-		w.history[i].Return = w.now
+		sim.history[i].Output = result{outcome: outcome, definite: true}
+		sim.history[i].Return = sim.now
 	}
 }
