--- a/internal/membership/link.go
+++ b/internal/membership/link.go
@@ -11,19 +11,19 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// maxPendingBatches bounds the batches that wait for a slow agent; beyond it the connection is ended and starts over
-// with the whole state.
+// maxPendingBatches bounds the batches queued for a slow agent. At the limit the connection is closed, and the next one
+// starts with the full state.
 const maxPendingBatches = 256
 
-// link keeps the connection to one agent.
+// link maintains the connection to one agent.
 type link struct {
 	manager *Manager
-	// name is the endpoint's, host and address those of the host that the agent runs on.
+	// name is the endpoint's name; host and address are the ID and the address of the agent's host.
 	name, host, address string
 	cancel              context.CancelFunc
 
-	// telling is held while the manager and its observer are told something; detached ends that.
-	telling  sync.Mutex
+	// notifyMu serializes notifications to the manager and its observer; once detached is set, there are no more.
+	notifyMu sync.Mutex
 	detached bool
 
 	mu      sync.Mutex
@@ -38,10 +38,10 @@
 
 func (l *link) stop() { l.cancel() }
 
-// tell calls f unless the link speaks for its endpoint no more.
-func (l *link) tell(f func()) bool {
-	l.telling.Lock()
-	defer l.telling.Unlock()
+// notify calls f unless the link is detached, and reports whether it did.
+func (l *link) notify(f func()) bool {
+	l.notifyMu.Lock()
+	defer l.notifyMu.Unlock()
 	if l.detached {
 		return false
 	}
@@ -49,24 +49,24 @@
 	return true
 }
 
-// detach ends the link's say on its endpoint: when it returns, nothing that the link's agent has sent or sends is told any
-// more. What runs on the connection goes on, and no new connection is made.
+// detach stops all notifications from the link: after it returns, nothing received from the link's agent is processed.
+// An open connection continues, but the link does not reconnect.
 func (l *link) detach() {
-	l.telling.Lock()
-	defer l.telling.Unlock()
+	l.notifyMu.Lock()
+	defer l.notifyMu.Unlock()
 	l.detached = true
 }
 
-func (l *link) isDetached() bool { return !l.tell(func() {}) }
+func (l *link) isDetached() bool { return !l.notify(func() {}) }
 
-// isConnected reports whether there is a session.
+// isConnected reports whether the link has a session.
 func (l *link) isConnected() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.session != nil
 }
 
-// open opens a stream on the present session.
+// open opens a stream on the current session.
 func (l *link) open(kind wirepb.StreamKind, limit int64) (*wire.Stream, error) {
 	l.mu.Lock()
 	session := l.session
@@ -82,7 +82,7 @@
 	return session.Open(header, limit)
 }
 
-// send queues a batch.
+// send queues a batch. It drops the batch if there is no session.
 func (l *link) send(down *wirepb.ControlDown) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +100,7 @@
 	}
 }
 
-// run dials and serves until ctx ends or, once the link is detached, its connection does.
+// run connects and reconnects until ctx ends or, if the link is detached, until the current connection ends.
 func (l *link) run(ctx context.Context) {
 	timer := l.manager.clock.NewTimer(0)
 	defer timer.Stop()
@@ -124,7 +124,7 @@
 	session, err := wire.Dial(ctx, l.address, m.options.Wire, m.logger)
 	if err != nil {
 		m.metrics.dialFailures.Inc()
-		m.logger.Debug("agent not reached", "endpoint", l.name, "error", err)
+		m.logger.Debug("failed to connect to the agent", "endpoint", l.name, "error", err)
 		return
 	}
 	defer func() { _ = session.Close() }()
@@ -139,15 +139,15 @@
 	m.metrics.connected.Inc()
 	defer m.metrics.connected.Dec()
 	m.recorder.Record(timeline.Event{Kind: timeline.PeerConnected, Endpoint: l.name})
-	l.tell(func() { m.told(func(o Observer) { o.Connected(l.name) }) })
+	l.notify(func() { m.notifyObserver(func(o Observer) { o.Connected(l.name) }) })
 	var writer sync.WaitGroup
 	writer.Go(func() { l.writeBatches(ctx, session, control) })
 	err = l.readBatches(control)
 	_ = session.Close()
 	writer.Wait()
-	m.logger.Info("agent lost", "endpoint", l.name, "error", err)
+	m.logger.Info("connection to the agent ended", "endpoint", l.name, "error", err)
 	m.recorder.Record(timeline.Event{Kind: timeline.PeerLost, Endpoint: l.name, Detail: err.Error()})
-	l.tell(func() { m.lost(l.name) })
+	l.notify(func() { m.handleLost(l.name) })
 }
 
 func (l *link) setSession(s *wire.Session) {
@@ -157,9 +157,9 @@
 	l.pending = nil
 }
 
-// readBatches takes the agent's batches until the stream ends. An agent heartbeats, so silence beyond the limit means a
-// frozen agent or a half-open link; yamux's own probes are answered by a frozen process's kernel buffers only until they
-// fill, not by the process, so both bounds hold.
+// readBatches receives the agent's batches until the stream ends. Agents send heartbeats, so silence beyond
+// SilenceLimit means a frozen agent or a half-open connection. The yamux keepalive detects this as well: the kernel of
+// a frozen process accepts pings until its buffers are full, but only the process answers them.
 func (l *link) readBatches(control *wire.Stream) error {
 	m := l.manager
 	for {
@@ -170,11 +170,11 @@
 		}
 		m.recorder.Clock().Observe(up.Clock)
 		m.metrics.batchesReceived.Inc()
-		l.tell(func() { m.reported(l.name, up) })
+		l.notify(func() { m.handleReport(l.name, up) })
 	}
 }
 
-// writeBatches sends queued batches, gathered for a moment, and heartbeats.
+// writeBatches sends heartbeats and the queued batches; batches queued within BatchDelay are merged.
 func (l *link) writeBatches(ctx context.Context, session *wire.Session, control *wire.Stream) {
 	m := l.manager
 	heartbeat := time.NewTicker(m.options.HeartbeatInterval)
@@ -191,7 +191,7 @@
 			clock.Pause(ctx, m.options.BatchDelay)
 		}
 		sequence++
-		batch := l.take()
+		batch := l.drainPending()
 		batch.Sequence = sequence
 		batch.Clock = m.recorder.Clock().Now()
 		if err := control.Write(batch); err != nil {
@@ -202,8 +202,8 @@
 	}
 }
 
-// take merges the queued batches into one.
-func (l *link) take() *wirepb.ControlDown {
+// drainPending removes the queued batches and merges them into one.
+func (l *link) drainPending() *wirepb.ControlDown {
 	l.mu.Lock()
 	pending := l.pending
 	l.pending = nil
@@ -215,10 +215,10 @@
 	return merged
 }
 
-// mergeDown adds a later batch to an earlier one.
+// mergeDown merges a later batch into an earlier one.
 //
-// Batches are queued by several goroutines, so that a snapshot may stand behind deltas that lead further: dropped with it,
-// they would not come again, and the agent would stay at the older revision until the next edit.
+// Several goroutines queue batches, so a snapshot may be queued after deltas with higher revisions. These deltas must
+// be kept: they are not sent again, and without them the agent would stay at the older revision until the next edit.
 func mergeDown(into, d *wirepb.ControlDown) {
 	if d.Snapshot.GetRevision() > into.Snapshot.GetRevision() {
 		into.Snapshot = d.Snapshot
--- a/internal/membership/manager.go
+++ b/internal/membership/manager.go
@@ -19,39 +19,41 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// ErrNotConnected says that there is no working connection to an endpoint's agent.
+// ErrNotConnected means that there is no working connection to the endpoint's agent.
 var ErrNotConnected = errors.New("membership: not connected")
 
-// Observer is told of what comes from agents. Calls come from several goroutines and must not block.
+// Observer receives the events of agent connections and of the host list. Its methods are called from several
+// goroutines and must not block.
 type Observer interface {
-	// Connected is called when an agent's control stream is up, before its first report.
+	// Connected is called when an agent's control stream is open, before its first report.
 	Connected(endpoint string)
-	// Reported is called with each batch, after the status in it was merged.
+	// Reported is called for each batch, after the status in it was merged.
 	Reported(endpoint string, up *wirepb.ControlUp)
-	// Lost is called when the control stream has ended.
+	// Lost is called when the control stream has ended, or when the link was detached because the endpoint's host is
+	// gone, replaced or listed at another address.
 	Lost(endpoint string)
-	// Changed is called when the set of hosts or their states changed.
+	// Changed is called when the set of hosts or their states have changed.
 	Changed()
 }
 
-// Options are the settings of a Manager.
+// Options configures a Manager.
 type Options struct {
-	// EntryID names this entry; Incarnation rises with each start of it.
+	// EntryID identifies this entry; Incarnation increases with each of its starts.
 	EntryID     string
 	Incarnation uint64
-	// ListInterval is the time between reads of the host list.
+	// ListInterval is the interval between reads of the host list.
 	ListInterval time.Duration
-	// RedialDelay is the time between tries to reach an agent; it is jittered.
+	// RedialDelay is the delay between attempts to connect to an agent; it is jittered.
 	RedialDelay time.Duration
-	// HeartbeatInterval is the longest time between batches on a control stream, and SilenceLimit the silence after which
-	// the peer counts as lost.
+	// HeartbeatInterval is the longest time between batches on a control stream, and SilenceLimit the time without a
+	// batch after which the peer is considered lost.
 	HeartbeatInterval, SilenceLimit time.Duration
-	// BatchDelay is how long changes are gathered before a batch is sent.
+	// BatchDelay is how long changes are collected before a batch is sent.
 	BatchDelay time.Duration
 	Wire       wire.Options
 }
 
-// DefaultOptions returns the settings that suit a site of some tens of hosts.
+// DefaultOptions returns options for a site of some tens of hosts.
 func DefaultOptions() Options {
 	return Options{
 		ListInterval:      time.Second,
@@ -63,7 +65,7 @@
 	}
 }
 
-// Manager is the shell around View.
+// Manager reads the host list, maintains the connections to the agents and updates a View from both.
 type Manager struct {
 	options  Options
 	hosts    backing.HostList
@@ -72,8 +74,8 @@
 	recorder *timeline.Recorder
 	metrics  *metrics
 
-	// endpoints is a copy of the view's endpoints for readers, nil when the view has changed since it was made. It is made
-	// when it is asked for: a copy with each report would take time in proportion to the square of the agents.
+	// endpoints caches a copy of the view's endpoints for readers. It is nil after a change of the view until a reader
+	// asks for it: copying with each report would take time quadratic in the number of agents.
 	endpoints atomic.Pointer[map[string]*Endpoint]
 	entries   atomic.Pointer[[]Entry]
 	listed    chan struct{}
@@ -81,7 +83,7 @@
 	mu    sync.Mutex
 	view  *View
 	links map[string]*link
-	// retired are links to hosts that another one has replaced while requests may still run there.
+	// retired are links to replaced hosts on which requests may still run.
 	retired  map[*link]bool
 	observer Observer
 	listOnce sync.Once
@@ -108,11 +110,11 @@
 // Observe sets the observer; it must be called before Run.
 func (m *Manager) Observe(o Observer) { m.observer = o }
 
-// Endpoints returns the endpoints by name. The map and its values must not be changed. After a change of any endpoint it
-// takes time in proportion to all of them; Endpoint serves for one.
+// Endpoints returns the endpoints by name. The map and its values must not be changed. The first call after a change
+// copies the map of all endpoints; use Endpoint to look up a single one.
 func (m *Manager) Endpoints() map[string]*Endpoint {
-	if held := m.endpoints.Load(); held != nil {
-		return *held
+	if cached := m.endpoints.Load(); cached != nil {
+		return *cached
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,7 +141,7 @@
 	return m.view.Hosts()
 }
 
-// Listed is closed once the host list was read.
+// Listed returns a channel that is closed once the host list has been read.
 func (m *Manager) Listed() <-chan struct{} { return m.listed }
 
 // Open opens a request stream to an endpoint's agent.
@@ -153,8 +155,8 @@
 	return l.open(wirepb.StreamKind_REQUEST, wire.MaxFrameBytes)
 }
 
-// Send queues a batch for an agent; batches to an agent that is not connected are dropped, because a new connection
-// starts with the whole state.
+// Send queues a batch for an agent. Batches to an agent that is not connected are dropped, because a new connection
+// starts with the full state.
 func (m *Manager) Send(endpoint string, down *wirepb.ControlDown) {
 	m.mu.Lock()
 	l := m.links[endpoint]
@@ -164,7 +166,7 @@
 	}
 }
 
-// Run reads the host list and keeps the connections until ctx ends.
+// Run reads the host list and maintains the connections until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	var links sync.WaitGroup
 	defer links.Wait()
@@ -181,74 +183,74 @@
 	}
 }
 
-// readHosts reads the list once and starts and stops links accordingly. A failed read changes nothing: in an outage the
-// last list stays in force.
+// readHosts reads the list once and starts and stops links accordingly. After a failed read the last list stays in
+// effect.
 func (m *Manager) readHosts(ctx context.Context, links *sync.WaitGroup) {
 	hosts, version, err := m.hosts.Hosts(ctx)
 	if err != nil {
 		m.metrics.listFailures.Inc()
-		m.logger.Debug("host list not read", "error", err)
+		m.logger.Debug("failed to read the host list", "error", err)
 		return
 	}
-	m.endOutdated(hosts, version)
+	m.detachStale(hosts, version)
 	m.mu.Lock()
-	taken := m.view.HostsRead(hosts, version)
-	if taken {
+	changed := m.view.HostsRead(hosts, version)
+	if changed {
 		m.publish()
 		m.startLinks(ctx, links)
 	}
 	m.mu.Unlock()
 	m.listOnce.Do(func() { close(m.listed) })
-	if taken {
-		m.told(Observer.Changed)
+	if changed {
+		m.notifyObserver(Observer.Changed)
 	}
 }
 
-// endOutdated ends the links whose host a new list shows as gone or replaced, before the list is taken.
+// detachStale detaches the links whose host is gone, replaced or listed at another address in a new list, before the
+// list is applied.
 //
-// A report that was on its way would otherwise be merged into what is known of the replacement, which would count as
-// connected by the word of another host's agent, and what that agent has released would be taken for released by the
-// replacement.
-func (m *Manager) endOutdated(hosts []backing.Host, version uint64) {
-	for l, runs := range m.outdated(hosts, version) {
+// Otherwise a late report of the old host's agent would be merged into the status of the replacement: the replacement
+// would be considered connected, and slots released by the old agent would be considered released by the replacement.
+func (m *Manager) detachStale(hosts []backing.Host, version uint64) {
+	for l, hostRunning := range m.staleLinks(hosts, version) {
 		l.detach()
-		m.lost(l.name)
-		if !runs || !l.isConnected() {
+		m.handleLost(l.name)
+		if !hostRunning || !l.isConnected() {
 			l.stop()
 		}
 	}
 }
 
-// outdated returns the links that a list ends, and whether their host still runs: a leaving host that was replaced early
-// finishes its requests, so that its connection must be kept for them.
-func (m *Manager) outdated(hosts []backing.Host, version uint64) map[*link]bool {
+// staleLinks returns the links whose host is gone, replaced or listed at another address, and whether that host still
+// runs. A leaving host that was replaced early finishes its requests, so its connection is kept for them.
+func (m *Manager) staleLinks(hosts []backing.Host, version uint64) map[*link]bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	next := m.view.clone()
 	if !next.HostsRead(hosts, version) {
 		return nil
 	}
-	ended := map[*link]bool{}
+	stale := map[*link]bool{}
 	for name, l := range m.links {
 		e, _ := next.Endpoint(name)
 		if !e.Gone && e.HostID == l.host && e.Address == l.address {
 			continue
 		}
 		delete(m.links, name)
-		ended[l] = next.runs(l.host)
-		if ended[l] {
+		stale[l] = next.isRunning(l.host)
+		if stale[l] {
 			m.retired[l] = true
 		}
 	}
 	for l := range m.retired {
-		if !next.runs(l.host) {
+		if !next.isRunning(l.host) {
 			l.stop()
 		}
 	}
-	return ended
+	return stale
 }
 
-// startLinks starts a link to each listed endpoint that has none.
+// startLinks starts a link to each listed endpoint that has none. The caller holds mu.
 func (m *Manager) startLinks(ctx context.Context, links *sync.WaitGroup) {
 	for name, e := range m.view.Endpoints() {
 		if m.links[name] == nil && !e.Gone {
@@ -270,22 +272,22 @@
 	})
 }
 
-// told calls the observer if there is one.
-func (m *Manager) told(f func(Observer)) {
+// notifyObserver calls the observer if there is one.
+func (m *Manager) notifyObserver(f func(Observer)) {
 	if m.observer != nil {
 		f(m.observer)
 	}
 }
 
-// publish makes the view's present state visible to readers. The caller holds mu.
+// publish makes the view's current state visible to readers. The caller holds mu.
 func (m *Manager) publish() {
 	entries := m.view.Entries()
 	m.endpoints.Store(nil)
 	m.entries.Store(&entries)
 }
 
-// reported merges a batch and tells the observer.
-func (m *Manager) reported(name string, up *wirepb.ControlUp) {
+// handleReport merges the status of a batch and notifies the observer.
+func (m *Manager) handleReport(name string, up *wirepb.ControlUp) {
 	if up.Status != nil {
 		m.mu.Lock()
 		if m.view.Reported(m.clock.Now(), name, up.Status) {
@@ -293,19 +295,21 @@
 		}
 		m.mu.Unlock()
 	}
-	m.told(func(o Observer) { o.Reported(name, up) })
+	m.notifyObserver(func(o Observer) { o.Reported(name, up) })
 }
 
-// lost notes that an agent's connection has ended, or speaks for the endpoint no more, and tells the observer.
-func (m *Manager) lost(name string) {
+// handleLost records that the connection to an agent has ended or that its link was detached, and notifies the
+// observer.
+func (m *Manager) handleLost(name string) {
 	m.mu.Lock()
 	m.view.Lost(name)
 	m.publish()
 	m.mu.Unlock()
-	m.told(func(o Observer) { o.Lost(name) })
+	m.notifyObserver(func(o Observer) { o.Lost(name) })
 }
 
-// jitter spreads d over 0.75 to 1.25 of itself, so that processes started together do not call together.
+// jitter returns a random duration between 0.75 and 1.25 times d, so that processes started together do not call at the
+// same time.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + rand.Float64()/2))
 }
--- a/internal/membership/manager_rig_test.go
+++ b/internal/membership/manager_rig_test.go
@@ -18,41 +18,41 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// patience bounds what a test waits for; it is far above what any of them needs.
-const patience = 20 * time.Second
+// waitTimeout bounds all waits of the tests; it is far longer than any of them needs.
+const waitTimeout = 20 * time.Second
 
-// within waits for a value.
-func within[T any](t *testing.T, c <-chan T, otherwise string) T {
+// receive receives a value from c, or fails the test after waitTimeout.
+func receive[T any](t *testing.T, c <-chan T, failure string) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
-		t.Fatal(otherwise)
+	case <-time.After(waitTimeout):
+		t.Fatal(failure)
 		panic("not reached")
 	}
 }
 
-// eventually polls until a condition holds.
-func eventually(t *testing.T, otherwise string, holds func() bool) {
+// eventually polls until holds returns true, or fails the test after waitTimeout.
+func eventually(t *testing.T, failure string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(otherwise)
+			t.Fatal(failure)
 		}
 	}
 }
 
-// scriptedAgent is an agent whose streams the test serves.
-type scriptedAgent struct {
+// fakeAgent is an agent whose streams are served by the test.
+type fakeAgent struct {
 	t                 *testing.T
 	address           string
 	control, requests chan *wire.Stream
 	stop              func()
 }
 
-// newAgent listens as an agent does, at an address or at any.
-func newAgent(t *testing.T, address string) *scriptedAgent {
+// newAgent starts an agent that listens at the given address, or at any free one if it is empty.
+func newAgent(t *testing.T, address string) *fakeAgent {
 	t.Helper()
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &scriptedAgent{t: t, address: listener.Addr().String(), control: make(chan *wire.Stream, 64), requests: make(chan *wire.Stream, 64)}
+	a := &fakeAgent{t: t, address: listener.Addr().String(), control: make(chan *wire.Stream, 64), requests: make(chan *wire.Stream, 64)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var serving sync.WaitGroup
 	serving.Go(func() {
@@ -84,22 +84,22 @@
 	return a
 }
 
-// connected returns the control stream of the next connection.
-func (a *scriptedAgent) connected() *wire.Stream {
+// acceptControl returns the control stream of the next connection.
+func (a *fakeAgent) acceptControl() *wire.Stream {
 	a.t.Helper()
-	return within(a.t, a.control, "the entry does not connect")
+	return receive(a.t, a.control, "the manager did not connect to the agent")
 }
 
-// report sends a status.
-func (a *scriptedAgent) report(s *wire.Stream, status *wirepb.Status) {
+// report sends a status on a control stream.
+func (a *fakeAgent) report(s *wire.Stream, status *wirepb.Status) {
 	a.t.Helper()
 	if err := s.Write(&wirepb.ControlUp{Status: status}); err != nil {
 		a.t.Fatal(err)
 	}
 }
 
-// scriptedList is the host list.
-type scriptedList struct {
+// fakeHostList is a host list that is set by the test.
+type fakeHostList struct {
 	mu      sync.Mutex
 	hosts   []backing.Host
 	version uint64
@@ -107,28 +107,28 @@
 	reads   int
 }
 
-func (l *scriptedList) Hosts(context.Context) ([]backing.Host, uint64, error) {
+func (l *fakeHostList) Hosts(context.Context) ([]backing.Host, uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reads++
 	return l.hosts, l.version, l.err
 }
 
-func (l *scriptedList) set(hosts ...backing.Host) {
+func (l *fakeHostList) set(hosts ...backing.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hosts, l.err = hosts, nil
 	l.version++
 }
 
-func (l *scriptedList) fail() {
+func (l *fakeHostList) fail() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.err = backing.ErrUnavailable
 }
 
-// readAgain waits for two more reads, of which the second began after now.
-func (l *scriptedList) readAgain(t *testing.T) {
+// waitForReread waits for two more reads; the second one began after the call.
+func (l *fakeHostList) waitForReread(t *testing.T) {
 	t.Helper()
 	count := func() int {
 		l.mu.Lock()
@@ -136,39 +136,39 @@
 		return l.reads
 	}
 	from := count()
-	eventually(t, "the list is not read", func() bool { return count() >= from+2 })
+	eventually(t, "the host list was not read again", func() bool { return count() >= from+2 })
 }
 
-// host is a listed host of "engine" at an agent's address.
-func (a *scriptedAgent) host(id string, s backing.HostState) backing.Host {
+// host returns a listed host of the endpoint "engine" at the agent's address.
+func (a *fakeAgent) host(id string, s backing.HostState) backing.Host {
 	return backing.Host{ID: id, Role: backing.RoleEndpoint, State: s, Address: a.address, Endpoint: "engine"}
 }
 
-// watcher is an observer that notes what it is told.
-type watcher struct {
+// recordingObserver is an observer that records the events it gets.
+type recordingObserver struct {
 	mu     sync.Mutex
 	events []string
 }
 
-func (w *watcher) note(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.events = append(w.events, fmt.Sprintf(format, args...))
+func (o *recordingObserver) record(format string, args ...any) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.events = append(o.events, fmt.Sprintf(format, args...))
 }
 
-func (w *watcher) Connected(endpoint string) { w.note("connected") }
-func (w *watcher) Lost(endpoint string)      { w.note("lost") }
-func (w *watcher) Changed()                  {}
+func (o *recordingObserver) Connected(endpoint string) { o.record("connected") }
+func (o *recordingObserver) Lost(endpoint string)      { o.record("lost") }
+func (o *recordingObserver) Changed()                  {}
 
-func (w *watcher) Reported(_ string, up *wirepb.ControlUp) {
-	w.note("reported %d", up.Status.GetIncarnation())
+func (o *recordingObserver) Reported(_ string, up *wirepb.ControlUp) {
+	o.record("reported %d", up.Status.GetIncarnation())
 }
 
-func (w *watcher) count(event string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (o *recordingObserver) count(event string) int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	n := 0
-	for _, e := range w.events {
+	for _, e := range o.events {
 		if e == event {
 			n++
 		}
@@ -176,13 +176,13 @@
 	return n
 }
 
-func (w *watcher) has(t *testing.T, event string, n int) {
+func (o *recordingObserver) waitFor(t *testing.T, event string, n int) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("not %d times %q", n, event), func() bool { return w.count(event) >= n })
+	eventually(t, fmt.Sprintf("got fewer than %d events %q", n, event), func() bool { return o.count(event) >= n })
 }
 
-// startManager runs a manager over a list until the test ends.
-func startManager(t *testing.T, list *scriptedList, observer Observer, change func(*Options)) *Manager {
+// startManager runs a manager with the given host list until the test ends.
+func startManager(t *testing.T, list *fakeHostList, observer Observer, change func(*Options)) *Manager {
 	t.Helper()
 	o := DefaultOptions()
 	o.EntryID, o.Incarnation = "entry-1", 7
@@ -201,16 +201,16 @@
 	go func() { ended <- m.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		within(t, ended, "Run does not end")
+		receive(t, ended, "Run did not return")
 	})
 	return m
 }
 
-// endpoint waits until the endpoint "engine" reads as told.
+// awaitEndpoint waits until the text of the endpoint "engine" is as wanted.
 func awaitEndpoint(t *testing.T, m *Manager, want string) {
 	t.Helper()
 	got := ""
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if e := m.Endpoint("engine"); e != nil {
 			got = e.text()
 		}
@@ -218,5 +218,5 @@
 			return
 		}
 	}
-	t.Fatalf("the endpoint is %s, want %s", got, want)
+	t.Fatalf("endpoint is %q, want %q", got, want)
 }
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the slice's metrics.
+// metrics are the metrics of the package.
 type metrics struct {
 	connected       prometheus.Gauge
 	dialFailures    prometheus.Counter
--- a/internal/membership/past.go
+++ b/internal/membership/past.go
@@ -2,44 +2,45 @@
 
 import "balsamsail/internal/backing"
 
-// maxPastHosts bounds the hosts whose end is remembered; the earliest are forgotten.
-const maxPastHosts = 4096
+// maxHostHistory bounds the hosts that are remembered as leaving or gone; the earliest are forgotten.
+const maxHostHistory = 4096
 
-// pastHosts remembers which hosts were listed as leaving or gone.
+// hostHistory records which hosts were listed as leaving or gone.
 //
-// A host only ever goes from live to leaving to gone. Its agent has been told to leave and takes no work any more, or what
-// it held counts as given up and may be held elsewhere by now: a list that shows it better than an earlier one did, after a
-// fault of the platform, would have it chosen in vain, or a model loaded more often than was decided.
-type pastHosts struct {
+// A host only ever goes from live to leaving to gone. The agent of a leaving host accepts no new work, and the slots of
+// a gone host count as released and may be assigned elsewhere. If a fault of the platform lists such a host in an
+// earlier state again, that state must be ignored: otherwise requests would be routed to an agent that refuses them, or
+// a model would be loaded more often than was decided.
+type hostHistory struct {
 	states map[string]backing.HostState
 	order  []string
 }
 
-// note takes in a host's state and returns the worst that it was ever in.
-func (p *pastHosts) note(id string, state backing.HostState) backing.HostState {
-	past, known := p.states[id]
-	state = worst(state, past)
+// record records a host's state and returns the latest state that the host was ever in.
+func (h *hostHistory) record(id string, state backing.HostState) backing.HostState {
+	past, known := h.states[id]
+	state = laterState(state, past)
 	if state == past || state == backing.HostLive {
 		return state
 	}
 	if !known {
-		p.makeRoom()
-		p.order = append(p.order, id)
+		h.evictOldest()
+		h.order = append(h.order, id)
 	}
-	p.states[id] = state
+	h.states[id] = state
 	return state
 }
 
-func (p *pastHosts) makeRoom() {
-	if len(p.order) < maxPastHosts {
+func (h *hostHistory) evictOldest() {
+	if len(h.order) < maxHostHistory {
 		return
 	}
-	delete(p.states, p.order[0])
-	p.order = p.order[1:]
+	delete(h.states, h.order[0])
+	h.order = h.order[1:]
 }
 
-// worst returns the state that a host comes to later in its life.
-func worst(a, b backing.HostState) backing.HostState {
+// laterState returns whichever of two states comes later in the life of a host.
+func laterState(a, b backing.HostState) backing.HostState {
 	for _, state := range []backing.HostState{backing.HostGone, backing.HostLeaving} {
 		if a == state || b == state {
 			return state
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,9 +1,9 @@
-// Package membership keeps, at an entry, which endpoints exist, which are leaving or gone, and what their agents say of
-// themselves.
+// Package membership tracks, at an entry, which endpoints exist, which of them are leaving or gone, and the status that
+// their agents report.
 //
 // View is the deterministic part: it merges the platform's lagging host list with the agents' status reports. Manager
-// is the shell around it: it reads the list, keeps one connection with a control stream to each agent, and hands the
-// reports on.
+// does the I/O: it reads the list, maintains a connection with a control stream to each agent, and passes the reports
+// on.
 package membership
 
 import (
@@ -16,31 +16,31 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// Endpoint is an endpoint as an entry sees it. Values handed out are never changed afterwards.
+// Endpoint is an entry's view of an endpoint. A value that was returned is never modified afterwards.
 type Endpoint struct {
 	Name          string
 	HostID        string
 	Address       string
 	FailureDomain string
-	// Listed is the state in the host list; empty when the host is not listed any more.
+	// Listed is the state in the host list, empty if the host is not listed any more.
 	Listed backing.HostState
-	// Connected says that the agent has a working control stream and has reported its whole status.
+	// Connected is set when the agent has a working control stream and has reported its full status on it.
 	Connected bool
-	// Leaving says that the endpoint takes no new work: by the list, the agent's own word, or both.
+	// Leaving is set when the endpoint accepts no new work, according to the list, its agent or both.
 	Leaving bool
-	// Gone says that the platform has taken the host away: nothing runs there any more.
+	// Gone is set when the platform has terminated the host: nothing runs there any more.
 	Gone bool
-	// ReportedAt is when the latest report came.
+	// ReportedAt is when the latest report was received.
 	ReportedAt time.Time
 	// Status is the merged status, nil before the first report.
 	Status *wirepb.Status
-	// Replicas indexes Status.Replicas by model version.
+	// Replicas contains the replicas of the merged status by model version.
 	Replicas map[string]*wirepb.Replica
-	// IdleSince is since when replicas have been idle that were last reported so, by model version.
+	// IdleSince contains, by model version, the time at which each replica that was last reported as idle became idle.
 	IdleSince map[string]time.Time
 }
 
-// Entry is another entry host of the list.
+// Entry is an entry host in the host list.
 type Entry struct {
 	ID            string
 	FailureDomain string
@@ -48,22 +48,22 @@
 	State         backing.HostState
 }
 
-// View merges host list and reports. It is not safe for concurrent use; the values it returns are.
+// View merges the host list and the reports. It is not safe for concurrent use; the values it returns are.
 type View struct {
-	version   uint64
-	read      bool
-	hosts     map[string]backing.HostState
-	past      pastHosts
-	endpoints map[string]*Endpoint
-	entries   []Entry
+	version     uint64
+	initialized bool
+	hosts       map[string]backing.HostState
+	history     hostHistory
+	endpoints   map[string]*Endpoint
+	entries     []Entry
 }
 
 // NewView returns an empty view.
 func NewView() *View {
-	return &View{endpoints: map[string]*Endpoint{}, past: pastHosts{states: map[string]backing.HostState{}}}
+	return &View{endpoints: map[string]*Endpoint{}, history: hostHistory{states: map[string]backing.HostState{}}}
 }
 
-// Endpoint returns what is known of an endpoint.
+// Endpoint returns the state of an endpoint.
 func (v *View) Endpoint(name string) (*Endpoint, bool) {
 	e, ok := v.endpoints[name]
 	return e, ok
@@ -72,36 +72,37 @@
 // Endpoints returns all endpoints by name.
 func (v *View) Endpoints() map[string]*Endpoint { return v.endpoints }
 
-// Entries returns the listed entries that are not gone, by identifier.
+// Entries returns the listed entries that are not gone, sorted by ID.
 func (v *View) Entries() []Entry { return v.entries }
 
-// Hosts returns the version of the host list that was last taken and the states of the hosts in it.
+// Hosts returns the version of the last applied host list and the states of the hosts in it.
 func (v *View) Hosts() (uint64, map[string]backing.HostState) { return v.version, v.hosts }
 
-// runs reports whether a host is listed and not gone.
-func (v *View) runs(host string) bool {
+// isRunning reports whether a host is listed and not gone.
+func (v *View) isRunning(host string) bool {
 	state, listed := v.hosts[host]
 	return listed && state != backing.HostGone
 }
 
-// clone returns a copy that may take in a list without a change of v.
+// clone returns a copy to which a list can be applied without changing v.
 func (v *View) clone() *View {
 	copied := *v
 	copied.endpoints = maps.Clone(v.endpoints)
-	copied.past.states = maps.Clone(v.past.states)
-	copied.past.order = slices.Clone(v.past.order)
+	copied.history.states = maps.Clone(v.history.states)
+	copied.history.order = slices.Clone(v.history.order)
 	return &copied
 }
 
-// HostsRead takes in the host list and reports whether it says anything new: its version rises with each change.
+// HostsRead applies a host list and reports whether it is newer than the last one: its version increases with each
+// change.
 //
-// A list of a lower version than one seen before is ignored: the list lags, and two reads may be answered by replicas of
-// the platform that lag differently, so that an older list would let a leaving host seem live again and get new work.
+// A list with a lower version is ignored: two reads may be answered by platform replicas that lag differently, and an
+// older list would make a leaving host appear live again and get new work.
 func (v *View) HostsRead(hosts []backing.Host, version uint64) bool {
-	if v.read && version <= v.version {
+	if v.initialized && version <= v.version {
 		return false
 	}
-	v.read = true
+	v.initialized = true
 	v.version = version
 	listed := map[string]bool{}
 	before := maps.Clone(v.endpoints)
@@ -109,7 +110,7 @@
 	previous := v.hosts
 	v.hosts = make(map[string]backing.HostState, len(hosts))
 	for _, h := range hosts {
-		h.State = v.past.note(h.ID, h.State)
+		h.State = v.history.record(h.ID, h.State)
 		v.hosts[h.ID] = h.State
 		switch h.Role {
 		case backing.RoleEntry:
@@ -118,18 +119,18 @@
 			v.listEndpoint(h, listed, before)
 		}
 	}
-	v.noteUnlisted(previous)
-	v.dropUnlisted(listed)
+	v.recordUnlisted(previous)
+	v.markUnlistedGone(listed)
 	slices.SortFunc(v.entries, func(a, b Entry) int { return strings.Compare(a.ID, b.ID) })
 	return true
 }
 
-// noteUnlisted remembers the hosts of the list before that the new one does not name: the platform lists a host until it is
-// terminated.
-func (v *View) noteUnlisted(previous map[string]backing.HostState) {
+// recordUnlisted records as gone the hosts of the previous list that the new one does not contain, because the platform
+// lists a host until it is terminated.
+func (v *View) recordUnlisted(previous map[string]backing.HostState) {
 	for id := range previous {
 		if _, listed := v.hosts[id]; !listed {
-			v.past.note(id, backing.HostGone)
+			v.history.record(id, backing.HostGone)
 		}
 	}
 }
@@ -141,18 +142,19 @@
 	v.entries = append(v.entries, Entry{ID: h.ID, FailureDomain: h.FailureDomain, Address: h.Address, State: h.State})
 }
 
-// listEndpoint takes in one listed endpoint host. Where a replacement host has taken over the endpoint's name, the host that
-// goes on longest counts.
+// listEndpoint applies one listed endpoint host. If several hosts are listed for the same endpoint, as after a
+// replacement, the one in the earliest lifecycle state wins.
 //
-// What is known of the host comes from the time before this list. If it were looked up among what the list has made so
-// far, a gone host that stands before its replacement would take the replacement's connection and status away with each
-// read, and no change report brings them back: the endpoint would get no request and no declarations from this entry.
+// The host's previous state is looked up in the endpoints as of before this list. If it were looked up in the endpoints
+// updated so far, a gone host listed before its replacement would discard the replacement's connection and status with
+// each read. Change reports do not restore them, so the endpoint would get no requests and no declarations from this
+// entry.
 func (v *View) listEndpoint(h backing.Host, listed map[string]bool, before map[string]*Endpoint) {
 	next := &Endpoint{Name: h.Endpoint}
 	if old, ok := before[h.Endpoint]; ok && old.HostID == h.ID {
 		*next = *old
 	}
-	if listed[h.Endpoint] && worst(h.State, v.endpoints[h.Endpoint].Listed) == h.State {
+	if listed[h.Endpoint] && laterState(h.State, v.endpoints[h.Endpoint].Listed) == h.State {
 		return
 	}
 	listed[h.Endpoint] = true
@@ -161,33 +163,35 @@
 	next.FailureDomain = h.FailureDomain
 	next.Listed = h.State
 	if h.State == backing.HostGone {
-		next.end()
+		next.markGone()
 	}
 	next.Leaving = leaving(next)
 	v.endpoints[h.Endpoint] = next
 }
 
-// end notes that the host is gone, and with it the agent that its last report came from.
-func (e *Endpoint) end() {
+// markGone records that the host is gone, and with it its agent.
+func (e *Endpoint) markGone() {
 	e.Gone = true
 	e.Connected = false
 }
 
-// dropUnlisted marks endpoints that were listed and are not any more: the platform lists a host until it is terminated.
-func (v *View) dropUnlisted(listed map[string]bool) {
+// markUnlistedGone marks the endpoints that are not listed any more as gone, because the platform lists a host until it
+// is terminated.
+func (v *View) markUnlistedGone(listed map[string]bool) {
 	for name, e := range v.endpoints {
 		if listed[name] || e.Gone {
 			continue
 		}
 		next := *e
 		next.Listed = ""
-		next.end()
+		next.markGone()
 		next.Leaving = true
 		v.endpoints[name] = &next
 	}
 }
 
-// leaving joins the sources that say an endpoint stops. One of them suffices, so that the slowest does not matter.
+// leaving reports whether any source says that the endpoint is leaving. One is enough, so that the slowest source
+// causes no delay.
 func leaving(e *Endpoint) bool {
 	if e.Gone || e.Listed == backing.HostLeaving {
 		return true
@@ -195,8 +199,8 @@
 	return e.Status.GetLeaving()
 }
 
-// Reported merges a status report. A change report before a whole one is not usable and is dropped, and so is the late
-// report of a host that is gone.
+// Reported merges a status report and reports whether it was used. A change report before a full one is dropped, and so
+// is a late report of a host that is gone.
 func (v *View) Reported(now time.Time, name string, status *wirepb.Status) bool {
 	old, ok := v.endpoints[name]
 	if !ok || status == nil || old.Gone {
@@ -212,15 +216,15 @@
 	next.IdleSince = mergeIdle(old.IdleSince, now, status)
 	next.Status = status
 	if !status.Full {
-		keepFixed(status, old.Status)
+		copyUnchanged(status, old.Status)
 	}
 	next.Leaving = leaving(&next)
 	v.endpoints[name] = &next
 	return true
 }
 
-// keepFixed fills a change report with what such a report leaves out because it is as it was.
-func keepFixed(status, old *wirepb.Status) {
+// copyUnchanged fills in the fields that a change report omits because they have not changed.
+func copyUnchanged(status, old *wirepb.Status) {
 	status.Endpoint = old.GetEndpoint()
 	status.Kind = old.GetKind()
 	status.FailureDomain = old.GetFailureDomain()
@@ -231,7 +235,7 @@
 	status.OperatorAddress = old.GetOperatorAddress()
 }
 
-// mergeReplicas applies the changed replicas to the earlier ones.
+// mergeReplicas merges the reported replicas into the earlier ones.
 func mergeReplicas(old map[string]*wirepb.Replica, status *wirepb.Status) map[string]*wirepb.Replica {
 	if !status.Full && len(status.Replicas) == 0 {
 		return old
@@ -252,7 +256,8 @@
 	return merged
 }
 
-// mergeIdle notes since when the changed replicas have been idle: a replica that stays idle is not reported again.
+// mergeIdle updates the times at which the reported replicas became idle. A replica that stays idle is not reported
+// again.
 func mergeIdle(old map[string]time.Time, now time.Time, status *wirepb.Status) map[string]time.Time {
 	if !status.Full && len(status.Replicas) == 0 {
 		return old
@@ -270,7 +275,7 @@
 	return merged
 }
 
-// Lost notes that the connection to an agent has ended.
+// Lost records that the connection to an agent has ended.
 func (v *View) Lost(name string) {
 	old, ok := v.endpoints[name]
 	if !ok {
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -9,14 +9,14 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// endpointHost is a listed host of the endpoint "engine".
+// endpointHost returns a listed host of the endpoint "engine".
 func endpointHost(id string, state backing.HostState) backing.Host {
 	return backing.Host{ID: id, Role: backing.RoleEndpoint, State: state, Address: id, Endpoint: "engine"}
 }
 
-// An engine's host is replaced. For a while the platform lists the old host as gone beside the new one. The new agent
-// connects and reports, the entry reads the list again, and from then on the engine gets no request and no declarations,
-// although its connection works: the line of the gone host had taken away what was known of the live one.
+// An engine's host is replaced, and for a while the platform lists the old host as gone beside the new one. The view
+// used to discard the connection and status of the new host with each read of such a list, so the engine got no
+// requests and no declarations although its connection worked.
 func TestReplacementKeepsItsConnectionWhileTheGoneHostIsListed(t *testing.T) {
 	gone, live := endpointHost("h1", backing.HostGone), endpointHost("h2", backing.HostLive)
 	cases := []struct {
@@ -34,17 +34,17 @@
 			replica := &wirepb.Replica{Model: "m@1", State: wirepb.ReplicaState_LOADED, Revision: 3}
 			status := &wirepb.Status{Full: true, Ready: true, Replicas: []*wirepb.Replica{replica}}
 			if !v.Reported(time.Unix(1, 0), "engine", status) {
-				t.Fatal("the whole report is not taken")
+				t.Fatal("the full report was not accepted")
 			}
 			for version := range uint64(3) {
 				v.HostsRead(slices.Clone(c.list), 2+version)
 				e, _ := v.Endpoint("engine")
 				if e.HostID != "h2" || !e.Connected || e.Leaving || e.Replicas["m@1"] == nil {
-					t.Fatalf("after a read of version %d: %+v", 2+version, e)
+					t.Fatalf("unexpected endpoint after reading version %d: %+v", 2+version, e)
 				}
 			}
 			if !v.Reported(time.Unix(2, 0), "engine", &wirepb.Status{Ready: true}) {
-				t.Error("a change report is not taken")
+				t.Error("the change report was not accepted")
 			}
 		})
 	}
