--- a/internal/loading/barrier.go
+++ b/internal/loading/barrier.go
@@ -1,31 +1,31 @@
 package loading
 
-// barrier gives the first order to an engine that checks fencing numbers: the unload of something that it does not
-// hold. Once that is carried out, no order that a predecessor left in flight can take effect, and a read shows all that
-// did. Without it such a load could arrive between this agent's first loads and overcommit the engine's memory.
+// barrier sends the first order to an engine that checks fencing numbers: the unload of a model version that the engine
+// does not hold. Once it is carried out, no order of a previous agent can still take effect, and a read shows all those
+// that did. Otherwise such a load could arrive between this agent's first loads and overcommit the engine's memory.
 func (m *Machine) barrier() {
-	if !m.options.ChecksFencing || m.engine.clear || m.over(&m.predecessor, m.now, m.step) {
+	if !m.options.ChecksFencing || m.engine.predecessorsDone || m.ineffective(&m.predecessor, m.now, m.step) {
 		return
 	}
 	if m.barrierOrder != nil && m.orders[m.barrierOrder.ID] != nil && !m.barrierOrder.unknown {
 		return
 	}
-	if m.now.Before(m.engine.barrierAt) || !m.canOrder() {
+	if m.now.Before(m.engine.nextBarrierAt) || !m.canOrder() {
 		return
 	}
 	if r := m.barrierTarget(); r != nil {
-		m.engine.barrierAt = m.now.Add(barrierRetry)
-		m.giveUnload(&r.holding)
+		m.engine.nextBarrierAt = m.now.Add(orderRetry)
+		m.orderUnload(&r.holding)
 		m.barrierOrder = r.order
 	}
 }
 
-// barrierTarget chooses a model version that the engine does not hold, if possible one that it is not to hold.
+// barrierTarget chooses a model version that the engine does not hold, preferably one without a slot.
 func (m *Machine) barrierTarget() *replica {
 	var target *replica
 	for model := range m.models {
 		r := m.replica(model)
-		if r.state != absent || r.running > 0 || r.adapterOrder() || !m.mayOrder(&r.holding) {
+		if r.state != absent || r.running > 0 || r.adapterOrderInFlight() || !m.mayOrder(&r.holding) {
 			continue
 		}
 		if target == nil || m.preferBarrier(r, target) {
--- a/internal/loading/bench_test.go
+++ b/internal/loading/bench_test.go
@@ -15,7 +15,8 @@
 	benchLoaded   = 8
 )
 
-// benchMachine returns a machine with slots for all of the models, of which some are loaded, each with 20 adapters.
+// benchMachine returns a machine with slots for all of the models, some of which are loaded with up to 20 adapters
+// each.
 func benchMachine(models int) (*Machine, time.Time) {
 	now := time.Unix(1_000_000, 0)
 	m := NewMachine(Options{Engine: "e", MemoryBytes: 100 * benchLoaded, StateInterval: time.Hour}, fixedPolicy(time.Hour))
@@ -55,7 +56,7 @@
 	}
 }
 
-// BenchmarkWarmRequest is a request to a loaded model: three steps.
+// BenchmarkWarmRequest measures a request to a loaded model: three steps.
 func BenchmarkWarmRequest(b *testing.B) {
 	benchSizes(b, func(b *testing.B, m *Machine, now time.Time) {
 		for b.Loop() {
@@ -67,7 +68,7 @@
 	})
 }
 
-// BenchmarkWake is a request to a sleeping model that evicts another: six steps.
+// BenchmarkWake measures a request to an unloaded model that evicts another: six steps.
 func BenchmarkWake(b *testing.B) {
 	benchSizes(b, func(b *testing.B, m *Machine, now time.Time) {
 		done := func(actions []Action) []Action {
@@ -93,7 +94,7 @@
 	})
 }
 
-// BenchmarkTick is a step in which nothing happens.
+// BenchmarkTick measures a step without any change.
 func BenchmarkTick(b *testing.B) {
 	benchSizes(b, func(b *testing.B, m *Machine, now time.Time) {
 		for b.Loop() {
@@ -102,7 +103,7 @@
 	})
 }
 
-// BenchmarkRead is a read of the engine's state.
+// BenchmarkRead measures a read of the engine's state.
 func BenchmarkRead(b *testing.B) {
 	benchSizes(b, func(b *testing.B, m *Machine, now time.Time) {
 		state := endpoint.EngineState{Incarnation: "1", MemoryBytes: 1000}
@@ -111,14 +112,14 @@
 			state.Models = append(state.Models, endpoint.LoadedModel{Model: name, State: endpoint.EngineLoaded, MemoryBytes: 100})
 		}
 		for b.Loop() {
-			m.wantRead()
+			m.scheduleRead()
 			m.Step(now, Tick{})
 			m.Step(now, EngineRead{State: state})
 		}
 	})
 }
 
-// BenchmarkStatus is the state that is told to the entries.
+// BenchmarkStatus measures the status report to the gateways.
 func BenchmarkStatus(b *testing.B) {
 	benchSizes(b, func(b *testing.B, m *Machine, now time.Time) {
 		for b.Loop() {
@@ -127,7 +128,7 @@
 	})
 }
 
-// BenchmarkHeld reports the memory that a machine holds.
+// BenchmarkHeld reports the memory that a machine uses.
 func BenchmarkHeld(b *testing.B) {
 	for _, models := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("models=%d", models), func(b *testing.B) {
--- a/internal/loading/compare.go
+++ b/internal/loading/compare.go
@@ -7,8 +7,8 @@
 	"balsamsail/internal/endpoint"
 )
 
-// compare takes in what the engine lists.
-func (m *Machine) compare(models []endpoint.LoadedModel) {
+// applyListing applies the engine's list of loaded models and adapters.
+func (m *Machine) applyListing(models []endpoint.LoadedModel) {
 	listed := make(map[string]*endpoint.LoadedModel, len(models))
 	for i := range models {
 		listed[models[i].Model] = &models[i]
@@ -19,82 +19,82 @@
 	}
 	for _, r := range m.replicas {
 		entry := listed[r.model]
-		m.compareHolding(&r.holding, shownModel(entry))
+		m.applyObservation(&r.holding, observeModel(entry))
 		if entry != nil && r.state != absent {
 			r.bytes = max(r.bytes, entry.MemoryBytes)
 		}
 		for _, a := range r.adapters {
-			m.compareHolding(a, shownAdapter(entry, a.adapter))
+			m.applyObservation(a, observeAdapter(entry, a.adapter))
 		}
 	}
 }
 
-func shownModel(listed *endpoint.LoadedModel) shown {
+func observeModel(listed *endpoint.LoadedModel) observation {
 	switch {
 	case listed == nil:
-		return shownAbsent
+		return observedAbsent
 	case listed.State == endpoint.EngineLoaded:
-		return shownLoaded
+		return observedLoaded
 	default:
-		return shownBetween
+		return observedTransient
 	}
 }
 
-func shownAdapter(listed *endpoint.LoadedModel, adapter string) shown {
+func observeAdapter(listed *endpoint.LoadedModel, adapter string) observation {
 	if listed == nil || !slices.Contains(listed.Adapters, adapter) {
-		return shownAbsent
+		return observedAbsent
 	}
 	if listed.State != endpoint.EngineLoaded {
-		return shownBetween
+		return observedTransient
 	}
-	return shownLoaded
+	return observedLoaded
 }
 
-// compareHolding takes in how one model version or adapter was shown.
-func (m *Machine) compareHolding(h *holding, s shown) {
-	if h.order != nil || m.reads.step < h.settled {
+// applyObservation applies the observed state of one model version or adapter.
+func (m *Machine) applyObservation(h *holding, s observation) {
+	if h.order != nil || m.reads.step < h.orderEndedStep {
 		return
 	}
-	h.shown = s
-	h.shownAt = m.reads.at
+	h.observed = s
+	h.observedAt = m.reads.startedAt
 	switch {
-	case s == shownLoaded && !m.doubtful(h, isUnload):
+	case s == observedLoaded && !m.mayTakeEffect(h, isUnload):
 		m.setLoaded(h)
-	case s == shownAbsent && !m.doubtful(h, isLoad):
+	case s == observedAbsent && !m.mayTakeEffect(h, isLoad):
 		m.setAbsent(h)
 	default:
 		m.setUnknown(h)
 	}
-	m.dropSpent(h)
+	m.dropExpired(h)
 }
 
 func isLoad(o *order) bool   { return o.isLoad() }
 func isUnload(o *order) bool { return !o.isLoad() }
 
-// doubtful reports whether an order of a kind could still have taken effect after the read began. What an engine is
-// loading as an adapter it does not list, so that a higher fencing number, which only stops what has not arrived, proves
-// nothing there.
-func (m *Machine) doubtful(h *holding, kind func(*order) bool) bool {
-	return slices.ContainsFunc(h.doubts, func(o *order) bool {
+// mayTakeEffect reports whether an unresolved order of a kind could still take effect after the read began. The engine
+// does not list adapters while it loads them; a higher fencing number only stops orders that have not arrived, so it
+// proves nothing for adapters.
+func (m *Machine) mayTakeEffect(h *holding, kind func(*order) bool) bool {
+	return slices.ContainsFunc(h.unresolved, func(o *order) bool {
 		if !kind(o) {
 			return false
 		}
 		if h.isAdapter() {
-			return !m.spent(o, m.reads.at)
+			return !m.expired(o, m.reads.startedAt)
 		}
-		return !m.over(o, m.reads.at, m.reads.step)
+		return !m.ineffective(o, m.reads.startedAt, m.reads.step)
 	})
 }
 
-// liveLoadDoubt reports whether a load order of unknown result may still take effect.
-func (m *Machine) liveLoadDoubt(h *holding) bool {
-	return slices.ContainsFunc(h.doubts, func(o *order) bool { return o.isLoad() && !m.overNow(o) })
+// unresolvedLoadPending reports whether a load of unknown outcome may still take effect.
+func (m *Machine) unresolvedLoadPending(h *holding) bool {
+	return slices.ContainsFunc(h.unresolved, func(o *order) bool { return o.isLoad() && !m.ineffectiveNow(o) })
 }
 
-// dropSpent forgets the orders of unknown result that were over for good when the newest read began.
-func (m *Machine) dropSpent(h *holding) {
-	h.doubts = slices.DeleteFunc(h.doubts, func(o *order) bool {
-		if !m.spent(o, m.reads.at) {
+// dropExpired drops the orders of unknown outcome that had expired when the newest read began.
+func (m *Machine) dropExpired(h *holding) {
+	h.unresolved = slices.DeleteFunc(h.unresolved, func(o *order) bool {
+		if !m.expired(o, m.reads.startedAt) {
 			return false
 		}
 		delete(m.orders, o.ID)
@@ -102,7 +102,7 @@
 	})
 }
 
-// setLoaded notes that the engine holds something and that requests may run on it as far as the slot allows.
+// setLoaded records that the engine holds something, on which requests may run if the slot allows.
 func (m *Machine) setLoaded(h *holding) {
 	m.adopt(h)
 	if h.state == loaded {
@@ -113,13 +113,13 @@
 	h.replica.keepUntil = time.Time{}
 }
 
-// setUnknown notes that the engine may hold something.
+// setUnknown records that the engine may hold something.
 func (m *Machine) setUnknown(h *holding) {
 	m.adopt(h)
 	h.state = unknown
 }
 
-// setAbsent notes that the engine holds nothing of a model version or adapter, and frees its memory in the ledger.
+// setAbsent records that the engine does not hold a model version or adapter, and frees its memory in the ledger.
 func (m *Machine) setAbsent(h *holding) {
 	h.state = absent
 	h.bytes = 0
@@ -127,7 +127,7 @@
 	h.adopted = false
 }
 
-// adopt takes what the engine holds without an order of this agent into the ledger.
+// adopt adds to the ledger what the engine holds without an order of this agent.
 func (m *Machine) adopt(h *holding) {
 	if h.state == absent {
 		h.adopted = true
@@ -135,7 +135,7 @@
 	m.sizeAdopted(h)
 }
 
-// sizeAdopted gives an adopted holding its declared size; the declarations may come after it was found.
+// sizeAdopted sets the size of an adopted holding from the declarations, which may arrive after it was found.
 func (m *Machine) sizeAdopted(h *holding) {
 	if !h.adopted {
 		return
--- a/internal/loading/demand.go
+++ b/internal/loading/demand.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// demand is a request that waits.
+// demand is a waiting request.
 type demand struct {
 	request string
 	replica *replica
-	// target is the model version or the adapter that the request needs.
-	target   *holding
-	deadline time.Time
-	place    int
+	// target is the model version or adapter that the request needs.
+	target    *holding
+	deadline  time.Time
+	heapIndex int
 }
 
-// run is a running request.
-type run struct {
+// runningRequest is a request in progress.
+type runningRequest struct {
 	replica *replica
-	// adapter is nil for a request of the model alone.
+	// adapter is nil for a request that needs only the model.
 	adapter *holding
 }
 
-// demanded takes in a waiting request: it is refused at once, or kept until it starts, is refused or goes away.
+// demanded handles a waiting request: it is refused immediately, or tracked until it starts, is refused or is
+// cancelled.
 func (m *Machine) demanded(e Demanded) {
 	m.demandGone(e.Request)
 	if refused, retryAfter := m.refusalOf(e); refused != nil {
@@ -42,52 +43,52 @@
 	m.addDemand(e, r, target)
 }
 
-// wish keeps a load wanted until a time.
-func (m *Machine) wish(h *holding, until time.Time) { h.wishUntil = later(h.wishUntil, until) }
+// want keeps a load wanted until the given time.
+func (m *Machine) want(h *holding, until time.Time) { h.wantedUntil = later(h.wantedUntil, until) }
 
-// addDemand keeps a waiting request.
+// addDemand tracks a waiting request.
 func (m *Machine) addDemand(e Demanded, r *replica, target *holding) {
-	d := &demand{request: e.Request, replica: r, target: target, deadline: e.Deadline, place: notPlaced}
+	d := &demand{request: e.Request, replica: r, target: target, deadline: e.Deadline, heapIndex: notScheduled}
 	m.demands[e.Request] = d
 	r.demands[e.Request] = d
-	m.count(d, 1)
+	m.addWaiting(d, 1)
 	r.earliest = earlier(r.earliest, e.Deadline)
 	if !target.announced && !e.Deadline.IsZero() {
 		m.deadlines.set(d)
 	}
-	m.touch(r)
+	m.markDirty(r)
 }
 
-// count adds to the waiting requests of a demand's model version and adapter.
-func (m *Machine) count(d *demand, n int) {
+// addWaiting adds n to the waiting requests of a demand's model version and adapter.
+func (m *Machine) addWaiting(d *demand, n int) {
 	d.replica.waiting += n
 	if d.target.isAdapter() {
 		d.target.waiting += n
 	}
 }
 
-// demandGone forgets a waiting request.
+// demandGone stops tracking a waiting request.
 func (m *Machine) demandGone(request string) {
 	if d := m.demands[request]; d != nil {
-		m.forget(d)
+		m.removeDemand(d)
 	}
 }
 
-func (m *Machine) forget(d *demand) {
+func (m *Machine) removeDemand(d *demand) {
 	r := d.replica
 	delete(m.demands, d.request)
 	delete(r.demands, d.request)
 	m.deadlines.remove(d)
-	m.count(d, -1)
-	m.idleFrom(d.target)
-	m.idleFrom(&r.holding)
+	m.addWaiting(d, -1)
+	m.markIdle(d.target)
+	m.markIdle(&r.holding)
 	if !d.deadline.After(r.earliest) {
 		r.earliestStale = true
 	}
-	m.touch(r)
+	m.markDirty(r)
 }
 
-// deadline returns the first deadline of the requests that wait for a replica; zero when none waits.
+// deadline returns the earliest deadline of the requests that wait for a replica; zero if none waits.
 func (r *replica) deadline() time.Time {
 	if !r.earliestStale && len(r.demands) > 0 {
 		return r.earliest
@@ -100,8 +101,8 @@
 	return r.earliest
 }
 
-// expireDemands refuses the requests whose deadline has come. Those whose target is usable are left to the queue, which
-// knows what can still be served.
+// expireDemands refuses the requests whose deadline has passed. Those whose target is usable are left to the request
+// queue, which decides what can still be served.
 func (m *Machine) expireDemands() {
 	for {
 		d, ok := m.deadlines.next(m.now)
@@ -111,55 +112,55 @@
 		if d.target.announced {
 			continue
 		}
-		m.forget(d)
-		m.wish(d.target, m.now.Add(retrySoon+wishGrace))
-		m.wish(&d.replica.holding, m.now.Add(retrySoon+wishGrace))
+		m.removeDemand(d)
+		m.want(d.target, m.now.Add(defaultRetryAfter+returnGrace))
+		m.want(&d.replica.holding, m.now.Add(defaultRetryAfter+returnGrace))
 		m.emit(RefuseDemand{
 			Request:    d.request,
 			Model:      d.replica.model,
 			Adapter:    d.target.adapter,
 			Reason:     refusalDeadline.reason,
-			RetryAfter: retrySoon,
+			RetryAfter: defaultRetryAfter,
 			Detail:     refusalDeadline.detail,
 		})
 	}
 }
 
-// startedRequest takes in that a request runs.
+// startedRequest handles the start of a request.
 func (m *Machine) startedRequest(e Started) {
 	m.demandGone(e.Request)
 	if m.running[e.Request] != nil {
 		return
 	}
 	r := m.replica(e.Model)
-	x := &run{replica: r}
+	run := &runningRequest{replica: r}
 	r.running++
 	if e.Adapter != "" {
-		x.adapter = m.adapterOf(r, e.Adapter)
-		x.adapter.running++
+		run.adapter = m.adapterOf(r, e.Adapter)
+		run.adapter.running++
 	}
-	m.running[e.Request] = x
-	m.touch(r)
+	m.running[e.Request] = run
+	m.markDirty(r)
 }
 
-// finished takes in that a request has ended.
+// finished handles the end of a request.
 func (m *Machine) finished(e Finished) {
-	x := m.running[e.Request]
-	if x == nil {
+	run := m.running[e.Request]
+	if run == nil {
 		return
 	}
 	delete(m.running, e.Request)
-	x.replica.running--
-	if x.adapter != nil {
-		x.adapter.running--
-		m.idleFrom(x.adapter)
+	run.replica.running--
+	if run.adapter != nil {
+		run.adapter.running--
+		m.markIdle(run.adapter)
 	}
-	m.idleFrom(&x.replica.holding)
-	m.touch(x.replica)
+	m.markIdle(&run.replica.holding)
+	m.markDirty(run.replica)
 }
 
-// idleFrom notes when a holding became idle.
-func (m *Machine) idleFrom(h *holding) {
+// markIdle records when a holding became idle.
+func (m *Machine) markIdle(h *holding) {
 	if h.running > 0 || h.waiting > 0 {
 		return
 	}
--- a/internal/loading/doc.go
+++ b/internal/loading/doc.go
@@ -1,38 +1,40 @@
-// Package loading decides, beside one engine, which model versions and adapters the engine holds: the memory ledger, the
-// load queue and the sleeping and waking of replicas inside granted slots.
+// Package loading decides which model versions and adapters one engine holds in memory. It keeps the memory ledger and
+// the load queue, and it loads and unloads replicas within the slots granted to the engine.
 //
-// Machine is a deterministic state machine without I/O: Step takes one event and returns the actions that the agent's
-// shell must carry out. The shell feeds the results back as events. Events may come late, in any order and more than once;
-// what the shell owes is one OrderDone for each GiveOrder, an answer to each ReadEngine, and a Step at NextDeadline.
+// Machine is a deterministic state machine without I/O: Step takes one event and returns the actions that the agent
+// must carry out; their results come back as events. Events may be late, reordered or duplicated. The agent must report
+// one OrderDone for each GiveOrder, answer each ReadEngine, and call Step at NextDeadline.
 //
-// # Why no more replicas are loaded than were decided
+// # Replica count
 //
-// A load is ordered only under a GRANTED slot in the newest row known, and not before the table itself was read once: a
-// pushed row may be older than a release that a predecessor confirmed. A release is confirmed for the newest revision
-// known, and no row up to it is accepted again. The confirmation waits until the engine's state, read after all else,
-// shows nothing, and until no load order can still take effect.
+// A load is ordered only under a GRANTED slot in the newest known row, and only after the table itself has been read
+// once: a row pushed by a peer may be older than a release that a previous agent confirmed. A release is confirmed at
+// the newest known revision, and rows up to that revision are rejected from then on. The confirmation is sent only once
+// no load order can still take effect and a read of the engine's state, begun after that, shows that the model is not
+// loaded.
 //
-// # What may still take effect
+// # Orders that may still take effect
 //
-// An order whose result is not known may be carried out at any time until its life (Options.OrderLife) is over, counted
-// from when it was given up. The orders of predecessors count from this agent's start, because no earlier agent lives
-// then. Where the engine refuses old fencing numbers, an order is also over once the engine has carried out one with a
-// higher number: from then on the machine uses its memory and orders the same model again. But an engine that restarts
-// may have forgotten the numbers that it saw, and then carry out what it would have refused. The machine counts such
-// orders again as soon as it learns of a restart. A confirmed release cannot be taken back; so it alone never rests on a
-// fencing number.
+// An order whose outcome is unknown may take effect until Options.OrderLife has passed since it was abandoned. For
+// orders of previous agents the time counts from the start of this agent, because no earlier agent runs after that. If
+// the engine rejects stale fencing numbers, an order also becomes ineffective once the engine has carried out one with
+// a higher number: from then on the machine reuses its memory and may order the same model again. But an engine that
+// restarts may lose the numbers it has seen and accept an order that it would have rejected. The machine counts such
+// orders again as soon as it detects a restart. A confirmed release cannot be undone, so it never relies on fencing
+// numbers.
 //
-// One gap is left where numbers are checked and do not outlive a restart: between the restart and the read that tells of
-// it, an order that reached neither process before can still take memory that the ledger has given away. It takes an
-// order that survives the process it was sent to, within its life.
+// One window remains if the engine checks fencing numbers but loses them on restart: between the restart and the read
+// that detects it, an order that had reached neither process can still take memory that the ledger has already reused.
+// This requires an order that outlives the process it was sent to and arrives within its lifetime.
 //
-// # Why memory is not overcommitted
+// # Memory accounting
 //
-// The ledger counts all that is loaded, on its way in or out, or not known, and it counts the memory that the engine uses
-// beside. Only a definite result, or a read of the state that began after the orders in question were over, frees any.
+// The ledger counts everything that is loaded, being loaded or unloaded, or in an unknown state, plus the memory that
+// the engine uses for other purposes. Memory is freed only by a definite result, or by a read of the engine's state
+// that began after the orders in question could no longer take effect.
 //
-// # Why no request is forgotten
+// # Waiting requests
 //
-// Each waiting request is in one list until it starts, is refused or goes away. It is refused at once when there is no
-// slot, no room, a failed load or no time for the load, and at its deadline at the latest.
+// Each waiting request is tracked until it starts, is refused or is cancelled. It is refused immediately if there is no
+// slot, no memory, a failed load or too little time for the load, and at its deadline at the latest.
 package loading
--- a/internal/loading/engine.go
+++ b/internal/loading/engine.go
@@ -8,92 +8,93 @@
 )
 
 const (
-	// pollInterval is the time between reads of the engine's state while something is unknown.
+	// pollInterval is the time between reads of the engine's state while part of it is unknown.
 	pollInterval = 500 * time.Millisecond
-	// lostRetry and maxLostRetry bound the time until the next read after one that was not answered.
-	lostRetry    = 250 * time.Millisecond
-	maxLostRetry = 5 * time.Second
-	// readPatience is when a read that brought neither answer nor failure is asked for again.
-	readPatience = 30 * time.Second
-	// lostLimit is how many unanswered reads in a row make the engine count as unreachable.
-	lostLimit = 3
+	// minReadRetry and maxReadRetry bound the exponential backoff after a failed read.
+	minReadRetry = 250 * time.Millisecond
+	maxReadRetry = 5 * time.Second
+	// readTimeout is the time after which a read without answer or failure is requested again.
+	readTimeout = 30 * time.Second
+	// maxFailedReads is the number of consecutive failed reads after which the engine counts as unreachable.
+	maxFailedReads = 3
 )
 
-// engineView is what the machine knows of the engine beside what it holds.
+// engineView is the last known state of the engine, apart from the models and adapters that it holds.
 type engineView struct {
-	// known is set once the state was read; incarnation is that of the newest read.
+	// known is set after the first successful read; incarnation is the one reported by the newest read.
 	known       bool
 	incarnation string
 	memoryBytes int64
-	// baseBytes is the used memory that the listed models and adapters do not explain.
-	baseBytes int64
-	cached    map[string]string
+	// unattributedBytes is the used memory not accounted for by the listed models and adapters.
+	unattributedBytes int64
+	cached            map[string]string
 	// cachedNames are the sorted keys of cached.
 	cachedNames []string
-	// readAt is when the newest answered read began.
+	// readAt is when the newest successful read began.
 	readAt time.Time
-	// unanswered counts the reads that failed since the last answer.
-	unanswered int
-	// clear is set when no order of a predecessor can take effect any more and the state was read since.
-	clear bool
-	// barrierAt is when the next barrier may be tried.
-	barrierAt time.Time
+	// failedReads counts the failed reads since the last success.
+	failedReads int
+	// predecessorsDone is set when no order of a previous agent can still take effect and the state was read after
+	// that.
+	predecessorsDone bool
+	// nextBarrierAt is when the next barrier order may be tried.
+	nextBarrierAt time.Time
 }
 
-// engineReads correlates the reads of the engine's state with the orders.
+// engineReads orders the reads of the engine's state relative to the orders.
 //
-// The shell reads while orders come and go. A read that began before an order was given or ended may show the memory
-// without that order's effect; to take it as the order's result would free memory that is in use. So the machine notes
-// the step and time at which it asked for a read, has one outstanding at a time, and believes an answer only of what no
-// order has touched since.
+// Reads run concurrently with orders. A read that began before an order was sent or ended may not reflect that order;
+// treating it as the order's result would free memory that is in use. The machine therefore records the step and time
+// at which it requested a read, has one read outstanding at a time, and applies the answer only to items that had no
+// order since.
 type engineReads struct {
 	id uint64
-	// outstanding is set until an answer comes; step and at are those of the first asking.
+	// outstanding is set until an answer arrives; step and startedAt belong to the first request for it.
 	outstanding bool
 	step        uint64
-	at          time.Time
-	askedAt     time.Time
-	// wanted asks for a read as soon as none is outstanding; next is when one is due without a cause.
+	startedAt   time.Time
+	requestedAt time.Time
+	// wanted requests a read as soon as none is outstanding; nextAt is when the next periodic read is due.
 	wanted bool
-	next   time.Time
+	nextAt time.Time
 }
 
-// wantRead asks for a read that begins after this event.
-func (m *Machine) wantRead() { m.reads.wanted = true }
+// scheduleRead requests a read that begins after the current event.
+func (m *Machine) scheduleRead() { m.reads.wanted = true }
 
-// wantReadFrom asks for a read that begins at a time and step or later, unless the outstanding one does.
-func (m *Machine) wantReadFrom(at time.Time, step uint64) {
-	if !m.reads.outstanding || m.reads.at.Before(at) || m.reads.step < step {
-		m.wantRead()
+// scheduleReadFrom requests a read that begins at the given time and step or later, unless the outstanding one does.
+func (m *Machine) scheduleReadFrom(at time.Time, step uint64) {
+	if !m.reads.outstanding || m.reads.startedAt.Before(at) || m.reads.step < step {
+		m.scheduleRead()
 	}
 }
 
-// askReads emits a ReadEngine when one is due.
-func (m *Machine) askReads() {
+// issueRead emits a ReadEngine if one is due.
+func (m *Machine) issueRead() {
 	if m.reads.outstanding {
-		if m.now.Sub(m.reads.askedAt) >= readPatience {
+		if m.now.Sub(m.reads.requestedAt) >= readTimeout {
 			m.emitRead()
 		}
 		return
 	}
-	if m.now.Before(m.reads.next) && (!m.reads.wanted || m.engine.unanswered > 0) {
+	if m.now.Before(m.reads.nextAt) && (!m.reads.wanted || m.engine.failedReads > 0) {
 		return
 	}
 	m.reads.wanted = false
 	m.reads.outstanding = true
 	m.reads.step = m.step
-	m.reads.at = m.now
+	m.reads.startedAt = m.now
 	m.emitRead()
 }
 
 func (m *Machine) emitRead() {
 	m.reads.id++
-	m.reads.askedAt = m.now
+	m.reads.requestedAt = m.now
 	m.emit(ReadEngine{ID: m.reads.id})
 }
 
-// readEnded takes an answer or failure; it reports false for one that belongs to no outstanding read.
-func (m *Machine) readEnded(id uint64) bool {
+// finishRead ends the outstanding read; it returns false if the answer or failure belongs to another read.
+func (m *Machine) finishRead(id uint64) bool {
 	if !m.reads.outstanding || id != 0 && id != m.reads.id {
 		return false
 	}
@@ -101,102 +102,103 @@
 	return true
 }
 
-// engineLost takes in that a read was not answered.
+// engineLost handles a failed read.
 func (m *Machine) engineLost(e EngineLost) {
-	if !m.readEnded(e.ID) {
+	if !m.finishRead(e.ID) {
 		return
 	}
-	m.engine.unanswered++
-	shift := min(m.engine.unanswered-1, 5)
-	m.reads.next = m.now.Add(min(lostRetry<<shift, maxLostRetry))
-	if m.engine.unanswered == lostLimit {
-		m.touchAll()
+	m.engine.failedReads++
+	shift := min(m.engine.failedReads-1, 5)
+	m.reads.nextAt = m.now.Add(min(minReadRetry<<shift, maxReadRetry))
+	if m.engine.failedReads == maxFailedReads {
+		m.markAllDirty()
 	}
 }
 
-// unreachable reports whether the engine has not answered for some time.
-func (m *Machine) unreachable() bool { return m.engine.unanswered >= lostLimit }
+// unreachable reports whether the last reads of the engine's state have all failed.
+func (m *Machine) unreachable() bool { return m.engine.failedReads >= maxFailedReads }
 
-// engineRead takes in the engine's state.
+// engineRead handles a successful read of the engine's state.
 func (m *Machine) engineRead(e EngineRead) {
-	if !m.readEnded(e.ID) {
+	if !m.finishRead(e.ID) {
 		return
 	}
 	if m.engine.known && e.State.Incarnation != m.engine.incarnation {
 		m.engineRestarted()
 	}
 	m.engine.known = true
-	m.engine.unanswered = 0
+	m.engine.failedReads = 0
 	m.engine.incarnation = e.State.Incarnation
 	m.engine.memoryBytes = e.State.MemoryBytes
-	m.engine.readAt = m.reads.at
+	m.engine.readAt = m.reads.startedAt
 	m.engine.setCached(e.State.Cached)
 	if m.options.ChecksFencing {
 		m.fence.observeFence(e.State.HighestFence)
 	}
-	m.compare(e.State.Models)
-	m.measureBase(e.State)
-	if m.over(&m.predecessor, m.reads.at, m.reads.step) {
-		m.engine.clear = true
+	m.applyListing(e.State.Models)
+	m.updateUnattributed(e.State)
+	if m.ineffective(&m.predecessor, m.reads.startedAt, m.reads.step) {
+		m.engine.predecessorsDone = true
 	}
-	m.reads.next = m.now.Add(m.options.StateInterval)
-	m.touchAll()
+	m.reads.nextAt = m.now.Add(m.options.StateInterval)
+	m.markAllDirty()
 }
 
-// engineRestarted forgets all that the former incarnation held. Orders that were in flight to it stay: they may reach
-// the new one, which knows no fencing number yet.
+// engineRestarted discards the state of the previous incarnation. Orders that were in flight stay: they may reach the
+// new process, which may have lost the fencing numbers.
 func (m *Machine) engineRestarted() {
 	m.accepted = accepted{}
-	m.engine.clear = false
-	m.engine.baseBytes = 0
+	m.engine.predecessorsDone = false
+	m.engine.unattributedBytes = 0
 	for _, r := range m.replicas {
-		m.withdraw(&r.holding)
-		m.holdingLostEngine(&r.holding)
+		m.announceUnusable(&r.holding)
+		m.invalidateHolding(&r.holding)
 		for _, a := range r.adapters {
-			m.holdingLostEngine(a)
+			m.invalidateHolding(a)
 		}
 	}
 }
 
-// holdingLostEngine makes what the former incarnation held unknown, for the read that told of the restart to settle. An
-// order that ended after that read began may have been carried out by either incarnation; then the next read settles it.
-func (m *Machine) holdingLostEngine(h *holding) {
-	h.shown = shownNothing
+// invalidateHolding marks what the previous incarnation held as unknown until the read that detected the restart is
+// applied. An order that ended after that read began may have been carried out by either incarnation, which needs
+// another read.
+func (m *Machine) invalidateHolding(h *holding) {
+	h.observed = observedNothing
 	if h.order != nil {
 		return
 	}
-	if m.liveLoadDoubt(h) {
-		m.revive(h)
+	if m.unresolvedLoadPending(h) {
+		m.restoreUnresolved(h)
 	}
 	if h.state == loaded {
 		h.state = unknown
 	}
-	if m.reads.step < h.settled {
-		m.wantRead()
+	if m.reads.step < h.orderEndedStep {
+		m.scheduleRead()
 	}
 }
 
-// revive counts again what orders of unknown result may load, though it had been settled by a fencing number that the
-// engine has now forgotten.
-func (m *Machine) revive(h *holding) {
+// restoreUnresolved reserves memory again for loads of unknown outcome. They had been ruled out by a fencing number
+// that the restarted engine may have lost.
+func (m *Machine) restoreUnresolved(h *holding) {
 	m.setUnknown(h)
-	for _, o := range h.doubts {
+	for _, o := range h.unresolved {
 		if o.isLoad() {
 			h.bytes = max(h.bytes, o.MemoryBytes)
 		}
 	}
 }
 
-// setCached takes in which checkpoints are on the engine's host.
+// setCached records which checkpoints are cached on the engine's host.
 func (v *engineView) setCached(cached map[string]string) {
 	v.cached = cached
 	v.cachedNames = sortedKeys(cached)
 }
 
-// measureBase works out what the engine uses beside the models and adapters that it lists. A load of an adapter that is
-// in flight may be part of what is used without being listed; as long as that alone explains a change, the former
-// figure stands.
-func (m *Machine) measureBase(s endpoint.EngineState) {
+// updateUnattributed computes the memory that the engine uses for anything but the listed models and adapters. An
+// adapter load in flight may use memory without being listed; as long as that alone explains a difference, the previous
+// value stays.
+func (m *Machine) updateUnattributed(s endpoint.EngineState) {
 	explained, inFlight := int64(0), int64(0)
 	for _, listed := range s.Models {
 		explained += listed.MemoryBytes
@@ -209,9 +211,9 @@
 			}
 		}
 	}
-	most := max(0, s.UsedBytes-explained)
-	if former := m.engine.baseBytes; former <= most && former >= most-inFlight {
+	unattributed := max(0, s.UsedBytes-explained)
+	if previous := m.engine.unattributedBytes; previous <= unattributed && previous >= unattributed-inFlight {
 		return
 	}
-	m.engine.baseBytes = most
+	m.engine.unattributedBytes = unattributed
 }
--- a/internal/loading/events.go
+++ b/internal/loading/events.go
@@ -8,19 +8,19 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// ModelSpec is what the machine must know of a declared model version.
+// ModelSpec is a declared model version.
 type ModelSpec struct {
 	// Model is "name@version".
 	Model        string
 	MemoryBytes  int64
 	KVFloorBytes int64
-	// WarmReplicas is how many replicas stay loaded while idle: those in the first GRANTED slots of the row.
+	// WarmReplicas is the number of replicas that stay loaded while idle: those in the first GRANTED slots of the row.
 	WarmReplicas int
-	// ExpectedLoad is the declared time of a load from the store; 0 when not known.
+	// ExpectedLoad is the declared duration of a load from the store; 0 if unknown.
 	ExpectedLoad time.Duration
 }
 
-// AdapterSpec is what the machine must know of a declared adapter.
+// AdapterSpec is a declared adapter.
 type AdapterSpec struct {
 	Adapter     string
 	Model       string
@@ -30,29 +30,29 @@
 // Event is an input of the machine.
 type Event interface{ event() }
 
-// EngineRead is the engine's real state, read after start, after an unknown result and when the engine restarted.
+// EngineRead is the result of a successful read of the engine's state.
 type EngineRead struct {
-	// ID is that of the newest ReadEngine that was known when the read began; 0 means the one that is not answered yet,
-	// which is right for a shell that begins each read after the ReadEngine that asked for it.
+	// ID is that of the newest ReadEngine known when the read began. 0 means the outstanding one, which is correct if
+	// the agent begins each read after the ReadEngine that requested it.
 	ID    uint64
 	State endpoint.EngineState
 }
 
-// EngineLost says that the engine did not answer a read. ID is as in EngineRead.
+// EngineLost reports that a read of the engine's state failed. ID has the same meaning as in EngineRead.
 type EngineLost struct{ ID uint64 }
 
-// RowsRead is the result of a read of this engine's grants from the table itself: all rows that name the engine. A
-// machine loads nothing before it has seen one, because rows that peers pushed may be older than a release that a
-// predecessor of this agent confirmed.
+// RowsRead is the result of a read of this engine's grants from the table itself: all rows that name the engine. The
+// machine loads nothing before the first one, because rows pushed by peers may be older than a release that a previous
+// agent confirmed.
 //
-// Before the first read the shell must write a row of its own to the table, so that Revision is above every revision that
-// a predecessor of this agent has seen: the fencing numbers of orders are derived from it.
+// Before the first read the agent must write a row of its own to the table, so that Revision is above every revision
+// that a previous agent has seen: the fencing numbers of orders are derived from it.
 type RowsRead struct {
 	Rows     []*replicaspb.Row
 	Revision uint64
 }
 
-// RowSeen is one row pushed by a peer, in any order and possibly stale.
+// RowSeen is a row pushed by a peer, in any order and possibly stale.
 type RowSeen struct{ Row *replicaspb.Row }
 
 // SpecsChanged replaces the declared models and adapters.
@@ -61,7 +61,7 @@
 	Adapters []AdapterSpec
 }
 
-// Demanded says that a request waits for a model version and, perhaps, an adapter.
+// Demanded reports that a request waits for a model version and optionally an adapter.
 type Demanded struct {
 	Request        string
 	Model, Adapter string
@@ -69,13 +69,13 @@
 	Class          wirepb.Class
 }
 
-// DemandGone says that a waiting request was taken away: started, refused or cancelled.
+// DemandGone reports that a request no longer waits: it was started, refused or cancelled.
 type DemandGone struct{ Request string }
 
-// Started and Finished bracket a running request, which pins its model and adapter.
+// Started and Finished mark the start and end of a request, which pins its model and adapter while it runs.
 type Started struct{ Request, Model, Adapter string }
 
-// Finished ends what Started began.
+// Finished reports the end of a request reported by Started.
 type Finished struct{ Request string }
 
 // PermitGiven allows one load from the weight store to start until Expires.
@@ -84,23 +84,23 @@
 	Expires time.Time
 }
 
-// PermitDenied asks to come again at RetryAt.
+// PermitDenied rejects a permit request, which may be repeated at RetryAt.
 type PermitDenied struct {
 	ID      string
 	RetryAt time.Time
 }
 
-// OrderDone is the definite or unknown result of an order: Err is nil or one of endpoint's sentinels. It must come for
-// each order, after the order has left the process or can no longer leave it.
+// OrderDone is the result of an order: Err is nil or one of endpoint's sentinel errors, which may mean that the outcome
+// is unknown. It is required for each order, after the order was sent or can no longer be sent.
 type OrderDone struct {
 	ID  string
 	Err error
 }
 
-// Leaving says that the endpoint or the agent stops: no new load, running work goes on.
+// Leaving reports that the endpoint or the agent is stopping: no new loads start, running requests continue.
 type Leaving struct{}
 
-// Tick lets time pass.
+// Tick only advances the time.
 type Tick struct{}
 
 func (EngineRead) event()   {}
@@ -121,20 +121,20 @@
 // Action is an output of the machine.
 type Action interface{ action() }
 
-// GiveOrder tells the shell to send an order and report OrderDone.
+// GiveOrder requests that an order be sent to the engine and its result be reported by OrderDone.
 type GiveOrder struct {
 	Order endpoint.Order
-	// FromStore is set when the load is expected to read the weight store.
+	// FromStore is set if the load is expected to read from the weight store.
 	FromStore bool
 }
 
-// ReadEngine tells the shell to begin a read of the engine's state and report EngineRead or EngineLost. IDs rise.
+// ReadEngine requests a read of the engine's state, to be reported by EngineRead or EngineLost. IDs increase.
 type ReadEngine struct{ ID uint64 }
 
-// ReadRows tells the shell to read this engine's grants from the table and report RowsRead.
+// ReadRows requests a read of this engine's grants from the table, to be reported by RowsRead.
 type ReadRows struct{}
 
-// AskPermit tells the shell to ask for a permit.
+// AskPermit requests a permit for a load from the weight store.
 type AskPermit struct {
 	ID       string
 	Kind     wirepb.PermitKind
@@ -142,17 +142,17 @@
 	Deadline time.Time
 }
 
-// EndPermit tells the shell that a permit is no longer used.
+// EndPermit reports that a permit, or a request for one, is no longer needed.
 type EndPermit struct{ ID string }
 
-// Usable says that requests of a model version and adapter may run from now on; Adapter is empty for the model alone.
+// Usable reports that requests for a model version and adapter may start; Adapter is empty for the model alone.
 type Usable struct{ Model, Adapter string }
 
-// Unusable says that no further request of the model version (or only of the adapter) may start.
+// Unusable reports that no further request for the model version, or only for the adapter if set, may start.
 type Unusable struct{ Model, Adapter string }
 
-// RefuseDemand tells the shell to refuse all waiting requests of a model version and adapter (adapter empty: all), or,
-// with Request set, only that one.
+// RefuseDemand refuses all waiting requests of a model version, or of one adapter if set; with Request set, only that
+// one.
 type RefuseDemand struct {
 	Request        string
 	Model, Adapter string
@@ -161,14 +161,14 @@
 	Detail         string
 }
 
-// ConfirmRelease tells the entries that the engine holds nothing of the model version and that this agent will load
-// nothing under revisions up to Revision.
+// ConfirmRelease reports to the gateways that the engine does not hold the model version and that this agent will not
+// load it under any revision up to Revision.
 type ConfirmRelease struct {
 	Model    string
 	Revision uint64
 }
 
-// WantSlot asks the entries for another slot elsewhere.
+// WantSlot asks the gateways for a slot on another engine.
 type WantSlot struct {
 	Model  string
 	Reason wirepb.RefusalReason
@@ -188,26 +188,26 @@
 // Options are the settings of a Machine.
 type Options struct {
 	Engine string
-	// Host is the engine's host; a slot is this engine's only if it names both.
+	// Host is the engine's host; a slot belongs to this engine only if it names both.
 	Host string
-	// MemoryBytes is the engine's memory that the ledger may hand out.
+	// MemoryBytes is the engine memory that the ledger may allocate.
 	MemoryBytes int64
-	// ChecksFencing says that the engine refuses an order with an old fencing number.
+	// ChecksFencing is set if the engine rejects orders with a stale fencing number.
 	ChecksFencing bool
-	// OrderLife is the longest time for which an order may still take effect after the shell gave it up or its sender
-	// died. Of a model's load it means the beginning, which the engine's state shows; of an adapter's load the end.
+	// OrderLife is the longest time for which an order may still take effect after it was abandoned or its sender died.
+	// For a model load that means the start of the load, which the engine's state shows; for an adapter load, its end.
 	OrderLife time.Duration
-	// StateInterval is the time between reads of the engine's state without a cause.
+	// StateInterval is the time between periodic reads of the engine's state.
 	StateInterval time.Duration
-	// PermitPatience is how long a load waits for a permit before it starts without one, at a jittered time.
+	// PermitPatience is how long a load waits for a permit before it starts without one; the time is jittered.
 	PermitPatience time.Duration
-	// LoadsAtOnce is how many model versions load at the same time (2).
+	// LoadsAtOnce is the maximum number of concurrent loads of model versions (default 2).
 	LoadsAtOnce int
 	// Seed seeds the jitter.
 	Seed uint64
 }
 
-// ReplicaStatus is one replica's state as told to the entries.
+// ReplicaStatus is the state of one replica as reported to the gateways.
 type ReplicaStatus struct {
 	Model    string
 	State    wirepb.ReplicaState
@@ -217,7 +217,7 @@
 	Revision uint64
 }
 
-// Status is the machine's state as told to the entries.
+// Status is the machine's state as reported to the gateways.
 type Status struct {
 	Ready            bool
 	Leaving          bool
@@ -229,11 +229,11 @@
 	Cached           []string
 }
 
-// IdlePolicy says for how long an idle replica is kept loaded.
+// IdlePolicy determines how long an idle replica stays loaded.
 type IdlePolicy interface {
-	// Observe notes the arrival of a request for a model version.
+	// Observe records the arrival of a request for a model version.
 	Observe(model string, now time.Time)
-	// Keep returns how long the model version stays loaded after its last request ended, given the time that a cold
-	// start takes and the share of the engine's memory that it holds.
+	// Keep returns how long the model version stays loaded after its last request ended, given the duration of a cold
+	// start and the fraction of the engine's memory that it uses.
 	Keep(model string, now time.Time, coldStart time.Duration, memoryShare float64) time.Duration
 }
--- a/internal/loading/expect.go
+++ b/internal/loading/expect.go
@@ -7,22 +7,22 @@
 	"balsamsail/internal/endpoint"
 )
 
-// loadTimes are a model version's measured times of loads; 0 when none was measured.
+// loadTimes are a model version's average load durations; 0 if none was measured.
 type loadTimes struct {
 	store, cached time.Duration
 }
 
-// smoothing is the weight of the newest measured time.
+// smoothing is the weight of the newest measurement in the moving average.
 const smoothing = 0.3
 
-func smooth(former, newest time.Duration) time.Duration {
-	if former == 0 {
+func smooth(previous, newest time.Duration) time.Duration {
+	if previous == 0 {
 		return newest
 	}
-	return former + time.Duration(smoothing*float64(newest-former))
+	return previous + time.Duration(smoothing*float64(newest-previous))
 }
 
-// observeLoad takes in the time of a load that has ended.
+// observeLoad records the duration of a load.
 func (m *Machine) observeLoad(o *order) {
 	took := m.now.Sub(o.sentAt)
 	switch {
@@ -35,12 +35,12 @@
 	}
 }
 
-// isCached reports whether a load is expected not to read the weight store. Adapters always come from the store.
+// isCached reports whether a load is expected not to read from the weight store. Adapters always come from the store.
 func (m *Machine) isCached(h *holding) bool {
 	return !h.isAdapter() && m.engine.cached[h.replica.model] != ""
 }
 
-// expectedLoad returns how long a load is expected to take; 0 when not known.
+// expectedLoad returns the expected duration of a load; 0 if unknown.
 func (m *Machine) expectedLoad(h *holding) time.Duration {
 	if h.isAdapter() {
 		return m.adapterTime
@@ -54,7 +54,7 @@
 	return m.models[h.replica.model].ExpectedLoad
 }
 
-// coldStart returns the time of a cold start of a loaded replica, for the idle policy.
+// coldStart returns the expected duration of a cold start of a loaded replica, for the idle policy.
 func (m *Machine) coldStart(r *replica) time.Duration {
 	if expected := m.expectedLoad(&r.holding); expected > 0 {
 		return expected
@@ -62,8 +62,8 @@
 	return m.models[r.model].ExpectedLoad
 }
 
-// readyAt returns the earliest time at which requests of a target that is not usable may run, or false when nothing is
-// known of it. It errs on the early side, so that no request is refused that could have been served.
+// readyAt returns the earliest time at which requests for an unusable target may run, or false if there is no estimate.
+// The estimate is a lower bound, so that no request is refused that could have been served.
 func (m *Machine) readyAt(target *holding, deadline time.Time) (time.Time, bool) {
 	r := target.replica
 	at, known := m.loadedAt(&r.holding, deadline)
@@ -90,14 +90,15 @@
 	return start.Add(expected), expected > 0 || start.After(m.now)
 }
 
-// startAt returns the earliest time at which a load may start: after what blocks it and the loads ahead of it.
+// startAt returns the earliest time at which a load may start, given the orders that block it and the loads ahead of
+// it.
 func (m *Machine) startAt(h *holding, deadline time.Time) time.Time {
 	start := m.now
 	if !m.options.ChecksFencing {
-		start = later(start, m.spentAt(&m.predecessor))
+		start = later(start, m.expiresAt(&m.predecessor))
 	}
-	if h.state == unknown && h.shown != shownBetween && !m.mayOrder(h) {
-		start = later(start, m.doubtsEnd(h))
+	if h.state == unknown && h.observed != observedTransient && !m.mayOrder(h) {
+		start = later(start, m.unresolvedUntil(h))
 	}
 	if h.isAdapter() {
 		return start
@@ -105,7 +106,8 @@
 	return start.Add(m.queueTime(h, deadline.Add(-m.expectedLoad(h))))
 }
 
-// queueTime returns how long a load waits for those in flight and those that are more urgent, as LoadsAtOnce go at a time.
+// queueTime returns how long a load waits for loads in flight and for more urgent ones, with LoadsAtOnce running
+// concurrently.
 func (m *Machine) queueTime(h *holding, urgency time.Time) time.Duration {
 	busy := make([]time.Duration, m.options.LoadsAtOnce)
 	add := func(d time.Duration) {
--- a/internal/loading/fence.go
+++ b/internal/loading/fence.go
@@ -1,25 +1,25 @@
 package loading
 
-// fenceCounterBits is how many bits of a fencing number count the orders given at one table revision.
+// fenceCounterBits is the number of bits of a fencing number that count the orders at one table revision.
 const fenceCounterBits = 24
 
-// fenceSource makes fencing numbers that only rise, also from one agent of an engine to the next.
+// fenceSource generates fencing numbers that increase strictly, also across successive agents of an engine.
 //
-// The upper bits are the highest table revision known. Each agent writes to the table before its first read, so the
-// revision that it starts from is above all that its predecessors have seen, and no predecessor's order, however late,
-// carries a number as high as this agent's first.
+// The upper bits are the highest known table revision. Each agent writes to the table before its first read, so its
+// initial revision is above all that previous agents have seen, and no order of a previous agent has a number as high
+// as the first of this agent.
 type fenceSource struct {
 	revision uint64
 	last     uint64
 }
 
-// observeRevision notes a table revision.
+// observeRevision records a table revision.
 func (f *fenceSource) observeRevision(revision uint64) { f.revision = max(f.revision, revision) }
 
-// observeFence notes a number that the engine has seen; the next one will be above it.
+// observeFence records a number that the engine has seen; the next one will be higher.
 func (f *fenceSource) observeFence(fence uint64) { f.last = max(f.last, fence) }
 
-// next returns the next number, or false when all numbers of the highest revision known are used up.
+// next returns the next number, or false if the numbers of the highest known revision are used up.
 func (f *fenceSource) next() (uint64, bool) {
 	fence := max(f.last+1, f.revision<<fenceCounterBits)
 	if fence == 0 || fence>>fenceCounterBits > f.revision {
@@ -28,7 +28,7 @@
 	return fence, true
 }
 
-// take uses up the next number.
+// take returns the next number and advances the sequence.
 func (f *fenceSource) take() uint64 {
 	fence, ok := f.next()
 	if !ok {
@@ -38,10 +38,10 @@
 	return fence
 }
 
-// accepted is the newest order that the engine's present incarnation is known to have carried out: orders with lower
-// numbers that arrive later are refused where the engine checks them.
+// accepted is the highest fencing number that the engine's current incarnation is known to have accepted. If the engine
+// checks fencing numbers, it rejects later arrivals with lower ones.
 type accepted struct {
 	fence uint64
-	// step is when the machine learnt it.
+	// step is the step in which the machine received the result.
 	step uint64
 }
--- a/internal/loading/holding.go
+++ b/internal/loading/holding.go
@@ -6,11 +6,11 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// state is what the machine knows of a model version or adapter in the engine's memory.
+// state is the known state of a model version or adapter in the engine's memory.
 type state int
 
 const (
-	// absent: the engine does not hold it and no order is under way that would load it.
+	// absent: the engine does not hold it and no order in flight would load it.
 	absent state = iota
 	// loading: a load order is in flight.
 	loading
@@ -18,11 +18,11 @@
 	loaded
 	// unloading: an unload order is in flight.
 	unloading
-	// unknown: an order's result is not known, or the engine shows something in between.
+	// unknown: the outcome of an order is unknown, or the engine reports a load or unload in progress.
 	unknown
 )
 
-// replicaStates turns a state into that of the status.
+// replicaStates maps a state to that of the status report.
 var replicaStates = map[state]wirepb.ReplicaState{
 	absent:    wirepb.ReplicaState_ABSENT,
 	loading:   wirepb.ReplicaState_LOADING,
@@ -31,49 +31,51 @@
 	unknown:   wirepb.ReplicaState_UNKNOWN,
 }
 
-// shown is how the engine's state showed a model version or adapter.
-type shown int
+// observation is the state of a model version or adapter in a read of the engine's state.
+type observation int
 
 const (
-	// shownNothing: no read since the last order tells.
-	shownNothing shown = iota
-	shownAbsent
-	shownLoaded
-	// shownBetween: being loaded or unloaded.
-	shownBetween
+	// observedNothing: there was no read since the last order.
+	observedNothing observation = iota
+	observedAbsent
+	observedLoaded
+	// observedTransient: being loaded or unloaded.
+	observedTransient
 )
 
-// holding is a model version or an adapter as the engine's memory may hold it.
+// holding is a model version or an adapter that the engine's memory may hold.
 type holding struct {
 	replica *replica
 	// adapter is empty for the model version itself.
 	adapter string
 
 	state state
-	// bytes are the weights that the ledger counts while the state is not absent, and kvFloor what is kept free beside.
+	// bytes is the size of the weights, and kvFloor the minimum KV cache, that the ledger reserves unless the state is
+	// absent.
 	bytes, kvFloor int64
-	// adopted is set when the engine was found to hold it, so that its size must come from the declarations.
+	// adopted is set if the engine holds it without an order of this agent, so that its size must come from the
+	// declarations.
 	adopted bool
 
-	// order is in flight; doubts have ended without a definite result.
-	order  *order
-	doubts []*order
-	// settled is the step at which the last order ended: reads that began before it tell nothing.
-	settled uint64
-	// shown is what the newest read that tells something showed, and shownAt when that read began.
-	shown   shown
-	shownAt time.Time
+	// order is the order in flight; unresolved are those that ended with an unknown outcome.
+	order      *order
+	unresolved []*order
+	// orderEndedStep is the step at which the last order ended; reads that began before it are ignored.
+	orderEndedStep uint64
+	// observed is the result of the newest applicable read, and observedAt when that read began.
+	observed   observation
+	observedAt time.Time
 
-	// announced is set while requests may run.
+	// announced is set while it is reported as usable.
 	announced bool
 	running   int
 	waiting   int
 	idleSince time.Time
-	// wishUntil keeps a load wanted, and its result in memory, for callers that were told when to come back.
-	wishUntil time.Time
+	// wantedUntil keeps a load wanted, and its result in memory, for callers that were told when to retry.
+	wantedUntil time.Time
 
 	failures int
-	// retryAt is when the next load may be tried after a failure, and unloadAt the next unload.
+	// retryAt is the time of the next load attempt after a failure, and unloadAt of the next unload attempt.
 	retryAt, unloadAt time.Time
 	permit            permit
 }
@@ -84,27 +86,28 @@
 	model    string
 	adapters ordered[*holding]
 	demands  map[string]*demand
-	// earliest is the first deadline of the waiting requests; stale when it must be looked for again.
+	// earliest is the earliest deadline of the waiting requests; earliestStale is set if it must be recomputed.
 	earliest      time.Time
 	earliestStale bool
-	// keepUntil is when the idle replica is due to be unloaded; zero when not worked out.
+	// keepUntil is when the idle replica is due to be unloaded; zero if not computed.
 	keepUntil time.Time
 	keep      time.Duration
-	// warmAt is when a load that only keeps the replica warm may be tried again, after crowded tries without room.
-	warmAt  time.Time
-	crowded int
-	// adaptersAt is when the idle adapters are looked at next.
-	adaptersAt time.Time
-	times      loadTimes
+	// warmRetryAt is the next attempt at a load that only keeps the replica warm, after noRoomCount attempts without
+	// room.
+	warmRetryAt time.Time
+	noRoomCount int
+	// nextAdapterCheck is when the idle adapters are checked next.
+	nextAdapterCheck time.Time
+	times            loadTimes
 
 	dirty bool
-	// due is when the replica is looked at again, at position place of the timers; zero when it is not there.
-	due   time.Time
-	place int
+	// due is when the replica must be reconciled again, and heapIndex its index in the timers.
+	due       time.Time
+	heapIndex int
 }
 
 func newReplica(model string) *replica {
-	r := &replica{model: model, demands: map[string]*demand{}, place: notPlaced}
+	r := &replica{model: model, demands: map[string]*demand{}, heapIndex: notScheduled}
 	r.replica = r
 	return r
 }
@@ -115,11 +118,11 @@
 // isAdapter reports whether a holding is an adapter.
 func (h *holding) isAdapter() bool { return h.adapter != "" }
 
-// isIdle reports whether nothing runs on a holding, nothing waits for it and no order for it is in flight.
+// isIdle reports whether a holding has no running or waiting requests and no order in flight.
 func (h *holding) isIdle() bool { return h.running == 0 && h.waiting == 0 && h.order == nil }
 
-// adapterOrder reports whether an order for one of the adapters is in flight.
-func (r *replica) adapterOrder() bool {
+// adapterOrderInFlight reports whether an order for one of the adapters is in flight.
+func (r *replica) adapterOrderInFlight() bool {
 	for _, a := range r.adapters {
 		if a.order != nil {
 			return true
@@ -128,50 +131,50 @@
 	return false
 }
 
-// liveDoubt reports whether an order of unknown result may still take effect.
-func (m *Machine) liveDoubt(h *holding) bool {
-	for _, o := range h.doubts {
-		if !m.overNow(o) {
+// unresolvedPending reports whether an order of unknown outcome may still take effect.
+func (m *Machine) unresolvedPending(h *holding) bool {
+	for _, o := range h.unresolved {
+		if !m.ineffectiveNow(o) {
 			return true
 		}
 	}
 	return false
 }
 
-// doubtsEnd is when the last order of unknown result is over at the latest; zero when there is none.
-func (m *Machine) doubtsEnd(h *holding) time.Time {
+// unresolvedUntil returns when the last order of unknown outcome expires; zero if there is none.
+func (m *Machine) unresolvedUntil(h *holding) time.Time {
 	end := time.Time{}
-	for _, o := range h.doubts {
-		if !m.overNow(o) && m.spentAt(o).After(end) {
-			end = m.spentAt(o)
+	for _, o := range h.unresolved {
+		if !m.ineffectiveNow(o) && m.expiresAt(o).After(end) {
+			end = m.expiresAt(o)
 		}
 	}
 	return end
 }
 
-// replica returns the record of a model version, and makes it if there is none.
+// replica returns the record of a model version, creating it if needed.
 func (m *Machine) replica(model string) *replica {
 	r := m.replicas.get(model)
 	if r == nil {
 		r = newReplica(model)
 		m.replicas.insert(r)
-		m.inherit(&r.holding)
+		m.initObservation(&r.holding)
 	}
 	return r
 }
 
-// adapterOf returns the record of an adapter, and makes it if there is none.
+// adapterOf returns the record of an adapter, creating it if needed.
 func (m *Machine) adapterOf(r *replica, adapter string) *holding {
 	a := r.adapters.get(adapter)
 	if a == nil {
 		a = &holding{replica: r, adapter: adapter}
 		r.adapters.insert(a)
-		m.inherit(a)
+		m.initObservation(a)
 	}
 	return a
 }
 
-// find returns the record of a model version, or with an adapter named of that; nil if there is none.
+// find returns the record of a model version, or of its adapter if one is named; nil if there is none.
 func (m *Machine) find(model, adapter string) *holding {
 	r := m.replicas.get(model)
 	switch {
@@ -184,10 +187,11 @@
 	}
 }
 
-// inherit gives a new record what the last read showed: that the engine does not hold it, or there would be a record.
-func (m *Machine) inherit(h *holding) {
+// initObservation sets the observation of a new record from the last read: if the engine held it, it would have a
+// record.
+func (m *Machine) initObservation(h *holding) {
 	if m.engine.known {
-		h.shown = shownAbsent
-		h.shownAt = m.engine.readAt
+		h.observed = observedAbsent
+		h.observedAt = m.engine.readAt
 	}
 }
--- a/internal/loading/idle.go
+++ b/internal/loading/idle.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// keepTime returns how long a replica is kept loaded after it became idle.
+// keepTime returns how long a replica stays loaded after it became idle.
 func (m *Machine) keepTime(r *replica) time.Duration {
 	share := 0.0
 	if limit := m.limit(); limit > 0 {
@@ -11,31 +11,31 @@
 	return m.policy.Keep(r.model, m.now, m.coldStart(r), share)
 }
 
-// tendIdle unloads a replica that has been idle for as long as the policy keeps it, and its adapters likewise.
-func (m *Machine) tendIdle(r *replica) {
+// reconcileIdle unloads a replica, or its adapters, after they have been idle for the time that the policy keeps them.
+func (m *Machine) reconcileIdle(r *replica) {
 	if r.state != loaded || r.order != nil || !m.granted(r) {
 		return
 	}
 	if r.isIdle() && !m.warm(r) {
-		m.tendIdleReplica(r)
+		m.unloadIdleReplica(r)
 	}
 	if r.state == loaded && len(r.adapters) > 0 {
-		m.tendIdleAdapters(r)
+		m.unloadIdleAdapters(r)
 	}
 }
 
-func (m *Machine) tendIdleReplica(r *replica) {
+func (m *Machine) unloadIdleReplica(r *replica) {
 	if r.keepUntil.IsZero() {
 		r.keep = m.keepTime(r)
-		r.keepUntil = later(r.idleSince.Add(r.keep), r.wishUntil)
+		r.keepUntil = later(r.idleSince.Add(r.keep), r.wantedUntil)
 	}
 	if m.now.Before(r.keepUntil) {
 		m.wakeAt(r, r.keepUntil)
 		return
 	}
-	// What the policy learnt since may keep the replica longer.
+	// The policy may have observed requests since and return a longer time.
 	r.keep = m.keepTime(r)
-	r.keepUntil = later(r.idleSince.Add(r.keep), r.wishUntil)
+	r.keepUntil = later(r.idleSince.Add(r.keep), r.wantedUntil)
 	if m.now.Before(r.keepUntil) {
 		m.wakeAt(r, r.keepUntil)
 		return
@@ -45,10 +45,10 @@
 	}
 }
 
-// tendIdleAdapters unloads adapters that were idle for as long as their model version would be kept.
-func (m *Machine) tendIdleAdapters(r *replica) {
-	if m.now.Before(r.adaptersAt) {
-		m.wakeAt(r, r.adaptersAt)
+// unloadIdleAdapters unloads adapters that have been idle for the time that their model version would be kept.
+func (m *Machine) unloadIdleAdapters(r *replica) {
+	if m.now.Before(r.nextAdapterCheck) {
+		m.wakeAt(r, r.nextAdapterCheck)
 		return
 	}
 	keep := m.keepTime(r)
@@ -57,7 +57,7 @@
 		if a.state != loaded || !a.isIdle() {
 			continue
 		}
-		until := later(a.idleSince.Add(keep), a.wishUntil)
+		until := later(a.idleSince.Add(keep), a.wantedUntil)
 		if m.now.Before(until) {
 			next = earlier(next, until)
 			continue
@@ -69,19 +69,19 @@
 	if next.IsZero() {
 		next = m.now.Add(max(keep, pollInterval))
 	}
-	r.adaptersAt = next
+	r.nextAdapterCheck = next
 	m.wakeAt(r, next)
 }
 
-// tryUnload orders an unload if one may be ordered now.
+// tryUnload orders an unload if that is currently allowed.
 func (m *Machine) tryUnload(h *holding) bool {
 	r := h.replica
 	if !m.canOrder() || !m.mayOrder(h) || m.now.Before(h.unloadAt) {
 		return false
 	}
-	if h.running > 0 || r.order != nil || h.isAdapter() && r.state != loaded || !h.isAdapter() && r.adapterOrder() {
+	if h.running > 0 || r.order != nil || h.isAdapter() && r.state != loaded || !h.isAdapter() && r.adapterOrderInFlight() {
 		return false
 	}
-	m.giveUnload(h)
+	m.orderUnload(h)
 	return true
 }
--- a/internal/loading/idle/histogram.go
+++ b/internal/loading/idle/histogram.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// bucketCount and bucketRatio give buckets from a second to 33 hours, each 1.4 times as long as the one before.
+	// bucketCount and bucketRatio define buckets from 1 second to 33 hours, each 1.4 times as long as the one before.
 	bucketCount = 36
 	bucketRatio = 1.4
-	// agingSteps is how often within a half-life the counts are aged.
+	// agingSteps is the number of times per half-life that the counts are aged.
 	agingSteps = 16
 )
 
-// edges are the bounds of the buckets in seconds: bucket i holds the gaps from edges[i] to edges[i+1].
+// edges are the bucket bounds in seconds: bucket i holds the gaps from edges[i] to edges[i+1].
 var edges = bucketEdges()
 
 func bucketEdges() [bucketCount + 1]float64 {
@@ -24,7 +24,7 @@
 	return e
 }
 
-// bucketOf returns the bucket of a gap; the last one takes all that are longer.
+// bucketOf returns the bucket of a gap; the last one also takes all longer gaps.
 func bucketOf(gap time.Duration) int {
 	seconds := gap.Seconds()
 	if seconds < 1 {
@@ -33,24 +33,24 @@
 	return min(1+int(math.Log(seconds)/math.Log(bucketRatio)), bucketCount-1)
 }
 
-// histogram counts gaps, older ones for less.
+// histogram counts gaps, with weights that decay exponentially with age.
 type histogram struct {
-	counts [bucketCount]float32
-	aged   time.Time
+	counts   [bucketCount]float32
+	lastAged time.Time
 }
 
-// add counts a gap that ended now.
+// add counts a gap that ended at now.
 func (h *histogram) add(gap time.Duration, now time.Time, halfLife time.Duration) {
 	h.age(now, halfLife)
 	h.counts[bucketOf(gap)]++
 }
 
-// age halves the counts once in a half-life.
+// age decays the counts with the given half-life.
 func (h *histogram) age(now time.Time, halfLife time.Duration) {
-	if h.aged.IsZero() {
-		h.aged = now
+	if h.lastAged.IsZero() {
+		h.lastAged = now
 	}
-	passed := now.Sub(h.aged)
+	passed := now.Sub(h.lastAged)
 	if passed < halfLife/agingSteps {
 		return
 	}
@@ -58,15 +58,15 @@
 	for i := range h.counts {
 		h.counts[i] *= factor
 	}
-	h.aged = now
+	h.lastAged = now
 }
 
 // hazards holds for each bucket the probability that a gap which reached the bucket ends in it.
 type hazards [bucketCount]float64
 
-// unknown returns the hazards of a gap of which nothing is known: on a logarithmic scale its likelihood falls linearly from
-// the shortest to the longest bucket. A flat likelihood gave up too early on models with few long gaps yet.
-func unknown() hazards {
+// defaultHazards returns the prior used without any observations: on a logarithmic scale the likelihood falls linearly
+// from the shortest to the longest bucket. A flat likelihood unloaded models too early that had few long gaps so far.
+func defaultHazards() hazards {
 	var hz hazards
 	for i := range hz {
 		hz[i] = min(1, 2/float64(bucketCount-i))
@@ -74,8 +74,8 @@
 	return hz
 }
 
-// hazards estimates the hazards from the counts. In each bucket the prior weighs as much as strength gaps that reached it,
-// so that it decides where the model's own gaps say little: its few long ones.
+// hazards estimates the hazards from the counts. In each bucket the prior weighs as much as strength gaps that reached
+// it, so that it dominates where the model has few gaps of its own: the long ones.
 func (h *histogram) hazards(prior hazards, strength float64) hazards {
 	var hz hazards
 	reached := 0.0
@@ -87,8 +87,8 @@
 	return hz
 }
 
-// cheapestKeep returns the keep-alive time of least expected cost: a gap that is longer than the time costs a cold start,
-// and the time for which the model is held idle costs idleRate a second.
+// cheapestKeep returns the keep-alive time of least expected cost: a gap longer than that time costs a cold start, and
+// holding the model idle costs idleRate per second.
 func (hz hazards) cheapestKeep(coldStartCost, idleRate float64) time.Duration {
 	best, bestCost := 0.0, coldStartCost
 	reached, heldForEnded := 1.0, 0.0
--- a/internal/loading/idle/hold.go
+++ b/internal/loading/idle/hold.go
@@ -12,26 +12,27 @@
 	DefaultMarginLoads = 6
 )
 
-// The part of the slack for which a batch request is held; models differ in it, so that the end of a night doesn't wake
-// all of them together.
+// The fraction of the slack for which a batch request is held. It varies by model, so that requests with a common
+// deadline do not wake all models at once.
 const (
-	leastHeldShare = 0.5
-	mostHeldShare  = 0.9
+	minHeldShare = 0.5
+	maxHeldShare = 0.9
 )
 
-// HoldOptions are the settings of a hold. Zero values mean the defaults.
+// HoldOptions are the settings of HoldUntil. Zero values mean the defaults.
 type HoldOptions struct {
-	// Margin is the least time that is left before the deadline for the load, the work and a retry elsewhere.
+	// Margin is the minimum time to leave before the deadline for the load, the work and a retry on another engine.
 	Margin time.Duration
-	// MarginLoads is the same as a multiple of the expected load, as a store at its limit of loads takes longer.
+	// MarginLoads is the same margin as a multiple of the expected load, because loads slow down when the store is
+	// saturated.
 	MarginLoads int
-	// Longest bounds a hold; 0 means that only the deadline does.
+	// Longest bounds the hold; 0 means no bound other than the deadline.
 	Longest time.Duration
 }
 
-// HoldUntil returns until when a batch request for a cold model version may wait for others before it wakes the model,
-// so that one load serves many. It returns now if the deadline leaves no room. Whoever holds several requests wakes the
-// model at the earliest of their times, or joins a load that a waiting caller caused.
+// HoldUntil returns until when a batch request for a cold model version may wait for others before it triggers a load,
+// so that one load serves many. It returns now if the deadline leaves no time. A caller that holds several requests
+// should trigger the load at the earliest of their times, or share a load triggered by an interactive request.
 func HoldUntil(model string, now, deadline time.Time, expectedLoad time.Duration, opts HoldOptions) time.Time {
 	if opts.Margin <= 0 {
 		opts.Margin = DefaultMargin
@@ -51,9 +52,9 @@
 	return now.Add(held)
 }
 
-// heldShare spreads the models over the range of shares.
+// heldShare returns the fraction of the slack for a model, spread over the allowed range by a hash of its name.
 func heldShare(model string) float64 {
 	const steps = 1 << 16
 	place := float64(xxhash.Sum64String(model)%steps) / steps
-	return leastHeldShare + place*(mostHeldShare-leastHeldShare)
+	return minHeldShare + place*(maxHeldShare-minHeldShare)
 }
--- a/internal/loading/idle/policy.go
+++ b/internal/loading/idle/policy.go
@@ -1,12 +1,12 @@
-// Package idle decides for how long an idle model version stays loaded, and for how long a batch request may wait for
-// others before it wakes a cold one.
+// Package idle decides how long an idle model version stays loaded, and how long a batch request may be held before it
+// triggers a load of a cold one.
 //
-// The policy learns a histogram of the gaps between requests of each model version, as the hybrid histogram policy of
+// The policy keeps a histogram of the gaps between requests of each model version, like the hybrid histogram policy of
 // "Serverless in the Wild: Characterizing and Optimizing the Serverless Workload at a Large Cloud Provider" (Shahrad et
-// al., USENIX ATC 2020) does. It differs in two points. The keep-alive time is not a percentile of the gaps but the time
-// of least expected cost under the operator's two weights, so that a slow load or a small model is kept for longer. And a
-// model with few requests borrows from the gaps of all models, instead of a fixed time, so that a policy that lost its
-// memory with its host starts well.
+// al., USENIX ATC 2020). It differs in two points. The keep-alive time is not a percentile of the gaps but the time of
+// least expected cost under the operator's two weights, so that a model that loads slowly or is small is kept longer.
+// And for a model with few requests it uses the gaps of all models as a prior instead of a fixed time, so that a policy
+// that lost its history with its host recovers quickly.
 package idle
 
 import (
@@ -22,22 +22,22 @@
 	DefaultMaxModels = 4096
 )
 
-// priorStrength is how many gaps weigh as much as what was known before: for a model what all models do, and for all
-// models what is assumed of a gap of which nothing is known.
+// priorStrength is the weight of a prior in gaps. The prior of a model is the distribution over all models, and the
+// prior of that distribution is defaultHazards.
 const priorStrength = 2
 
-// Options are the settings of a Policy. Only the ratio of the two weights matters for the choice; both zero mean the
+// Options are the settings of a Policy. Only the ratio of the two weights affects the result; both zero mean the
 // defaults.
 type Options struct {
 	// ColdStartWeight is the cost of one second that a request waits for a cold start.
 	ColdStartWeight float64
-	// IdleWeight is the cost of one second in which a whole accelerator is held by an idle model.
+	// IdleWeight is the cost of one second in which an idle model occupies a whole accelerator.
 	IdleWeight float64
 	// Min and Max bound the time that an idle model stays loaded; a zero Max means the default.
 	Min, Max time.Duration
-	// HalfLife is the time after which an observed gap counts half (optional).
+	// HalfLife is the age at which the weight of an observed gap is halved (optional).
 	HalfLife time.Duration
-	// MaxModels bounds the model versions that are remembered (optional).
+	// MaxModels bounds the number of model versions with a history (optional).
 	MaxModels int
 }
 
@@ -56,36 +56,36 @@
 	return o
 }
 
-// history is what is known of one model version.
+// history is the request history of one model version.
 type history struct {
 	gaps histogram
 	last time.Time
 }
 
-// Policy learns each model version's gaps between requests. It is a state machine without clock or I/O and not safe for
-// concurrent use.
+// Policy learns the gaps between requests of each model version. It is a state machine without clock or I/O and is not
+// safe for concurrent use.
 type Policy struct {
 	opts   Options
 	models map[string]*history
-	// all holds the gaps of all model versions.
+	// all counts the gaps of all model versions.
 	all histogram
 }
 
 var _ loading.IdlePolicy = (*Policy)(nil)
 
-// NewPolicy returns a Policy that has seen no requests.
+// NewPolicy returns a Policy without any history.
 func NewPolicy(opts Options) *Policy {
 	p := &Policy{opts: opts.withDefaults(), models: map[string]*history{}}
 	p.SetWeights(opts.ColdStartWeight, opts.IdleWeight)
 	return p
 }
 
-// Observe notes the arrival of a request for a model version whose caller waits. Requests that may be held back are not
-// told to the policy, as they don't say when the next caller comes.
+// Observe records the arrival of a request for a model version whose caller is waiting. Requests that may be held must
+// not be passed to it, as they do not predict when the next interactive request arrives.
 func (p *Policy) Observe(model string, now time.Time) {
 	h := p.models[model]
 	if h == nil {
-		p.makeRoom()
+		p.evictOldest()
 		p.models[model] = &history{last: now}
 		return
 	}
@@ -95,8 +95,8 @@
 	h.last = now
 }
 
-// makeRoom forgets the model version whose last request is the longest ago, if there are too many.
-func (p *Policy) makeRoom() {
+// evictOldest drops the history of the model version that was requested least recently if the limit is reached.
+func (p *Policy) evictOldest() {
 	if len(p.models) < p.opts.MaxModels {
 		return
 	}
@@ -109,22 +109,22 @@
 	delete(p.models, oldest)
 }
 
-// Keep returns how long the model version stays loaded after its last request ended, which is at now. The answer doesn't
-// change with now until the next request is observed, so it may also be asked for again while the model is idle.
+// Keep returns how long the model version stays loaded after its last request ended at now. The result is the same for
+// later values of now until the next request is observed, so it may be queried again while the model is idle.
 func (p *Policy) Keep(model string, now time.Time, coldStart time.Duration, memoryShare float64) time.Duration {
 	coldStartCost := p.opts.ColdStartWeight * coldStart.Seconds()
 	idleRate := p.opts.IdleWeight * memoryShare
 	if idleRate <= 0 {
 		return p.opts.Max
 	}
-	hz := p.all.hazards(unknown(), priorStrength)
+	hz := p.all.hazards(defaultHazards(), priorStrength)
 	h := p.models[model]
 	if h != nil {
 		hz = h.gaps.hazards(hz, priorStrength)
 	}
 	keep := min(max(hz.cheapestKeep(coldStartCost, idleRate), p.opts.Min), p.opts.Max)
 	if h != nil && now.Sub(h.last) > keep {
-		// The last caller was here longer ago than the model is worth keeping: only held requests woke it.
+		// The last interactive request is older than the keep time, so only held requests have used the model since.
 		return p.opts.Min
 	}
 	return keep
--- a/internal/loading/idle/policy_test.go
+++ b/internal/loading/idle/policy_test.go
@@ -15,8 +15,9 @@
 
 var epoch = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-// taught returns a policy that saw a model's requests with a gap each, and the time of the last one.
-func taught(opts Options, model string, gaps ...time.Duration) (*Policy, time.Time) {
+// trainedPolicy returns a policy that has observed requests of a model with the given gaps, and the time of the last
+// one.
+func trainedPolicy(opts Options, model string, gaps ...time.Duration) (*Policy, time.Time) {
 	p := NewPolicy(opts)
 	now := epoch
 	p.Observe(model, now)
@@ -46,20 +47,20 @@
 		after    time.Duration
 		from, to time.Duration
 	}{
-		{name: "keeps over gaps that are cheaper than a cold start", opts: weights, gaps: repeat(5*time.Minute, 50), from: 5 * time.Minute, to: 10 * time.Minute},
-		{name: "drops at once before gaps that cost more", opts: weights, gaps: repeat(3*time.Hour, 50), from: 0, to: time.Minute},
-		{name: "keeps over the gaps in a session but not between them", opts: weights,
+		{name: "keeps through gaps that are cheaper than a cold start", opts: weights, gaps: repeat(5*time.Minute, 50), from: 5 * time.Minute, to: 10 * time.Minute},
+		{name: "unloads at once if the gaps cost more", opts: weights, gaps: repeat(3*time.Hour, 50), from: 0, to: time.Minute},
+		{name: "keeps through the gaps within a session but not between sessions", opts: weights,
 			gaps: append(repeat(time.Minute, 100), repeat(4*time.Hour, 20)...), from: time.Minute, to: 3 * time.Minute},
-		{name: "does not keep what only held requests woke", opts: weights, gaps: repeat(5*time.Minute, 50), after: 6 * time.Hour, from: 0, to: 0},
-		{name: "no weight of cold starts drops at once", opts: Options{IdleWeight: 1}, gaps: repeat(5*time.Minute, 50), from: 0, to: 0},
-		{name: "no weight of idle time keeps for the longest time", opts: Options{ColdStartWeight: 1, Max: time.Hour}, gaps: repeat(5*time.Minute, 50), from: time.Hour, to: time.Hour},
-		{name: "bounded from below", opts: Options{IdleWeight: 1, Min: time.Minute}, gaps: repeat(5*time.Minute, 50), from: time.Minute, to: time.Minute},
-		{name: "bounded from above", opts: Options{ColdStartWeight: 1e9, IdleWeight: 1, Max: time.Minute}, gaps: repeat(5*time.Minute, 50), from: time.Minute, to: time.Minute},
-		{name: "a model with no gaps yet is kept for less than a cold start costs", opts: weights, from: time.Second, to: 20 * time.Minute},
+		{name: "does not keep a model that only held requests have loaded", opts: weights, gaps: repeat(5*time.Minute, 50), after: 6 * time.Hour, from: 0, to: 0},
+		{name: "zero cold start weight unloads at once", opts: Options{IdleWeight: 1}, gaps: repeat(5*time.Minute, 50), from: 0, to: 0},
+		{name: "zero idle weight keeps for Max", opts: Options{ColdStartWeight: 1, Max: time.Hour}, gaps: repeat(5*time.Minute, 50), from: time.Hour, to: time.Hour},
+		{name: "bounded by Min", opts: Options{IdleWeight: 1, Min: time.Minute}, gaps: repeat(5*time.Minute, 50), from: time.Minute, to: time.Minute},
+		{name: "bounded by Max", opts: Options{ColdStartWeight: 1e9, IdleWeight: 1, Max: time.Minute}, gaps: repeat(5*time.Minute, 50), from: time.Minute, to: time.Minute},
+		{name: "a model without gaps is kept for less than the cost of a cold start", opts: weights, from: time.Second, to: 20 * time.Minute},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p, last := taught(c.opts, "m@1", c.gaps...)
+			p, last := trainedPolicy(c.opts, "m@1", c.gaps...)
 			got := p.Keep("m@1", last.Add(c.after), coldStart, share)
 			if got < c.from || got > c.to {
 				t.Errorf("kept for %s, want %s to %s", got, c.from, c.to)
@@ -68,34 +69,34 @@
 	}
 }
 
-// A slow load and a small model are worth keeping for longer; what all models do helps one that is seldom asked for.
+// A slow load or a small model must be kept longer, and a model with few requests must use the gaps of all models.
 func TestKeepFollowsCostAndNeighbours(t *testing.T) {
 	weights := Options{ColdStartWeight: 15, IdleWeight: 1}
-	p, last := taught(weights, "m@1", repeat(12*time.Minute, 50)...)
+	p, last := trainedPolicy(weights, "m@1", repeat(12*time.Minute, 50)...)
 	if fast, slow := p.Keep("m@1", last, 5*time.Second, 0.25), p.Keep("m@1", last, 40*time.Second, 0.25); fast >= slow {
 		t.Errorf("kept for %s with a fast load, %s with a slow one", fast, slow)
 	}
 	if large, small := p.Keep("m@1", last, 10*time.Second, 1), p.Keep("m@1", last, 10*time.Second, 0.05); large >= small {
-		t.Errorf("kept for %s with much memory, %s with little", large, small)
+		t.Errorf("kept for %s with a large memory share, %s with a small one", large, small)
 	}
 	alone := NewPolicy(weights).Keep("new@1", last, 20*time.Second, 0.25)
 	borrowed := p.Keep("new@1", last, 20*time.Second, 0.25)
 	if alone >= 12*time.Minute || borrowed < 12*time.Minute {
-		t.Errorf("a new model is kept for %s beside neighbours with gaps of 12m, for %s alone", borrowed, alone)
+		t.Errorf("a new model is kept for %s with other models' gaps of 12m, for %s without", borrowed, alone)
 	}
 }
 
-// Declared weights come and change while the policy runs; before any are declared it neither drops at once nor keeps for
-// ever.
+// Declared weights may arrive and change while the policy runs. Without them it must neither unload immediately nor
+// keep models forever.
 func TestSetWeights(t *testing.T) {
-	p, last := taught(Options{}, "m@1", repeat(12*time.Minute, 50)...)
+	p, last := trainedPolicy(Options{}, "m@1", repeat(12*time.Minute, 50)...)
 	keep := func() time.Duration { return p.Keep("m@1", last, 20*time.Second, 0.25) }
 	if got := keep(); got < 12*time.Minute || got > 20*time.Minute {
 		t.Errorf("kept for %s without declared weights", got)
 	}
 	p.SetWeights(2, 1)
 	if got := keep(); got > time.Minute {
-		t.Errorf("kept for %s when idle time is dear", got)
+		t.Errorf("kept for %s with a low cold start weight", got)
 	}
 	p.SetWeights(0, 0)
 	if got := keep(); got < 12*time.Minute {
@@ -103,16 +104,16 @@
 	}
 }
 
-// A model whose demand changed is judged by its new gaps after some half-lives, although the old ones were many more.
+// After several half-lives a model must be judged by its recent gaps, even if older ones are far more numerous.
 func TestKeepForgets(t *testing.T) {
 	gaps := append(repeat(time.Minute, 2000), repeat(6*time.Hour, 120)...)
-	p, last := taught(Options{ColdStartWeight: 15, IdleWeight: 1, HalfLife: 24 * time.Hour}, "m@1", gaps...)
+	p, last := trainedPolicy(Options{ColdStartWeight: 15, IdleWeight: 1, HalfLife: 24 * time.Hour}, "m@1", gaps...)
 	if got := p.Keep("m@1", last, 20*time.Second, 0.25); got >= time.Minute {
 		t.Errorf("kept for %s after a month of gaps of 6h", got)
 	}
 }
 
-// The answer stays within its bounds and doesn't change while the model is idle; the memory stays within its own.
+// The keep time stays within its bounds and is constant while the model is idle; the history stays within MaxModels.
 func TestKeepProperties(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260105)
 	properties := gopter.NewProperties(parameters)
@@ -150,12 +151,12 @@
 		load              time.Duration
 		earliest, longest time.Duration
 	}{
-		{name: "waits for the greater part of the slack", deadline: 8 * time.Hour, load: 30 * time.Second, earliest: 230 * time.Minute, longest: 430 * time.Minute},
-		{name: "leaves the margin", deadline: 12 * time.Minute, load: time.Second, earliest: time.Minute, longest: 2 * time.Minute},
-		{name: "leaves several slow loads", deadline: 20 * time.Minute, load: 3 * time.Minute, earliest: time.Minute, longest: 2 * time.Minute},
-		{name: "a short deadline is not held", deadline: 5 * time.Minute, load: time.Second},
-		{name: "a missed deadline is not held", deadline: -time.Minute, load: time.Second},
-		{name: "bounded", opts: HoldOptions{Longest: time.Hour}, deadline: 8 * time.Hour, load: time.Second, earliest: time.Hour, longest: time.Hour},
+		{name: "holds for 50% to 90% of the slack", deadline: 8 * time.Hour, load: 30 * time.Second, earliest: 230 * time.Minute, longest: 430 * time.Minute},
+		{name: "leaves Margin before the deadline", deadline: 12 * time.Minute, load: time.Second, earliest: time.Minute, longest: 2 * time.Minute},
+		{name: "leaves MarginLoads times a slow load", deadline: 20 * time.Minute, load: 3 * time.Minute, earliest: time.Minute, longest: 2 * time.Minute},
+		{name: "a request with a short deadline is not held", deadline: 5 * time.Minute, load: time.Second},
+		{name: "a request past its deadline is not held", deadline: -time.Minute, load: time.Second},
+		{name: "bounded by Longest", opts: HoldOptions{Longest: time.Hour}, deadline: 8 * time.Hour, load: time.Second, earliest: time.Hour, longest: time.Hour},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/loading/idle/weights.go
+++ b/internal/loading/idle/weights.go
@@ -1,13 +1,13 @@
 package idle
 
-// Weights that hold where an operator has declared neither: one second of waiting for a cold start costs as much as 15
-// idle accelerator seconds.
+// Default weights if an operator has declared neither: one second of waiting for a cold start costs as much as 15 idle
+// accelerator seconds.
 const (
 	DefaultColdStartWeight = 15
 	DefaultIdleWeight      = 1
 )
 
-// SetWeights replaces the operator's two weights; both zero mean the defaults. The gaps that were learned stay.
+// SetWeights replaces the operator's two weights; both zero mean the defaults. The observed gaps are kept.
 func (p *Policy) SetWeights(coldStart, idle float64) {
 	if coldStart <= 0 && idle <= 0 {
 		coldStart, idle = DefaultColdStartWeight, DefaultIdleWeight
--- a/internal/loading/ledger.go
+++ b/internal/loading/ledger.go
@@ -1,15 +1,15 @@
 package loading
 
-// size is the memory that something takes.
+// size is an amount of memory.
 type size struct {
-	// bytes are weights, which the engine reports as used, and kvFloor what must stay free beside them.
+	// bytes are weights, which the engine reports as used, and kvFloor is the KV cache space to keep free in addition.
 	bytes, kvFloor int64
 }
 
 func (s size) plus(o size) size  { return size{s.bytes + o.bytes, s.kvFloor + o.kvFloor} }
 func (s size) minus(o size) size { return size{s.bytes - o.bytes, s.kvFloor - o.kvFloor} }
 
-// sizeOf returns what a holding takes when it is loaded, by the declarations.
+// sizeOf returns the declared size of a holding when loaded.
 func (m *Machine) sizeOf(h *holding) size {
 	if h.isAdapter() {
 		return size{bytes: m.adapters[h.adapter].MemoryBytes}
@@ -18,7 +18,7 @@
 	return size{bytes: spec.MemoryBytes, kvFloor: spec.KVFloorBytes}
 }
 
-// taken returns what a holding takes in the ledger.
+// taken returns what a holding reserves in the ledger.
 func (h *holding) taken() size {
 	if h.state == absent {
 		return size{}
@@ -26,7 +26,7 @@
 	return size{h.bytes, h.kvFloor}
 }
 
-// reserved returns what all that is or may be in the engine's memory takes.
+// reserved returns the total of everything that is or may be in the engine's memory.
 func (m *Machine) reserved() size {
 	total := size{}
 	for _, r := range m.replicas {
@@ -38,7 +38,7 @@
 	return total
 }
 
-// limit returns the memory that the ledger may hand out.
+// limit returns the memory that the ledger may allocate.
 func (m *Machine) limit() int64 {
 	if m.options.MemoryBytes <= 0 {
 		return m.engine.memoryBytes
@@ -49,10 +49,10 @@
 	return min(m.options.MemoryBytes, m.engine.memoryBytes)
 }
 
-// reservedBytes returns a size in bytes: the larger of what the ledger reserves, floors for the KV cache included, and
-// of what the engine itself counts as used, which includes memory that belongs to no model.
+// reservedBytes converts a size to bytes: the larger of the ledger's reservations, including the minimum KV cache, and
+// of the usage that the engine reports, which includes memory that belongs to no model.
 func (m *Machine) reservedBytes(s size) int64 {
-	return max(s.bytes+s.kvFloor, m.engine.baseBytes+s.bytes)
+	return max(s.bytes+s.kvFloor, m.engine.unattributedBytes+s.bytes)
 }
 
 // fits reports whether a size is within the limit.
--- a/internal/loading/machine.go
+++ b/internal/loading/machine.go
@@ -11,38 +11,39 @@
 	defaultStateInterval = 10 * time.Second
 )
 
-// Machine decides what one engine holds. It is not safe for concurrent use.
+// Machine decides what one engine holds in memory. It is not safe for concurrent use.
 //
-// It keeps a record of each model version and adapter that may be in the engine's memory, with the orders that may still
-// change it. Each step takes in one event, looks at the records that it touched, and plans the loads that are wanted.
+// It keeps a record of each model version and adapter that may be in the engine's memory, with the orders that may
+// still change it. Each step handles one event, reconciles the records that the event affects, and plans the pending
+// loads.
 type Machine struct {
 	options Options
 	policy  IdlePolicy
 	random  *rand.Rand
 
-	// now and step are those of the event that is taken in.
+	// now and step are the time and number of the current step.
 	now     time.Time
 	step    uint64
 	actions []Action
 
 	engine   engineView
 	reads    engineReads
-	slots    slotBook
+	slots    slotTable
 	fence    fenceSource
 	accepted accepted
-	// predecessor stands for all orders that earlier agents of this engine may have left in flight.
+	// predecessor represents all orders that earlier agents of this engine may have left in flight.
 	predecessor  order
 	barrierOrder *order
 	orders       map[string]*order
 
-	specsSeen bool
-	models    map[string]ModelSpec
-	adapters  map[string]AdapterSpec
+	specsKnown bool
+	models     map[string]ModelSpec
+	adapters   map[string]AdapterSpec
 
 	replicas    ordered[*replica]
 	wanting     map[*holding]struct{}
 	demands     map[string]*demand
-	running     map[string]*run
+	running     map[string]*runningRequest
 	deadlines   schedule[*demand]
 	timers      schedule[*replica]
 	dirty       []*replica
@@ -55,8 +56,8 @@
 	leaving bool
 }
 
-// NewMachine returns a Machine that knows nothing of its engine yet. The time of the first step counts as the agent's
-// start: no earlier agent of the engine may give an order from then on.
+// NewMachine returns a Machine with no state of its engine yet. The time of the first step counts as the start of the
+// agent: no earlier agent of the engine may send an order after that.
 func NewMachine(options Options, policy IdlePolicy) *Machine {
 	if options.LoadsAtOnce <= 0 {
 		options.LoadsAtOnce = defaultLoadsAtOnce
@@ -68,44 +69,44 @@
 		options:   options,
 		policy:    policy,
 		random:    rand.New(rand.NewPCG(options.Seed, 0)),
-		slots:     slotBook{grants: map[string]*grant{}},
+		slots:     slotTable{grants: map[string]*grant{}},
 		orders:    map[string]*order{},
 		models:    map[string]ModelSpec{},
 		adapters:  map[string]AdapterSpec{},
 		wanting:   map[*holding]struct{}{},
 		demands:   map[string]*demand{},
-		running:   map[string]*run{},
+		running:   map[string]*runningRequest{},
 		permits:   map[string]*holding{},
-		deadlines: schedule[*demand]{due: demandDue, place: demandPlace},
-		timers:    schedule[*replica]{due: replicaDue, place: replicaPlace},
+		deadlines: schedule[*demand]{due: demandDue, index: demandIndex},
+		timers:    schedule[*replica]{due: replicaDue, index: replicaIndex},
 	}
 	m.permitPrefix = strconv.FormatUint(m.random.Uint64(), 36) + "-"
 	return m
 }
 
 func demandDue(d *demand) time.Time   { return d.deadline }
-func demandPlace(d *demand) *int      { return &d.place }
+func demandIndex(d *demand) *int      { return &d.heapIndex }
 func replicaDue(r *replica) time.Time { return r.due }
-func replicaPlace(r *replica) *int    { return &r.place }
+func replicaIndex(r *replica) *int    { return &r.heapIndex }
 
-// Step takes in one event at a time and returns what the shell must do, in order. A time before that of an earlier step
-// counts as that one.
+// Step handles one event and returns the actions to carry out, in order. Time never moves backwards: a time before that
+// of an earlier step is replaced by the latter.
 func (m *Machine) Step(now time.Time, e Event) []Action {
 	m.begin(now)
 	m.apply(e)
-	m.passTime()
-	m.tendDirty()
+	m.processTimers()
+	m.reconcileDirty()
 	m.barrier()
 	m.plan()
-	m.tendDirty()
+	m.reconcileDirty()
 	m.expireDemands()
-	m.askReads()
+	m.issueRead()
 	actions := m.actions
 	m.actions = nil
 	return actions
 }
 
-// begin starts a step.
+// begin starts a step. The first step also requests the initial reads of the engine and the table.
 func (m *Machine) begin(now time.Time) {
 	m.step++
 	m.now = later(m.now, now)
@@ -113,11 +114,11 @@
 		return
 	}
 	m.predecessor = order{unknown: true, endedAt: m.now}
-	m.wantRead()
+	m.scheduleRead()
 	m.readRows()
 }
 
-// apply takes in the event.
+// apply dispatches the event to its handler.
 func (m *Machine) apply(e Event) {
 	switch e := e.(type) {
 	case EngineRead:
@@ -146,46 +147,46 @@
 		m.orderDone(e)
 	case Leaving:
 		m.leaving = true
-		m.touchAll()
+		m.markAllDirty()
 	case Tick:
 	}
 }
 
-// passTime does what has become due.
-func (m *Machine) passTime() {
+// processTimers handles deadlines and timers that have expired.
+func (m *Machine) processTimers() {
 	m.expireDemands()
 	for {
 		r, ok := m.timers.next(m.now)
 		if !ok {
 			break
 		}
-		m.touch(r)
+		m.markDirty(r)
 	}
-	if !m.engine.clear && m.engine.known && m.spent(&m.predecessor, m.now) {
-		m.wantReadFrom(m.spentAt(&m.predecessor), 0)
+	if !m.engine.predecessorsDone && m.engine.known && m.expired(&m.predecessor, m.now) {
+		m.scheduleReadFrom(m.expiresAt(&m.predecessor), 0)
 	}
 }
 
-// emit adds an action to the step's.
+// emit adds an action to the result of the step.
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// NextDeadline returns when the machine must be stepped again at the latest, with a Tick if nothing else happens; the
-// zero time when there is no need.
+// NextDeadline returns the latest time of the next Step, with a Tick if there is no other event; zero if no step is
+// needed.
 func (m *Machine) NextDeadline() time.Time {
 	next := earlier(m.deadlines.first(), m.timers.first())
 	if m.reads.outstanding {
-		next = earlier(next, m.reads.askedAt.Add(readPatience))
+		next = earlier(next, m.reads.requestedAt.Add(readTimeout))
 	} else {
-		next = earlier(next, m.reads.next)
+		next = earlier(next, m.reads.nextAt)
 	}
-	if m.engine.clear || !m.engine.known {
+	if m.engine.predecessorsDone || !m.engine.known {
 		return next
 	}
-	if end := m.spentAt(&m.predecessor); end.After(m.now) {
+	if end := m.expiresAt(&m.predecessor); end.After(m.now) {
 		next = earlier(next, end)
 	}
-	if m.options.ChecksFencing && m.engine.barrierAt.After(m.now) {
-		next = earlier(next, m.engine.barrierAt)
+	if m.options.ChecksFencing && m.engine.nextBarrierAt.After(m.now) {
+		next = earlier(next, m.engine.nextBarrierAt)
 	}
 	return next
 }
--- a/internal/loading/order.go
+++ b/internal/loading/order.go
@@ -8,30 +8,30 @@
 	"balsamsail/internal/endpoint"
 )
 
-// order is an order that was given and may still take effect.
+// order is an order that was sent and may still take effect.
 type order struct {
 	endpoint.Order
-	// holding is what the order is for; nil for the orders of a predecessor.
+	// holding is the target of the order; nil for the orders of previous agents.
 	holding *holding
-	// incarnation is that of the engine when the order was given.
+	// incarnation is the engine's incarnation when the order was created.
 	incarnation string
 	sentAt      time.Time
 	fromStore   bool
-	// permit is the permit that the load uses; its identifier is empty when there is none.
+	// permit is the permit that the load uses; its id is empty if there is none.
 	permit permit
-	// held is the state that the order found.
-	held state
-	// unknown is set when the order ended without a definite result, at endedAt.
+	// prevState is the state of the holding before the order.
+	prevState state
+	// unknown is set if the order ended at endedAt without a definite result.
 	unknown bool
 	endedAt time.Time
 }
 
-// isLoad reports whether an order puts something into memory.
+// isLoad reports whether an order loads a model version or an adapter.
 func (o *order) isLoad() bool {
 	return o.Kind == endpoint.OrderLoad || o.Kind == endpoint.OrderLoadAdapter
 }
 
-// outcome is what a result says of an order.
+// outcome classifies the result of an order.
 type outcome int
 
 const (
@@ -39,12 +39,12 @@
 	outcomeDone outcome = iota
 	// outcomeNoEffect: the order had no effect and never will.
 	outcomeNoEffect
-	// outcomeUnknown: the order may have had its effect, or may have it yet.
+	// outcomeUnknown: the order may have taken effect or may still do so.
 	outcomeUnknown
 )
 
-// noEffect are the errors by which an order is known to have had no effect.
-var noEffect = []error{
+// noEffectErrors are the errors that prove that an order had no effect.
+var noEffectErrors = []error{
 	endpoint.ErrUnreachable,
 	endpoint.ErrFenced,
 	endpoint.ErrNoMemory,
@@ -53,12 +53,12 @@
 	endpoint.ErrInvalid,
 }
 
-// outcomeOf reads a result. What is not known to be without effect counts as unknown.
+// outcomeOf classifies the result of an order. Errors that do not prove that it had no effect count as unknown.
 func outcomeOf(o *order, err error) outcome {
 	if err == nil {
 		return outcomeDone
 	}
-	for _, e := range noEffect {
+	for _, e := range noEffectErrors {
 		if errors.Is(err, e) {
 			return outcomeNoEffect
 		}
@@ -69,23 +69,24 @@
 	return outcomeUnknown
 }
 
-// spent reports whether an order's life was over at a time. The life counts from when the shell gave the order up, not
-// from when the machine gave it out: a frozen process may send it long after that, but not after it was given up.
-func (m *Machine) spent(o *order, at time.Time) bool { return !at.Before(m.spentAt(o)) }
+// expired reports whether an order's lifetime had ended at the given time. The lifetime counts from when the order was
+// abandoned, not from when the machine issued it: a suspended process may send it much later, but not after it was
+// abandoned.
+func (m *Machine) expired(o *order, at time.Time) bool { return !at.Before(m.expiresAt(o)) }
 
-func (m *Machine) spentAt(o *order) time.Time { return o.endedAt.Add(m.options.OrderLife) }
+func (m *Machine) expiresAt(o *order) time.Time { return o.endedAt.Add(m.options.OrderLife) }
 
-// over reports whether an order with an unknown result could have no more effect after a read that began at a time and
-// step: its life was over, or the engine had accepted an order with a higher fencing number.
+// ineffective reports whether an order of unknown outcome could no longer take effect after a read that began at the
+// given time and step: its lifetime had ended, or the engine had accepted an order with a higher fencing number.
 //
-// An engine may forget the numbers it has seen when it restarts. So over can become false again, and what cannot be
-// taken back asks for spent.
-func (m *Machine) over(o *order, at time.Time, step uint64) bool {
-	if m.spent(o, at) {
+// An engine may lose the fencing numbers on restart, so the result can revert to false. Irreversible decisions must use
+// expired.
+func (m *Machine) ineffective(o *order, at time.Time, step uint64) bool {
+	if m.expired(o, at) {
 		return true
 	}
 	return m.options.ChecksFencing && m.accepted.fence > o.Fence && m.accepted.step <= step
 }
 
-// overNow is over as of this step.
-func (m *Machine) overNow(o *order) bool { return m.over(o, m.now, m.step) }
+// ineffectiveNow is ineffective as of the current step.
+func (m *Machine) ineffectiveNow(o *order) bool { return m.ineffective(o, m.now, m.step) }
--- a/internal/loading/ordered.go
+++ b/internal/loading/ordered.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// keyed is what an ordered list is sorted by.
+// keyed is an item of an ordered list.
 type keyed interface{ key() string }
 
-// ordered is a list sorted by key, so that what the machine does never depends on the order of a map.
+// ordered is a list sorted by key. It makes the machine's actions independent of map iteration order.
 type ordered[T keyed] []T
 
-// find returns the place of a key, and whether it is there.
+// find returns the index of a key, and whether it is present.
 func (o ordered[T]) find(key string) (int, bool) {
 	return slices.BinarySearchFunc(o, key, func(item T, key string) int { return cmp.Compare(item.key(), key) })
 }
 
-// get returns the item of a key, or the zero value.
+// get returns the item with a key, or the zero value.
 func (o ordered[T]) get(key string) T {
 	if at, ok := o.find(key); ok {
 		return o[at]
@@ -25,7 +25,7 @@
 	return none
 }
 
-// insert adds an item whose key is not there yet.
+// insert adds an item whose key is not present yet.
 func (o *ordered[T]) insert(item T) {
 	at, _ := o.find(item.key())
 	*o = slices.Insert(*o, at, item)
--- a/internal/loading/orders.go
+++ b/internal/loading/orders.go
@@ -7,20 +7,20 @@
 	"balsamsail/internal/endpoint"
 )
 
-// barrierRetry is the time until the next try of a barrier that failed, or of an unload that had no effect.
-const barrierRetry = time.Second
+// orderRetry is the delay before a failed barrier order, or an unload without effect, is tried again.
+const orderRetry = time.Second
 
-// canOrder reports whether orders may be given at all, and asks for a higher table revision when the fencing numbers are
-// used up.
+// canOrder reports whether orders may be sent, and requests a read of the table if the fencing numbers of the current
+// revision are used up.
 //
-// Where the engine ignores fencing numbers an order that a predecessor left in flight may arrive until the end of its
-// life, whatever this agent has ordered since: until then none is given. And without a read of the table there is no
-// fencing number above all of the predecessors'.
+// If the engine ignores fencing numbers, an order that a previous agent left in flight may arrive until its lifetime
+// ends, regardless of later orders, so nothing is ordered before that. Without a read of the table there is no fencing
+// number above all those of previous agents.
 func (m *Machine) canOrder() bool {
-	if !m.slots.read || !m.engine.known || m.engine.unanswered > 0 {
+	if !m.slots.read || !m.engine.known || m.engine.failedReads > 0 {
 		return false
 	}
-	if !m.options.ChecksFencing && !m.spent(&m.predecessor, m.now) {
+	if !m.options.ChecksFencing && !m.expired(&m.predecessor, m.now) {
 		return false
 	}
 	if _, ok := m.fence.next(); !ok {
@@ -30,28 +30,28 @@
 	return true
 }
 
-// canLoad reports whether loads may be ordered: also no order of a predecessor can take memory any more, and what its
-// orders did was read.
-func (m *Machine) canLoad() bool { return !m.leaving && m.engine.clear && m.canOrder() }
+// canLoad reports whether loads may be ordered. In addition to canOrder, no order of a previous agent can still take
+// memory, and the effects of those orders have been read.
+func (m *Machine) canLoad() bool { return !m.leaving && m.engine.predecessorsDone && m.canOrder() }
 
-// mayOrder reports whether an order may be given for a holding for which none is in flight. One of unknown result would
-// be in flight at the same time, unless the engine refuses it after this one.
+// mayOrder reports whether an order may be sent for a holding that has none in flight. An earlier order of unknown
+// outcome could still take effect concurrently, unless the engine rejects it after this one.
 func (m *Machine) mayOrder(h *holding) bool {
-	return m.options.ChecksFencing && !h.isAdapter() || !m.liveDoubt(h)
+	return m.options.ChecksFencing && !h.isAdapter() || !m.unresolvedPending(h)
 }
 
-// readRows asks for a read of the table.
+// readRows requests a read of the table, at most once per rowsInterval.
 func (m *Machine) readRows() {
-	if m.slots.asked || m.now.Before(m.slots.askAt) {
+	if m.slots.readPending || m.now.Before(m.slots.nextReadAt) {
 		return
 	}
-	m.slots.asked = true
-	m.slots.askAt = m.now.Add(rowsInterval)
+	m.slots.readPending = true
+	m.slots.nextReadAt = m.now.Add(rowsInterval)
 	m.emit(ReadRows{})
 }
 
-// give gives an order.
-func (m *Machine) give(h *holding, kind endpoint.OrderKind, bytes int64) *order {
+// newOrder creates an order and records it as in flight.
+func (m *Machine) newOrder(h *holding, kind endpoint.OrderKind, bytes int64) *order {
 	fence := m.fence.take()
 	o := &order{
 		Order: endpoint.Order{
@@ -65,23 +65,23 @@
 		holding:     h,
 		incarnation: m.engine.incarnation,
 		sentAt:      m.now,
-		held:        h.state,
+		prevState:   h.state,
 	}
 	h.order = o
-	h.shown = shownNothing
+	h.observed = observedNothing
 	m.orders[o.ID] = o
-	m.touch(h.replica)
+	m.markDirty(h.replica)
 	return o
 }
 
-// giveLoad orders a load and takes its memory into the ledger.
-func (m *Machine) giveLoad(h *holding, fromStore bool) {
+// orderLoad orders a load and reserves its memory in the ledger.
+func (m *Machine) orderLoad(h *holding, fromStore bool) {
 	size := m.sizeOf(h)
 	kind := endpoint.OrderLoad
 	if h.isAdapter() {
 		kind = endpoint.OrderLoadAdapter
 	}
-	o := m.give(h, kind, size.bytes)
+	o := m.newOrder(h, kind, size.bytes)
 	o.fromStore = fromStore
 	o.permit = m.usePermit(h)
 	h.state = loading
@@ -90,14 +90,14 @@
 	m.emit(GiveOrder{Order: o.Order, FromStore: fromStore})
 }
 
-// giveUnload orders an unload. No request may start from here on.
-func (m *Machine) giveUnload(h *holding) {
-	m.withdraw(h)
+// orderUnload orders an unload. No request may start after this.
+func (m *Machine) orderUnload(h *holding) {
+	m.announceUnusable(h)
 	kind := endpoint.OrderUnload
 	if h.isAdapter() {
 		kind = endpoint.OrderUnloadAdapter
 	}
-	o := m.give(h, kind, 0)
+	o := m.newOrder(h, kind, 0)
 	h.state = unloading
 	m.emit(GiveOrder{Order: o.Order})
 }
--- a/internal/loading/permit.go
+++ b/internal/loading/permit.go
@@ -7,24 +7,25 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// farDeadline is the deadline told for loads that no request waits for.
-const farDeadline = time.Hour
+// defaultLoadDeadline is the deadline, relative to now, of loads that no request waits for.
+const defaultLoadDeadline = time.Hour
 
-// leastAskInterval is the least time between two questions for the same permit.
-const leastAskInterval = 50 * time.Millisecond
+// minPermitRetry is the minimum time between two requests for the same permit.
+const minPermitRetry = 50 * time.Millisecond
 
-// permit is what a load knows of the weight store's budget. A permit only keeps the store from slowing down: when none
-// comes in time, the load starts without one, at a time that is not the same for all that wait in vain.
+// permit is a load's permit, or request for one, from the weight store's budget. Permits only protect the store from
+// overload: if none arrives in time, the load starts without one, after a jittered wait so that such loads do not all
+// start together.
 type permit struct {
-	// id is empty while no permit is asked for.
+	// id is empty while no permit is requested.
 	id      string
-	given   bool
+	granted bool
 	expires time.Time
-	// startAt is when the load starts without a permit, and askAt when the permit is asked for again.
-	startAt, askAt time.Time
+	// startAt is when the load starts without a permit, and retryAt when the permit is requested again.
+	startAt, retryAt time.Time
 }
 
-// permitted reports whether a load may start as far as the weight store is concerned, and asks for a permit if need be.
+// permitted reports whether a load may start under the weight store's budget, and requests a permit if it needs one.
 func (m *Machine) permitted(h *holding) bool {
 	if m.isCached(h) || m.options.PermitPatience <= 0 {
 		return true
@@ -35,25 +36,25 @@
 		p.startAt = m.now.Add(m.jitter(m.options.PermitPatience))
 		m.askPermit(h)
 	}
-	if p.given && !m.now.Before(p.expires) {
+	if p.granted && !m.now.Before(p.expires) {
 		m.endPermit(p.id)
 		delete(m.permits, p.id)
 		p.id = m.newPermitID()
-		p.given = false
+		p.granted = false
 		m.askPermit(h)
 	}
-	if p.given || !m.now.Before(p.startAt) {
+	if p.granted || !m.now.Before(p.startAt) {
 		return true
 	}
-	if !m.now.Before(p.askAt) {
+	if !m.now.Before(p.retryAt) {
 		m.askPermit(h)
 	}
 	m.wakeAt(h.replica, p.startAt)
-	m.wakeAt(h.replica, p.askAt)
+	m.wakeAt(h.replica, p.retryAt)
 	return false
 }
 
-// jitter returns a time between d and twice d.
+// jitter returns a random time between d and 2d.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return d + time.Duration(m.random.Float64()*float64(d))
 }
@@ -63,12 +64,12 @@
 	return m.permitPrefix + strconv.FormatUint(m.permitCount, 10)
 }
 
-// askPermit asks for a permit, or asks again under the same identifier, which the issuer takes as the same request.
+// askPermit requests a permit. A repeated request with the same identifier is idempotent at the issuer.
 func (m *Machine) askPermit(h *holding) {
-	h.permit.askAt = m.now.Add(m.options.PermitPatience / 2)
+	h.permit.retryAt = m.now.Add(m.options.PermitPatience / 2)
 	deadline := h.replica.deadline()
 	if deadline.IsZero() {
-		deadline = m.now.Add(farDeadline)
+		deadline = m.now.Add(defaultLoadDeadline)
 	}
 	kind := wirepb.PermitKind_WEIGHTS
 	if h.isAdapter() {
@@ -78,8 +79,8 @@
 	m.emit(AskPermit{ID: h.permit.id, Kind: kind, Model: h.replica.model, Deadline: deadline})
 }
 
-// asking returns what asks for a permit under an identifier, or nil.
-func (m *Machine) asking(id string) *holding {
+// permitRequester returns the holding that waits for the permit with this identifier, or nil.
+func (m *Machine) permitRequester(id string) *holding {
 	h := m.permits[id]
 	if h == nil || h.permit.id != id {
 		return nil
@@ -87,33 +88,33 @@
 	return h
 }
 
-// permitGiven takes in a permit. One that is not wanted any more is given back.
+// permitGiven handles a permit. One that is no longer needed is returned.
 func (m *Machine) permitGiven(e PermitGiven) {
-	h := m.asking(e.ID)
+	h := m.permitRequester(e.ID)
 	if h == nil {
 		if !m.permitInUse(e.ID) {
 			m.emit(EndPermit{ID: e.ID})
 		}
 		return
 	}
-	h.permit.given = true
+	h.permit.granted = true
 	h.permit.expires = e.Expires
-	m.touch(h.replica)
+	m.markDirty(h.replica)
 }
 
-// permitDenied takes in when to ask again. An issuer that answers is there, so the patience begins anew with each answer:
-// counted from the first question, a long storm of wakes would start loads without permits and slow all of them.
+// permitDenied handles a denial. It restarts the wait for the issuer, which is evidently alive: if the wait counted
+// from the first request, a long burst of cold starts would start loads without permits and slow down all of them.
 func (m *Machine) permitDenied(e PermitDenied) {
-	if h := m.asking(e.ID); h != nil && !h.permit.given {
-		h.permit.askAt = later(e.RetryAt, m.now.Add(leastAskInterval))
-		h.permit.startAt = m.extendedPatience(h, e.RetryAt)
-		m.touch(h.replica)
+	if h := m.permitRequester(e.ID); h != nil && !h.permit.granted {
+		h.permit.retryAt = later(e.RetryAt, m.now.Add(minPermitRetry))
+		h.permit.startAt = m.extendedPermitWait(h, e.RetryAt)
+		m.markDirty(h.replica)
 	}
 }
 
-// extendedPatience returns until when a load waits for its permit after a denial: at most until the load can only just be
-// done by its deadline, so that an issuer with a wrong view of the store holds no load for ever.
-func (m *Machine) extendedPatience(h *holding, retryAt time.Time) time.Time {
+// extendedPermitWait returns how long a load waits for its permit after a denial: at most until the latest start that
+// meets its deadline, so that an issuer with a wrong view of the store cannot block a load forever.
+func (m *Machine) extendedPermitWait(h *holding, retryAt time.Time) time.Time {
 	extended := retryAt.Add(m.jitter(m.options.PermitPatience))
 	if deadline := h.replica.deadline(); !deadline.IsZero() {
 		latest := deadline.Add(-m.expectedLoad(h))
@@ -124,7 +125,7 @@
 	return later(h.permit.startAt, extended)
 }
 
-// permitInUse reports whether a load that is in flight uses a permit.
+// permitInUse reports whether a load in flight uses a permit.
 func (m *Machine) permitInUse(id string) bool {
 	for _, o := range m.orders {
 		if o.permit.id == id && !o.unknown {
@@ -134,19 +135,19 @@
 	return false
 }
 
-// usePermit moves a holding's permit to the load that starts. A load that starts without one gives up asking.
+// usePermit moves a holding's permit to the load that starts. A load that starts without one cancels its request.
 func (m *Machine) usePermit(h *holding) permit {
 	p := h.permit
 	h.permit = permit{}
 	delete(m.permits, p.id)
-	if p.given {
+	if p.granted {
 		return p
 	}
 	m.endPermit(p.id)
 	return permit{}
 }
 
-// dropPermit gives up a permit, or the wish for one, of a load that is not wanted any more.
+// dropPermit returns the permit, or cancels the permit request, of a load that is no longer wanted.
 func (m *Machine) dropPermit(h *holding) {
 	if h.permit.id == "" {
 		return
@@ -156,7 +157,7 @@
 	h.permit = permit{}
 }
 
-// endPermit emits that a permit is no longer used.
+// endPermit reports that a permit is no longer used.
 func (m *Machine) endPermit(id string) {
 	if id != "" {
 		m.emit(EndPermit{ID: id})
--- a/internal/loading/permits/account.go
+++ b/internal/loading/permits/account.go
@@ -7,16 +7,16 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// kind is a limited resource of the weight store.
+// kind is a resource of the weight store that has its own limit.
 type kind int
 
 const (
 	weights kind = iota
 	adapters
-	kinds
+	numKinds
 )
 
-// kindOf maps the message's kind; one that is not known counts as weights, whose limit is the tighter one.
+// kindOf maps the kind of a message; unknown values count as weights, which have the lower limit.
 func kindOf(k wirepb.PermitKind) kind {
 	if k == wirepb.PermitKind_ADAPTER {
 		return adapters
@@ -24,7 +24,7 @@
 	return weights
 }
 
-// permit is one that was given and not yet ended.
+// permit is a permit that was granted and has not ended.
 type permit struct {
 	id      string
 	model   string
@@ -32,23 +32,23 @@
 	expires time.Time
 }
 
-// account is what one agent has in flight, by its permits and by its own report.
+// account is the set of loads that one agent has in flight, according to its permits and to its own report.
 type account struct {
-	permits  [kinds][]permit
-	reported [kinds]int
-	// reportEnds is when the report no longer counts.
-	reportEnds time.Time
+	permits  [numKinds][]permit
+	reported [numKinds]int
+	// reportExpires is when the report stops counting.
+	reportExpires time.Time
 }
 
-// used returns what counts against the limit: the report also covers loads of another issuer's permits, the permits also
-// those loads that the report is too old to know.
+// used returns the number that counts against the limit. The report includes loads permitted by another issuer, the
+// permits include loads that started after the report.
 func (a *account) used(k kind) int {
 	return max(len(a.permits[k]), a.reported[k])
 }
 
-// empty tells whether nothing is known of the agent.
+// empty reports whether the agent has no permits and no reported loads.
 func (a *account) empty() bool {
-	for k := range kinds {
+	for k := range numKinds {
 		if a.used(k) > 0 {
 			return false
 		}
@@ -58,7 +58,7 @@
 
 // take removes a permit and returns it.
 func (a *account) take(id string) (permit, kind, bool) {
-	for k := range kinds {
+	for k := range numKinds {
 		i := slices.IndexFunc(a.permits[k], func(p permit) bool { return p.id == id })
 		if i < 0 {
 			continue
@@ -70,56 +70,56 @@
 	return permit{}, 0, false
 }
 
-// report notes the agent's own count of one kind. It renews as many permits as are in flight, and drops those that the
-// count does not cover and that can no longer start: the word that they were done has been lost, and without this guard
-// an agent that lives on would hold their share for ever.
+// report records the agent's own count of one kind. It renews the permits that the count covers, and drops the excess
+// ones whose start deadline has passed: their Done message was lost, and without this a live agent would hold their
+// share of the budget forever.
 func (a *account) report(k kind, count int, now time.Time, opts Options) {
 	a.reported[k] = count
-	a.reportEnds = now.Add(opts.Lease)
+	a.reportExpires = now.Add(opts.Lease)
 	surplus := len(a.permits[k]) - count
 	a.permits[k] = slices.DeleteFunc(a.permits[k], func(p permit) bool {
-		over := surplus > 0 && !now.Before(p.granted.Add(opts.StartWithin))
-		if over {
+		excess := surplus > 0 && !now.Before(p.granted.Add(opts.StartWithin))
+		if excess {
 			surplus--
 		}
-		return over
+		return excess
 	})
 	for i := range a.permits[k] {
-		a.permits[k][i].expires = a.reportEnds
+		a.permits[k][i].expires = a.reportExpires
 	}
 }
 
-// ended notes that a permit's load is over, so the report counts one less.
-func (a *account) ended(k kind) {
+// loadEnded decrements the reported count after a permit has loadEnded.
+func (a *account) loadEnded(k kind) {
 	a.reported[k] = max(0, a.reported[k]-1)
 }
 
-// expire drops permits and reports whose time is over. It guards against an agent that vanished in the middle of a load,
-// whose share would be lost otherwise: no Done and no report comes, and the lease runs out.
+// expire drops expired permits and reports. Otherwise the share of an agent that vanished in the middle of a load would
+// never be freed, as neither Done nor a report arrives.
 func (a *account) expire(now time.Time) {
-	for k := range kinds {
+	for k := range numKinds {
 		a.permits[k] = slices.DeleteFunc(a.permits[k], func(p permit) bool { return !now.Before(p.expires) })
 	}
-	if !now.Before(a.reportEnds) {
-		a.reported = [kinds]int{}
+	if !now.Before(a.reportExpires) {
+		a.reported = [numKinds]int{}
 	}
 }
 
-// nextExpiry returns the first time at which expire changes something.
+// nextExpiry returns the next time at which expire has an effect.
 func (a *account) nextExpiry() time.Time {
 	var first time.Time
-	for k := range kinds {
+	for k := range numKinds {
 		for _, p := range a.permits[k] {
 			first = earlier(first, p.expires)
 		}
 	}
-	if a.reported != ([kinds]int{}) {
-		first = earlier(first, a.reportEnds)
+	if a.reported != ([numKinds]int{}) {
+		first = earlier(first, a.reportExpires)
 	}
 	return first
 }
 
-// earlier returns the earlier of two times, of which zero means none.
+// earlier returns the earlier of two times; zero means none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
--- a/internal/loading/permits/budget.go
+++ b/internal/loading/permits/budget.go
@@ -6,30 +6,30 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// maxSlack bounds the slack that a request may state, so that a wrong number cannot overflow a time.
+// maxSlack bounds the slack of a request, so that an invalid value cannot overflow a time.
 const maxSlack = 7 * 24 * time.Hour
 
-// Budget is one issuer's view of the store's load budget. It is a state machine without clock or I/O: the shell calls it
-// with the time, calls Decide after each event and at the time that Next returns, and sends the grants. It is not safe
-// for concurrent use.
+// Budget is one issuer's view of the store's load budget. It is a state machine without clock or I/O: the caller passes
+// in the time, calls Decide after each event and at the time returned by Next, and sends the grants. It is not safe for
+// concurrent use.
 type Budget struct {
 	opts     Options
 	accounts map[string]*account
-	used     [kinds]int
-	queues   [kinds]queue
+	used     [numKinds]int
+	queues   [numKinds]queue
 	requests map[requestKey]*request
 	sequence uint64
-	// unanswered are the requests that came since the last Decide.
+	// unanswered are the requests received since the last Decide.
 	unanswered []*request
 	grants     []Grant
-	// nextStart is the first time at which a load of weights may start by the store's rate.
+	// nextStart is the earliest time at which the store's rate allows a load of weights to start.
 	nextStart time.Time
-	// nextExpiry is no later than the first time at which something expires; zero if nothing does.
+	// nextExpiry is a lower bound of the next expiry; zero if there is none.
 	nextExpiry time.Time
 	durations  durations
 }
 
-// NewBudget returns a Budget that knows of no loads.
+// NewBudget returns a Budget without any loads in flight.
 func NewBudget(opts Options) *Budget {
 	opts = opts.withDefaults()
 	return &Budget{
@@ -40,9 +40,9 @@
 	}
 }
 
-// Request notes that an agent asks for a permit. The next Decide answers it with a permit or with a time to ask again; a
-// request that was told to wait stays in line until then and may still get its permit earlier. To ask again with the same
-// id is idempotent and brings the slack up to date.
+// Request handles a permit request. The next Decide answers it with a permit or a retry delay; a request that was told
+// to retry keeps its place in the queue meanwhile and may get its permit earlier. Repeating a request with the same id
+// is idempotent and updates the slack.
 func (b *Budget) Request(now time.Time, agent string, req *wirepb.PermitRequest) {
 	key := requestKey{agent, req.GetId()}
 	if b.repeatGrant(now, key) {
@@ -60,23 +60,23 @@
 	r.model = req.GetModel()
 	r.prefetch = req.GetPrefetch()
 	r.latestStart = now.Add(slack - b.durations.expected(r.kind, r.model))
-	r.forgetAt = now.Add(b.opts.MaxRetry + b.opts.Lease)
+	r.expires = now.Add(b.opts.MaxRetry + b.opts.Lease)
 	r.answered = false
 	b.requests[key] = r
 	b.queues[r.kind].insert(r)
-	b.nextExpiry = earlier(b.nextExpiry, r.forgetAt)
+	b.nextExpiry = earlier(b.nextExpiry, r.expires)
 	b.unanswered = append(b.unanswered, r)
 	b.shed()
 }
 
-// repeatGrant answers an agent that asks again although it has a permit, because the permit was lost on the way. One
-// that can no longer be used is taken back, so that the request waits like a new one.
+// repeatGrant answers an agent that repeats a request although it has a permit, because the permit was lost in transit.
+// A permit that can no longer be used is revoked, so that the request waits like a new one.
 func (b *Budget) repeatGrant(now time.Time, key requestKey) bool {
 	a := b.accounts[key.agent]
 	if a == nil {
 		return false
 	}
-	for k := range kinds {
+	for k := range numKinds {
 		for _, p := range a.permits[k] {
 			if p.id != key.id {
 				continue
@@ -93,7 +93,7 @@
 	return false
 }
 
-// shed drops the least urgent requests beyond the bound. One that was already told when to ask again gets no second
+// shed drops the least urgent requests beyond MaxPending. A request that already has a retry delay gets no second
 // answer.
 func (b *Budget) shed() {
 	for len(b.requests) > b.opts.MaxPending {
@@ -114,13 +114,13 @@
 	return b.queues[longest].last()
 }
 
-// drop forgets a waiting request.
+// drop removes a waiting request.
 func (b *Budget) drop(r *request) {
 	b.queues[r.kind].remove(r)
 	delete(b.requests, r.key)
 }
 
-// Done notes that an agent no longer uses a permit, or no longer asks for one.
+// Done records that an agent no longer uses a permit, or no longer requests one.
 func (b *Budget) Done(now time.Time, agent, id string) {
 	if r := b.requests[requestKey{agent, id}]; r != nil {
 		b.drop(r)
@@ -133,13 +133,13 @@
 		if !ok {
 			return
 		}
-		a.ended(k)
+		a.loadEnded(k)
 		b.durations.observe(k, p.model, now.Sub(p.granted))
 	})
 }
 
-// InFlight notes what an agent has in flight from the store. The shell calls it at each sign of life with the agent's
-// last report, which renews the agent's leases.
+// InFlight records the loads that an agent has in flight from the store and renews the agent's leases. The caller
+// invokes it on each heartbeat with the agent's last report.
 func (b *Budget) InFlight(now time.Time, agent string, weightsInFlight, adaptersInFlight int) {
 	idle := weightsInFlight <= 0 && adaptersInFlight <= 0
 	if b.accounts[agent] == nil && (idle || len(b.accounts) >= b.opts.MaxPending) {
@@ -151,7 +151,7 @@
 	})
 }
 
-// AgentGone forgets an agent: its requests, its permits and its report.
+// AgentGone removes an agent with its requests, permits and report.
 func (b *Budget) AgentGone(_ time.Time, agent string) {
 	for key, r := range b.requests {
 		if key.agent == agent {
@@ -161,18 +161,18 @@
 	b.change(agent, func(a *account) { *a = account{} })
 }
 
-// change applies a change to an agent's account and keeps the totals.
+// change applies a change to an agent's account and updates the totals.
 func (b *Budget) change(agent string, apply func(*account)) {
 	a := b.accounts[agent]
 	if a == nil {
 		a = &account{}
 		b.accounts[agent] = a
 	}
-	for k := range kinds {
+	for k := range numKinds {
 		b.used[k] -= a.used(k)
 	}
 	apply(a)
-	for k := range kinds {
+	for k := range numKinds {
 		b.used[k] += a.used(k)
 	}
 	b.nextExpiry = earlier(b.nextExpiry, a.nextExpiry())
--- a/internal/loading/permits/budget_test.go
+++ b/internal/loading/permits/budget_test.go
@@ -38,7 +38,7 @@
 	cases := []struct {
 		name string
 		opts func(*Options)
-		// play drives the budget and returns the answers to look at; want are the permits among them.
+		// play drives the budget and returns the last answers; want are the ids of the permits among them.
 		play func(*Budget) []Grant
 		want []string
 	}{
@@ -47,12 +47,12 @@
 			b.Request(at(0), "e2", ask("b", time.Second))
 			return b.Decide(at(0))
 		}},
-		{name: "a missed deadline goes behind one that would miss its own", want: []string{"b"}, opts: oneSecondLoads, play: func(b *Budget) []Grant {
+		{name: "a late request goes behind one that would become late", want: []string{"b"}, opts: oneSecondLoads, play: func(b *Budget) []Grant {
 			b.Request(at(0), "e1", ask("a", -time.Second))
 			b.Request(at(0), "e2", ask("b", 1500*time.Millisecond))
 			return b.Decide(at(0))
 		}},
-		{name: "a missed deadline goes before one that can wait", want: []string{"a"}, opts: oneSecondLoads, play: func(b *Budget) []Grant {
+		{name: "a late request goes before one that can wait", want: []string{"a"}, opts: oneSecondLoads, play: func(b *Budget) []Grant {
 			b.Request(at(0), "e1", ask("a", -time.Second))
 			b.Request(at(0), "e2", ask("b", 3*time.Second))
 			return b.Decide(at(0))
@@ -64,7 +64,7 @@
 			b.Request(at(0), "e2", prefetch)
 			return b.Decide(at(0))
 		}},
-		{name: "the end of a load frees its share", want: []string{"b"}, play: func(b *Budget) []Grant {
+		{name: "Done frees the share of a load", want: []string{"b"}, play: func(b *Budget) []Grant {
 			b.Request(at(0), "e1", ask("a", time.Minute))
 			b.Request(at(0), "e2", ask("b", time.Hour))
 			b.Decide(at(0))
@@ -77,13 +77,13 @@
 			b.Request(at(0.39), "e2", ask("b", time.Minute))
 			return b.Decide(at(0.39))
 		}},
-		{name: "at the time that Next tells, the rate allows the start", want: []string{"b"}, opts: func(o *Options) { o.LoadsAtOnce, o.LoadsPerSecond = 2, 2.5 }, play: func(b *Budget) []Grant {
+		{name: "the rate allows the start at the time returned by Next", want: []string{"b"}, opts: func(o *Options) { o.LoadsAtOnce, o.LoadsPerSecond = 2, 2.5 }, play: func(b *Budget) []Grant {
 			b.Request(at(0), "e1", ask("a", time.Minute))
 			b.Request(at(0), "e2", ask("b", time.Minute))
 			b.Decide(at(0))
 			return b.Decide(b.Next())
 		}},
-		{name: "the permit of a vanished agent ends with its lease", want: []string{"b"}, play: func(b *Budget) []Grant {
+		{name: "the permit of a vanished agent expires with its lease", want: []string{"b"}, play: func(b *Budget) []Grant {
 			b.Request(at(0), "e1", ask("a", time.Minute))
 			b.Decide(at(0))
 			b.Request(at(9), "e2", ask("b", time.Minute))
@@ -97,7 +97,7 @@
 			b.Request(at(12), "e2", ask("b", time.Minute))
 			return b.Decide(at(12))
 		}},
-		{name: "a renewed permit still ends at once", want: []string{"b"}, play: func(b *Budget) []Grant {
+		{name: "Done ends a renewed permit at once", want: []string{"b"}, play: func(b *Budget) []Grant {
 			b.Request(at(0), "e1", ask("a", time.Minute))
 			b.Decide(at(0))
 			b.InFlight(at(5), "e1", 1, 0)
@@ -106,7 +106,7 @@
 			b.Done(at(12), "e1", "a")
 			return b.Decide(at(12))
 		}},
-		{name: "a lost word of the end is made good by the report", want: []string{"b"}, play: func(b *Budget) []Grant {
+		{name: "a report replaces a lost Done", want: []string{"b"}, play: func(b *Budget) []Grant {
 			b.Request(at(0), "e1", ask("a", time.Minute))
 			b.Decide(at(0))
 			b.InFlight(at(2.5), "e1", 0, 0)
@@ -120,7 +120,7 @@
 			b.Request(at(1), "e2", ask("b", time.Minute))
 			return b.Decide(at(1))
 		}},
-		{name: "a new issuer learns what runs from reports", want: nil, play: func(b *Budget) []Grant {
+		{name: "a new issuer counts the loads in reports", want: nil, play: func(b *Budget) []Grant {
 			b.InFlight(at(0), "e1", 1, 0)
 			b.Request(at(0), "e2", ask("b", time.Minute))
 			return b.Decide(at(0))
@@ -132,26 +132,26 @@
 			b.AgentGone(at(1), "e1")
 			return b.Decide(at(1))
 		}},
-		{name: "a lost permit is given again", want: []string{"a"}, play: func(b *Budget) []Grant {
+		{name: "a lost permit is sent again", want: []string{"a"}, play: func(b *Budget) []Grant {
 			b.Request(at(0), "e1", ask("a", time.Minute))
 			b.Decide(at(0))
 			b.Request(at(1), "e1", ask("a", time.Minute))
 			return b.Decide(at(1))
 		}},
-		{name: "an agent that does not ask again loses its place", want: nil, play: func(b *Budget) []Grant {
+		{name: "a request that is not repeated expires", want: nil, play: func(b *Budget) []Grant {
 			b.InFlight(at(0), "e1", 1, 0)
 			b.Request(at(0), "e2", ask("b", time.Minute))
 			b.Decide(at(0))
 			return b.Decide(at(14))
 		}},
-		{name: "a limit that is raised serves those who wait", want: []string{"b"}, play: func(b *Budget) []Grant {
+		{name: "a raised limit serves waiting requests", want: []string{"b"}, play: func(b *Budget) []Grant {
 			b.Request(at(0), "e1", ask("a", time.Minute))
 			b.Request(at(0), "e2", ask("b", time.Hour))
 			b.Decide(at(0))
 			b.SetLimits(Options{LoadsAtOnce: 2, AdaptersInTransit: 1})
 			return b.Decide(at(1))
 		}},
-		{name: "a limit that nobody declared is none", want: []string{"a", "b"}, opts: func(o *Options) { o.LoadsAtOnce = 0 }, play: func(b *Budget) []Grant {
+		{name: "an undeclared limit means unlimited", want: []string{"a", "b"}, opts: func(o *Options) { o.LoadsAtOnce = 0 }, play: func(b *Budget) []Grant {
 			b.Request(at(0), "e1", ask("a", time.Minute))
 			b.Request(at(0), "e2", ask("b", time.Hour))
 			return b.Decide(at(0))
@@ -178,11 +178,11 @@
 	}
 }
 
-// check compares the budget's totals with its parts and with the bounds.
+// check verifies the budget's totals against its parts and against the bounds.
 func check(b *Budget) error {
-	var used [kinds]int
+	var used [numKinds]int
 	for _, a := range b.accounts {
-		for k := range kinds {
+		for k := range numKinds {
 			used[k] += a.used(k)
 		}
 	}
@@ -191,7 +191,7 @@
 	case used != b.used:
 		return fmt.Errorf("total %v, sum of the accounts %v", b.used, used)
 	case waiting != len(b.requests):
-		return fmt.Errorf("%d in the queues, %d in the index", waiting, len(b.requests))
+		return fmt.Errorf("%d requests in the queues, %d in the map", waiting, len(b.requests))
 	case len(b.requests) > b.opts.MaxPending:
 		return fmt.Errorf("%d requests wait, bound %d", len(b.requests), b.opts.MaxPending)
 	case len(b.durations.byModel) > b.opts.MaxPending:
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// randomEvent gives the budget one event of a random agent and returns the key of a request, zero for other events.
+// randomEvent applies one random event to the budget and returns the key if it was a request, zero otherwise.
 func randomEvent(b *Budget, rng *rand.Rand, now time.Time) requestKey {
 	key := requestKey{fmt.Sprintf("e%d", rng.IntN(12)), fmt.Sprint(rng.IntN(6))}
 	switch rng.IntN(10) {
@@ -232,20 +232,20 @@
 	return keys
 }
 
-// decideAndCheck calls Decide and checks its answers; a zero asked means that no answer is owed.
+// decideAndCheck calls Decide and verifies the answers; asked is the request that must be answered, or zero.
 func decideAndCheck(b *Budget, now time.Time, lastStart *time.Time, asked requestKey) error {
-	before := [kinds]map[requestKey]bool{held(b, weights), held(b, adapters)}
+	before := [numKinds]map[requestKey]bool{held(b, weights), held(b, adapters)}
 	answered := asked == requestKey{}
 	for _, g := range b.Decide(now) {
 		answered = answered || asked == requestKey{g.Agent, g.Permit.GetId()}
 		if (g.Permit.GetValidMicros() > 0) == (g.Permit.GetRetryAfterMicros() > 0) {
-			return fmt.Errorf("answer is neither a permit nor a time to come back: %v", g.Permit)
+			return fmt.Errorf("answer is not exactly one of a permit and a retry delay: %v", g.Permit)
 		}
 	}
 	if !answered {
 		return fmt.Errorf("request %v got no answer", asked)
 	}
-	for k := range kinds {
+	for k := range numKinds {
 		after := held(b, k)
 		maps.DeleteFunc(after, func(key requestKey, _ bool) bool { return before[k][key] })
 		if len(after) > 0 && b.used[k] > b.limit(k) {
@@ -262,7 +262,7 @@
 	return check(b)
 }
 
-// The properties hold after each step of random histories; after a long silence nothing is left.
+// The properties hold after each step of a random history, and once everything has expired no state is left.
 func TestBudgetProperties(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260105)
 	parameters.MinSuccessfulTests = 400
@@ -285,7 +285,7 @@
 			b.Decide(next)
 		}
 		if len(b.requests)+len(b.accounts) > 0 {
-			return false, fmt.Errorf("after a silence %d requests and %d agents are left", len(b.requests), len(b.accounts))
+			return false, fmt.Errorf("after all expiries %d requests and %d agents are left", len(b.requests), len(b.accounts))
 		}
 		return true, nil
 	}, gen.UInt64()))
--- a/internal/loading/permits/decide.go
+++ b/internal/loading/permits/decide.go
@@ -7,17 +7,17 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// Grant is the answer to one request of an agent: a permit, or the time after which to ask again.
+// Grant is the answer to a request of an agent: a permit, or the delay before it should retry.
 type Grant struct {
 	Agent  string
 	Permit *wirepb.Permit
 }
 
-// Decide returns the answers that are due: permits as far as the limits allow, most urgent first, and a time to ask again
-// for each new request that must wait.
+// Decide returns the pending answers: permits as far as the limits allow, most urgent first, and a retry delay for each
+// new request that must wait.
 func (b *Budget) Decide(now time.Time) []Grant {
 	b.expire(now)
-	for k := range kinds {
+	for k := range numKinds {
 		b.grantAll(now, k)
 	}
 	b.answerWaiting(now)
@@ -26,9 +26,9 @@
 	return grants
 }
 
-// grantAll gives permits of one kind while the limits allow it.
+// grantAll grants permits of one kind while the limits allow.
 func (b *Budget) grantAll(now time.Time, k kind) {
-	for b.used[k] < b.limit(k) && !b.paced(now, k) {
+	for b.used[k] < b.limit(k) && !b.rateLimited(now, k) {
 		r := b.queues[k].next(now, b.durations.overall[k])
 		if r == nil {
 			return
@@ -37,8 +37,8 @@
 	}
 }
 
-// limit returns how many loads of a kind may be in flight. A limit that nobody has declared is none: if it were taken for
-// zero, the issuer would deny each cold start until the agents lose their patience.
+// limit returns how many loads of a kind may be in flight. An undeclared limit means unlimited: as zero, it would deny
+// each cold start until the agents stop waiting for a permit.
 func (b *Budget) limit(k kind) int {
 	limit := b.opts.LoadsAtOnce
 	if k == adapters {
@@ -50,12 +50,12 @@
 	return limit
 }
 
-// paced tells whether the store's rate forbids a start now.
-func (b *Budget) paced(now time.Time, k kind) bool {
+// rateLimited reports whether the store's rate forbids a start at now.
+func (b *Budget) rateLimited(now time.Time, k kind) bool {
 	return k == weights && now.Before(b.nextStart)
 }
 
-// grant turns a request into a permit.
+// grant grants a permit for a request.
 func (b *Budget) grant(now time.Time, r *request) {
 	b.drop(r)
 	r.answered = true
@@ -67,13 +67,13 @@
 	b.answer(r.key, b.opts.StartWithin, 0)
 }
 
-// answer queues one answer for the shell.
+// answer queues an answer to be sent.
 func (b *Budget) answer(key requestKey, valid, retryAfter time.Duration) {
 	p := &wirepb.Permit{Id: key.id, ValidMicros: valid.Microseconds(), RetryAfterMicros: retryAfter.Microseconds()}
 	b.grants = append(b.grants, Grant{Agent: key.agent, Permit: p})
 }
 
-// answerWaiting tells the new requests that got no permit when to ask again.
+// answerWaiting sends a retry delay to the new requests that got no permit.
 func (b *Budget) answerWaiting(now time.Time) {
 	for _, r := range b.unanswered {
 		if r.answered || b.requests[r.key] != r {
@@ -81,14 +81,14 @@
 		}
 		r.answered = true
 		retry := b.retryAfter(r)
-		r.forgetAt = now.Add(retry + b.opts.Lease)
+		r.expires = now.Add(retry + b.opts.Lease)
 		b.answer(r.key, 0, retry)
 	}
 	b.unanswered = b.unanswered[:0]
 }
 
-// retryAfter estimates when the request's turn comes from its rank and the pace of the loads before it. Ranks differ, so
-// the agents come back spread out.
+// retryAfter estimates when a request will be served from its rank and the rate of the loads ahead of it. Ranks differ,
+// which spreads out the retries.
 func (b *Budget) retryAfter(r *request) time.Duration {
 	pace := b.durations.overall[r.kind] / time.Duration(max(1, b.limit(r.kind)))
 	if r.kind == weights {
@@ -98,7 +98,7 @@
 	return min(max(turn, b.opts.MinRetry), b.opts.MaxRetry)
 }
 
-// expire drops what has run out of time.
+// expire drops expired permits, reports and requests.
 func (b *Budget) expire(now time.Time) {
 	if b.nextExpiry.IsZero() || now.Before(b.nextExpiry) {
 		return
@@ -108,15 +108,15 @@
 		b.change(agent, func(a *account) { a.expire(now) })
 	}
 	for _, r := range b.requests {
-		if !now.Before(r.forgetAt) {
+		if !now.Before(r.expires) {
 			b.drop(r)
 			continue
 		}
-		b.nextExpiry = earlier(b.nextExpiry, r.forgetAt)
+		b.nextExpiry = earlier(b.nextExpiry, r.expires)
 	}
 }
 
-// Next returns when to call Decide again if no event comes before, zero if only an event can change anything.
+// Next returns when to call Decide again if no event happens before; zero if only an event can change the result.
 func (b *Budget) Next() time.Time {
 	next := b.nextExpiry
 	if len(b.queues[weights].items) > 0 && b.used[weights] < b.limit(weights) {
--- a/internal/loading/permits/options.go
+++ b/internal/loading/permits/options.go
@@ -1,9 +1,9 @@
 // Package permits shares the weight store's load budget among the agents that load from it.
 //
-// One entry, picked by rendezvous hashing, holds a Budget and hands out the permits. The Budget is soft state: it lives
-// in memory only, and a new issuer learns what runs from the agents' reports. A wrong view, or two issuers at once, puts
-// more loads in flight than the store serves at full speed, which slows loads and breaks nothing; no property of the
-// system rests on a permit.
+// One gateway, chosen by rendezvous hashing, is the issuer: it holds a Budget and grants the permits. The Budget is
+// soft state in memory only, and a new issuer rebuilds it from the agents' reports. An inaccurate Budget, or two
+// issuers at once, may put more loads in flight than the store serves at full speed, which slows loads down but is
+// safe: no correctness property depends on permits.
 package permits
 
 import "time"
@@ -18,20 +18,20 @@
 
 // Options are the settings of a Budget. Zero values of the optional ones mean the defaults.
 type Options struct {
-	// LoadsPerSecond is the rate at which loads of weights may start; 0 means no limit of the rate.
+	// LoadsPerSecond is the rate at which loads of weights may start; 0 means unlimited.
 	LoadsPerSecond float64
-	// LoadsAtOnce is the number of loads of weights that may be in flight; 0 means no limit.
+	// LoadsAtOnce is the maximum number of concurrent loads of weights; 0 means unlimited.
 	LoadsAtOnce int
-	// AdaptersInTransit is the number of adapters that may be in flight; 0 means no limit.
+	// AdaptersInTransit is the maximum number of concurrent loads of adapters; 0 means unlimited.
 	AdaptersInTransit int
-	// Lease is how long a permit or a report counts without a sign of life from its agent (optional).
+	// Lease is how long a permit or a report remains valid without a renewal by its agent (optional).
 	Lease time.Duration
-	// StartWithin is the time in which a permit must be used (optional).
+	// StartWithin is the time within which a permit must be used (optional).
 	StartWithin time.Duration
-	// MinRetry and MaxRetry bound the time after which a denied agent asks again (optional). MaxRetry is below the
-	// agents' patience, so that an agent hears from the issuer before it takes it for gone.
+	// MinRetry and MaxRetry bound the delay after which a denied agent retries (optional). MaxRetry should be below the
+	// agents' permit timeout, so that an agent gets an answer before it considers the issuer dead.
 	MinRetry, MaxRetry time.Duration
-	// MaxPending bounds the requests that wait, and also the agents and the models that are remembered (optional).
+	// MaxPending bounds the waiting requests, and also the tracked agents and models (optional).
 	MaxPending int
 }
 
@@ -56,7 +56,7 @@
 	return o
 }
 
-// spacing returns the least time between two starts of weights.
+// spacing returns the minimum time between two starts of weights.
 func (o Options) spacing() time.Duration {
 	if o.LoadsPerSecond <= 0 {
 		return 0
--- a/internal/loading/permits/queue.go
+++ b/internal/loading/permits/queue.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// requestKey names a request: identifiers are unique only within their agent.
+// requestKey identifies a request: identifiers are unique only within their agent.
 type requestKey struct{ agent, id string }
 
-// request is one request that waits for a permit.
+// request is a request waiting for a permit.
 type request struct {
 	key      requestKey
 	kind     kind
 	model    string
 	prefetch bool
-	// latestStart is the last time at which a start still makes the deadline.
+	// latestStart is the latest start that still meets the deadline.
 	latestStart time.Time
 	sequence    uint64
-	// forgetAt is when the request is dropped unless the agent asks again.
-	forgetAt time.Time
-	// answered is set once the agent was told to wait.
+	// expires is when the request is dropped unless the agent repeats it.
+	expires time.Time
+	// answered is set once the agent got a retry delay or a permit.
 	answered bool
 }
 
-// compareUrgency orders requests by slack, prefetches last; it is total, because sequences differ.
+// compareUrgency orders requests by slack, prefetches last. The order is total, because sequences are unique.
 func compareUrgency(a, b *request) int {
 	switch {
 	case a.prefetch != b.prefetch && a.prefetch:
@@ -37,17 +37,17 @@
 	return cmp.Compare(a.sequence, b.sequence)
 }
 
-// queue holds the waiting requests of one kind, most urgent first. A sorted slice gives the rank, from which the retry
-// time is estimated; an insert moves 8 bytes an entry, some microseconds at 10,000.
+// queue holds the waiting requests of one kind, most urgent first. A sorted slice provides the rank, from which the
+// retry delay is estimated; an insert moves 8 bytes per entry, a few microseconds at 10,000 entries.
 type queue struct{ items []*request }
 
-// insert adds a request at its place.
+// insert adds a request.
 func (q *queue) insert(r *request) {
 	i, _ := slices.BinarySearchFunc(q.items, r, compareUrgency)
 	q.items = slices.Insert(q.items, i, r)
 }
 
-// remove takes a request out.
+// remove removes a request.
 func (q *queue) remove(r *request) {
 	i, ok := slices.BinarySearchFunc(q.items, r, compareUrgency)
 	if ok {
@@ -55,13 +55,13 @@
 	}
 }
 
-// rank returns how many requests are ahead of r.
+// rank returns the number of requests ahead of r.
 func (q *queue) rank(r *request) int {
 	i, _ := slices.BinarySearchFunc(q.items, r, compareUrgency)
 	return i
 }
 
-// last returns the least urgent request, nil if there is none.
+// last returns the least urgent request, or nil if the queue is empty.
 func (q *queue) last() *request {
 	if len(q.items) == 0 {
 		return nil
@@ -69,10 +69,10 @@
 	return q.items[len(q.items)-1]
 }
 
-// next returns the request to serve now, nil if there is none. Least slack goes first, but a request that cannot make its
-// deadline any more goes behind those that still can and would miss theirs if they waited for one more load. Served
-// first, it would make the requests behind it miss their deadlines too, one after the other.
-func (q *queue) next(now time.Time, oneLoad time.Duration) *request {
+// next returns the request to serve now, or nil if the queue is empty. The request with the least slack goes first,
+// except that one that can no longer meet its deadline is passed over for those that still can but would miss theirs
+// after one more load. Otherwise one late request would make the ones behind it late in turn.
+func (q *queue) next(now time.Time, loadTime time.Duration) *request {
 	if len(q.items) == 0 {
 		return nil
 	}
@@ -86,7 +86,7 @@
 		}
 		return -1
 	})
-	if i < len(q.items) && !q.items[i].prefetch && q.items[i].latestStart.Before(now.Add(oneLoad)) {
+	if i < len(q.items) && !q.items[i].prefetch && q.items[i].latestStart.Before(now.Add(loadTime)) {
 		return q.items[i]
 	}
 	return first
--- a/internal/loading/permits/store_test.go
+++ b/internal/loading/permits/store_test.go
@@ -14,18 +14,18 @@
 // epoch is the time at which each storm begins.
 var epoch = time.Date(2026, 1, 5, 6, 30, 0, 0, time.UTC)
 
-// heartbeat is how often agents tell the issuers what they have in flight.
+// heartbeat is the interval at which agents report their loads in flight.
 const heartbeat = time.Second
 
-// modelLoad is one load of a storm and what became of it.
+// modelLoad is one load of a storm and its result.
 type modelLoad struct {
 	agent, id, model string
 	kind             wirepb.PermitKind
 	prefetch         bool
 	interactive      bool
-	// work is how long the load takes at full speed; arrives and slack say when it is asked for and how long it may wait.
+	// work is the duration of the load at full speed; arrives is when it is requested and slack how long it may wait.
 	work, arrives, slack time.Duration
-	// jitter spreads the agents' patience.
+	// jitter randomizes the agents' patience.
 	jitter float64
 
 	nextAsk   time.Duration
@@ -36,31 +36,31 @@
 	ready     time.Duration
 }
 
-// issuers says which budget an agent asks at a time; nil means that it knows none.
+// issuers returns the budget that an agent uses at a time, or nil if it has no issuer.
 type issuers func(at time.Duration, agent string) *Budget
 
-// store is a weight store in which a load goes at full speed while no more than atOnce are in flight and slows in
-// proportion beyond; starts are no closer than spacing, later ones wait at the store.
+// store is a simulated weight store in which loads run at full speed while no more than atOnce are in flight and slow
+// down in proportion beyond that. Starts are at least spacing apart; earlier ones wait at the store.
 type store struct {
 	atOnce  int
 	spacing time.Duration
 	loads   []*modelLoad
 	issuers issuers
-	// changeAt is when the issuer changes; zero for never. Waiting agents ask the new one a heartbeat later.
+	// changeAt is when the issuer changes; zero for never. Waiting agents contact the new one a heartbeat later.
 	changeAt time.Duration
-	// patience is how long an agent waits for a permit before it starts without one, at a time between once and twice that
-	// long; zero for ever. With extend set, each answer of an issuer begins it anew.
+	// patience is how long an agent waits for a permit before it starts without one, with a jitter of up to the same
+	// length; zero means forever. If extend is set, each answer of an issuer restarts the wait.
 	patience time.Duration
 	extend   bool
 
-	now       time.Duration
-	lastStart time.Duration
-	most      int
-	messages  int
-	seen      map[*Budget]bool
+	now         time.Duration
+	lastStart   time.Duration
+	maxInFlight int
+	messages    int
+	seen        map[*Budget]bool
 }
 
-// run plays the storm until each load is ready and returns the time of the last one.
+// run simulates the storm until all loads are ready and returns the end time.
 func (s *store) run() time.Duration {
 	s.seen = map[*Budget]bool{}
 	s.lastStart = -s.spacing
@@ -76,7 +76,7 @@
 		s.advance(s.next(nextBeat))
 		if s.now >= nextBeat {
 			nextBeat += heartbeat
-			s.beat()
+			s.sendReports()
 		}
 		s.changeIssuer()
 		s.ask()
@@ -107,7 +107,7 @@
 	return n
 }
 
-// speed is the progress of each load in flight per unit of time.
+// speed returns the progress of each load in flight per unit of time.
 func (s *store) speed() float64 {
 	return min(1, float64(s.atOnce)/float64(max(1, s.inFlight())))
 }
@@ -135,7 +135,7 @@
 	return next
 }
 
-// advance lets time pass for the loads in flight and ends those that are through.
+// advance advances the time for the loads in flight and ends those that are complete.
 func (s *store) advance(to time.Duration) {
 	speed := s.speed()
 	from := s.now
@@ -157,8 +157,8 @@
 	}
 }
 
-// beat tells the issuers what each agent has in flight.
-func (s *store) beat() {
+// sendReports reports to the issuers what each agent has in flight.
+func (s *store) sendReports() {
 	counts := map[string][2]int{}
 	for _, l := range s.loads {
 		c := counts[l.agent]
@@ -174,7 +174,7 @@
 	}
 }
 
-// changeIssuer makes the agents that wait ask the new issuer a heartbeat after the change.
+// changeIssuer schedules the requests of waiting agents to the new issuer a heartbeat after the change.
 func (s *store) changeIssuer() {
 	if s.changeAt == 0 || s.now != s.changeAt {
 		return
@@ -187,7 +187,7 @@
 	}
 }
 
-// ask sends the requests that are due, or starts the loads at once where there is no issuer.
+// ask sends the requests that are due, or starts the loads if there is no issuer.
 func (s *store) ask() {
 	for _, l := range s.loads {
 		if l.ready > 0 || l.running || s.now < min(l.nextAsk, l.giveUp) {
@@ -213,7 +213,7 @@
 	}
 }
 
-// decide carries the issuers' answers to the agents.
+// decide delivers the issuers' answers to the agents.
 func (s *store) decide() {
 	for b := range s.seen {
 		for _, g := range b.Decide(epoch.Add(s.now)) {
@@ -234,7 +234,7 @@
 	}
 }
 
-// start begins a load, later if the store's rate wants it.
+// start begins a load, delayed if the store's rate requires it.
 func (s *store) start(l *modelLoad) {
 	l.started = s.now
 	if l.kind == wirepb.PermitKind_WEIGHTS {
@@ -243,11 +243,11 @@
 	}
 	l.running = true
 	l.remaining = l.work
-	s.most = max(s.most, s.inFlight())
+	s.maxInFlight = max(s.maxInFlight, s.inFlight())
 }
 
-// storm returns loads of a morning at which many idle models wake within a second: two in three for requests that wait
-// at a caller, the rest for a batch that may take an hour. Each agent asks for one load.
+// storm returns loads of many idle models that are requested within one second: two thirds for interactive requests,
+// the rest for batch requests that may wait an hour. Each agent requests one load.
 func storm(seed uint64, count int, work [2]time.Duration, kind wirepb.PermitKind) []*modelLoad {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	between := func(lo, hi time.Duration) time.Duration { return lo + time.Duration(rng.Int64N(int64(hi-lo)+1)) }
@@ -267,7 +267,7 @@
 	return loads
 }
 
-// percentile returns the nearest-rank percentile of the times from arrival to ready of the loads that keep selects.
+// percentile returns the nearest-rank percentile of the time from arrival to ready over the loads selected by keep.
 func percentile(loads []*modelLoad, p float64, keep func(*modelLoad) bool) time.Duration {
 	var waits []time.Duration
 	for _, l := range loads {
@@ -281,9 +281,9 @@
 
 func all(*modelLoad) bool { return true }
 
-func waitedFor(l *modelLoad) bool { return l.interactive }
+func isInteractive(l *modelLoad) bool { return l.interactive }
 
-// late counts the interactive loads that were ready only after their deadline.
+// late counts the interactive loads that became ready after their deadline.
 func late(loads []*modelLoad) int {
 	n := 0
 	for _, l := range loads {
--- a/internal/loading/plan.go
+++ b/internal/loading/plan.go
@@ -11,7 +11,7 @@
 	"balsamsail/internal/endpoint"
 )
 
-// wantsLoad reports whether a holding should be loaded and is not, nor being loaded.
+// wantsLoad reports whether a holding should be loaded and is neither loaded nor being loaded.
 func (m *Machine) wantsLoad(h *holding) bool {
 	if m.leaving || h.state != absent && !m.mayReissue(h) {
 		return false
@@ -20,17 +20,17 @@
 	if !m.slots.read || !m.granted(r) || !m.isDeclared(h) || m.now.Before(h.retryAt) {
 		return false
 	}
-	if h.isAdapter() && (r.state != loaded || r.order != nil) || !h.isAdapter() && r.adapterOrder() {
+	if h.isAdapter() && (r.state != loaded || r.order != nil) || !h.isAdapter() && r.adapterOrderInFlight() {
 		return false
 	}
-	return h.waiting > 0 || m.now.Before(h.wishUntil) || !h.isAdapter() && m.warm(r) && !m.now.Before(r.warmAt)
+	return h.waiting > 0 || m.now.Before(h.wantedUntil) || !h.isAdapter() && m.warm(r) && !m.now.Before(r.warmRetryAt)
 }
 
-// mayReissue reports whether a load may be ordered for something whose state is unknown: the engine refuses the earlier
-// order once it has accepted this one, and its state shows nothing under way.
+// mayReissue reports whether a holding in an unknown state may be ordered again: the engine rejects the earlier order
+// once it has accepted the new one, and its state shows no load or unload in progress.
 func (m *Machine) mayReissue(h *holding) bool {
 	return h.state == unknown && m.options.ChecksFencing && !h.isAdapter() &&
-		(h.shown == shownAbsent || h.shown == shownLoaded)
+		(h.observed == observedAbsent || h.observed == observedLoaded)
 }
 
 // isDeclared reports whether a model version, or an adapter of it, is declared.
@@ -42,7 +42,7 @@
 	return ok
 }
 
-// updateWanting keeps the set of wanted loads.
+// updateWanting adds a holding to the set of wanted loads or removes it.
 func (m *Machine) updateWanting(h *holding) {
 	if m.wantsLoad(h) {
 		m.wanting[h] = struct{}{}
@@ -52,11 +52,12 @@
 	m.dropPermit(h)
 }
 
-// urgency returns the latest time at which a load may start for its first waiting request; far away when none waits.
+// urgency returns the latest start of a load that still meets the earliest deadline of its waiting requests; far in the
+// future if none waits.
 func (m *Machine) urgency(h *holding) time.Time {
 	deadline := h.replica.deadline()
 	if deadline.IsZero() {
-		deadline = m.now.Add(farDeadline)
+		deadline = m.now.Add(defaultLoadDeadline)
 	}
 	return deadline.Add(-m.expectedLoad(h))
 }
@@ -80,31 +81,31 @@
 	return queue
 }
 
-// plan starts the wanted loads for which there is room, makes room for the most urgent of the others, and refuses those
-// for which none can be made.
+// plan starts the wanted loads that fit into memory, orders unloads to make room for the most urgent of the others, and
+// refuses those for which not enough memory can be freed.
 //
-// Only so many load at once, and only so many ask for permits at once. One that waits for its permit does not keep a
-// later one out whose checkpoint is cached.
+// LoadsAtOnce bounds both the loads in flight and the loads that request permits. A load that waits for its permit does
+// not block a later one whose checkpoint is cached.
 func (m *Machine) plan() {
 	if len(m.wanting) == 0 || !m.canLoad() {
 		return
 	}
-	room := m.newRoom()
+	memory := m.newMemoryPlan()
 	free := m.options.LoadsAtOnce - m.loadsInFlight()
-	asking := 0
+	awaitingPermit := 0
 	for _, h := range m.queue() {
-		next := h.isAdapter() || free > 0 && (m.isCached(h) || asking < free)
-		answer := room.claim(h, next)
-		if answer == roomNever {
+		next := h.isAdapter() || free > 0 && (m.isCached(h) || awaitingPermit < free)
+		answer := memory.claim(h, next)
+		if answer == claimDenied {
 			m.noRoom(h)
 			continue
 		}
 		if !next {
 			continue
 		}
-		started := m.permitted(h) && answer == roomNow && m.canOrder()
+		started := m.permitted(h) && answer == claimNow && m.canOrder()
 		if started {
-			m.giveLoad(h, !m.isCached(h))
+			m.orderLoad(h, !m.isCached(h))
 			delete(m.wanting, h)
 		}
 		switch {
@@ -112,40 +113,41 @@
 		case started:
 			free--
 		case !m.isCached(h):
-			asking++
+			awaitingPermit++
 		}
 	}
 }
 
-// noRoom refuses the requests that wait for a load for which no room can be made, and asks for another slot.
+// noRoom refuses the requests that wait for a load for which not enough memory can be freed, and asks for a slot on
+// another engine.
 func (m *Machine) noRoom(h *holding) {
 	delete(m.wanting, h)
 	m.dropPermit(h)
-	h.wishUntil = time.Time{}
+	h.wantedUntil = time.Time{}
 	if h.waiting > 0 {
-		m.refuseWaiting(h, refusalNoMemory, retrySoon)
+		m.refuseWaiting(h, refusalNoMemory, defaultRetryAfter)
 		return
 	}
 	if r := h.replica; m.warm(r) && !h.isAdapter() {
 		m.emit(WantSlot{Model: r.model, Reason: refusalNoMemory.reason})
-		r.crowded++
-		r.warmAt = m.now.Add(m.backOffTime(r.crowded))
-		m.wakeAt(r, r.warmAt)
+		r.noRoomCount++
+		r.warmRetryAt = m.now.Add(m.backOffTime(r.noRoomCount))
+		m.wakeAt(r, r.warmRetryAt)
 	}
 }
 
-// loadsInFlight counts the loads of model versions that are under way.
+// loadsInFlight counts the model version loads in progress.
 func (m *Machine) loadsInFlight() int {
 	n := 0
 	for _, r := range m.replicas {
-		if r.state == loading || r.state == unknown && r.shown == shownBetween {
+		if r.state == loading || r.state == unknown && r.observed == observedTransient {
 			n++
 		}
 	}
 	return n
 }
 
-// refusalFor turns an error of an order into the refusal of the requests that wait for it.
+// refusalFor maps an error of an order to the refusal of the requests that wait for it.
 func refusalFor(err error) refusal {
 	switch {
 	case errors.Is(err, endpoint.ErrNoMemory):
@@ -157,10 +159,10 @@
 	}
 }
 
-// loadFailed takes in the definite failure of a load.
+// loadFailed handles the definite failure of a load.
 func (m *Machine) loadFailed(h *holding, err error) {
 	h.failures++
-	h.wishUntil = time.Time{}
+	h.wantedUntil = time.Time{}
 	m.backOff(h)
 	m.refuseWaiting(h, refusalFor(err), h.retryAt.Sub(m.now))
 }
@@ -170,13 +172,13 @@
 	maxBackOff = 2 * time.Minute
 )
 
-// backOff sets when a load may be tried again.
+// backOff sets the time of the next load attempt.
 func (m *Machine) backOff(h *holding) {
 	h.retryAt = m.now.Add(m.backOffTime(h.failures))
 	m.wakeAt(h.replica, h.retryAt)
 }
 
-// backOffTime returns a time that is longer after each failure, and not the same for all engines.
+// backOffTime returns an exponential backoff with jitter, so that engines do not retry in lockstep.
 func (m *Machine) backOffTime(failures int) time.Duration {
 	wait := min(float64(minBackOff)*math.Pow(2, float64(failures)), float64(maxBackOff))
 	return time.Duration(wait * (0.5 + 0.5*m.random.Float64()))
--- a/internal/loading/property_test.go
+++ b/internal/loading/property_test.go
@@ -23,11 +23,11 @@
 	return item
 }
 
-// turn lets one random thing happen.
-func (w *simWorld) turn() {
+// randomStep performs one random action.
+func (w *simWorld) randomStep() {
 	switch n := w.random.IntN(100); {
 	case n < 12:
-		w.passTime([]time.Duration{0, time.Millisecond, 50 * time.Millisecond, time.Second, simLife}[w.random.IntN(5)])
+		w.passTime([]time.Duration{0, time.Millisecond, 50 * time.Millisecond, time.Second, simOrderLife}[w.random.IntN(5)])
 	case n < 40:
 		w.moveOrder()
 	case n < 52:
@@ -44,11 +44,11 @@
 		w.moveConfirmation()
 	case n < 96:
 		w.movePermit()
-	case w.calm:
+	case w.faultFree:
 	case n < 98 && w.random.IntN(3) == 0:
 		w.logf("engine restarts")
 		w.engine.restart()
-		// What ran is cut by the restart; the shell learns of it later.
+		// The restart aborts running requests; the agent learns of it later.
 		for _, id := range sortedKeys(w.running) {
 			w.pending = append(w.pending, Finished{Request: id})
 		}
@@ -58,7 +58,7 @@
 	}
 }
 
-// passTime advances the time; the machine is stepped when it asked for it and not otherwise.
+// passTime advances the time. The machine is stepped only at the times that it requested.
 func (w *simWorld) passTime(d time.Duration) {
 	end := w.now.Add(d)
 	for {
@@ -67,18 +67,18 @@
 			break
 		}
 		w.now = later(w.now, next)
-		w.engine.settle(w.now)
+		w.engine.expireOrders(w.now)
 		w.step(Tick{})
 		if !w.machine.NextDeadline().After(w.now) {
-			w.engine.violate("the machine asks for a step at once, for ever")
+			w.engine.violate("NextDeadline does not advance after a step")
 			break
 		}
 	}
 	w.now = end
-	w.engine.settle(w.now)
+	w.engine.expireOrders(w.now)
 }
 
-// moveOrder brings an order one stage further.
+// moveOrder moves a random order one stage further.
 func (w *simWorld) moveOrder() {
 	if len(w.engine.orders) == 0 {
 		return
@@ -86,7 +86,7 @@
 	w.advance(w.engine.orders[w.random.IntN(len(w.engine.orders))], w.random.IntN(8) == 0)
 }
 
-// advance brings an order one stage further, or loses its answer.
+// advance moves an order one stage further, or loses its answer.
 func (w *simWorld) advance(o *simOrder, lost bool) {
 	switch {
 	case !o.sent && lost:
@@ -97,15 +97,15 @@
 		w.abandon(o)
 		w.step(OrderDone{ID: o.ID, Err: endpoint.ErrOutcomeUnknown})
 	case !o.arrived:
-		w.logf("engine gets %+v", o.Order)
+		w.logf("engine receives %+v", o.Order)
 		w.engine.arrive(o)
 	case !o.answered:
-		w.logf("engine works on %+v", o.Order)
+		w.logf("engine executes %+v", o.Order)
 		w.engine.work(o)
 	case !o.abandoned:
 		w.finishOrder(o, o.answer)
 	}
-	w.engine.settle(w.now)
+	w.engine.expireOrders(w.now)
 }
 
 func (w *simWorld) finishOrder(o *simOrder, answer error) {
@@ -113,17 +113,17 @@
 	w.event(OrderDone{ID: o.ID, Err: answer})
 }
 
-// event gives the machine an event and remembers it to repeat it later.
+// event applies an event to the machine and records it so that it can be duplicated later.
 func (w *simWorld) event(e Event) {
-	w.old = append(w.old, e)
+	w.delivered = append(w.delivered, e)
 	w.step(e)
 }
 
-// moveRead lets the engine look at a read, or its answer reach the agent.
+// moveRead performs a read of the engine's state, or delivers an event.
 func (w *simWorld) moveRead() {
 	if len(w.reads) > 0 && w.random.IntN(2) == 0 {
 		read := pick(w, &w.reads)
-		if !w.calm && w.random.IntN(10) == 0 {
+		if !w.faultFree && w.random.IntN(10) == 0 {
 			w.pending = append(w.pending, EngineLost(read))
 			return
 		}
@@ -133,14 +133,14 @@
 	w.moveEvent()
 }
 
-// moveEvent delivers one of the pending events, or an old one once more.
+// moveEvent delivers one of the pending events, or duplicates an old one.
 func (w *simWorld) moveEvent() {
-	if len(w.old) > 0 && !w.calm && w.random.IntN(10) == 0 {
-		w.step(w.old[w.random.IntN(len(w.old))])
+	if len(w.delivered) > 0 && !w.faultFree && w.random.IntN(10) == 0 {
+		w.step(w.delivered[w.random.IntN(len(w.delivered))])
 		return
 	}
-	if w.askedRow && (w.calm || w.random.IntN(3) == 0) {
-		w.askedRow = false
+	if w.rowsRequested && (w.faultFree || w.random.IntN(3) == 0) {
+		w.rowsRequested = false
 		w.pending = append(w.pending, w.readTable())
 	}
 	if len(w.pending) > 0 {
@@ -163,7 +163,7 @@
 	w.step(e)
 }
 
-// moveRequest starts, ends or withdraws a request.
+// moveRequest starts, ends or cancels a request.
 func (w *simWorld) moveRequest() {
 	for _, id := range sortedKeys(w.demands) {
 		t := simTarget{w.demands[id].Model, w.demands[id].Adapter}
@@ -188,10 +188,10 @@
 	}
 }
 
-// moveRow changes a row, or shows the agent a version of one, the newest or an old one.
+// moveRow changes a row, or pushes a version of a row to the agent, which may be stale.
 func (w *simWorld) moveRow() {
 	model := simModels[w.random.IntN(len(simModels))].Model
-	if !w.calm && w.random.IntN(3) == 0 {
+	if !w.faultFree && w.random.IntN(3) == 0 {
 		w.changeRow(model)
 		return
 	}
@@ -200,19 +200,19 @@
 		return
 	}
 	row := versions[len(versions)-1]
-	if !w.calm && w.random.IntN(2) == 0 {
+	if !w.faultFree && w.random.IntN(2) == 0 {
 		row = versions[w.random.IntN(len(versions))]
 	}
 	w.step(RowSeen{Row: row})
 }
 
-// moveConfirmation delivers, loses or repeats a confirmation.
+// moveConfirmation delivers or loses a confirmation.
 func (w *simWorld) moveConfirmation() {
-	if len(w.late) == 0 {
+	if len(w.confirmations) == 0 {
 		return
 	}
-	c := pick(w, &w.late)
-	if !w.calm && w.random.IntN(4) == 0 {
+	c := pick(w, &w.confirmations)
+	if !w.faultFree && w.random.IntN(4) == 0 {
 		return
 	}
 	w.confirmed[c.Model] = max(w.confirmed[c.Model], c.Revision)
@@ -239,16 +239,16 @@
 	}
 }
 
-// runSim runs one seed and returns what went wrong, or "".
+// runSim runs a simulation and returns the first violation, or "".
 func runSim(w *simWorld, turns int) string {
 	for range turns {
-		w.turn()
+		w.randomStep()
 		if wrong := w.check(); wrong != "" {
 			return wrong
 		}
 	}
-	w.calm, w.engine.calm = true, true
-	for range calmRounds {
+	w.faultFree, w.engine.faultFree = true, true
+	for range faultFreeRounds {
 		w.round()
 		if wrong := w.check(); wrong != "" {
 			return wrong
@@ -257,10 +257,10 @@
 	return w.checkSettled()
 }
 
-// calmRounds is how many rounds without faults follow: longer than the longest back-off.
-const calmRounds = 100
+// faultFreeRounds is the number of rounds without faults that follow; they last longer than the maximum backoff.
+const faultFreeRounds = 100
 
-// round delivers all there is to deliver and lets two seconds pass.
+// round delivers everything that is in flight and advances the time by two seconds.
 func (w *simWorld) round() {
 	for _, o := range slices.Clone(w.engine.orders) {
 		for range 4 {
@@ -272,10 +272,10 @@
 	for len(w.reads) > 0 {
 		w.moveRead()
 	}
-	for len(w.pending) > 0 || w.askedRow {
+	for len(w.pending) > 0 || w.rowsRequested {
 		w.moveEvent()
 	}
-	for len(w.late) > 0 {
+	for len(w.confirmations) > 0 {
 		w.moveConfirmation()
 	}
 	for _, m := range simModels {
@@ -287,8 +287,8 @@
 	w.passTime(2 * time.Second)
 }
 
-// checkSettled returns what is wrong after a long time without faults, or "": nothing is unknown any more, each slot that
-// was taken back is free, and a request for what has a slot is served.
+// checkSettled returns the first violation after a long time without faults, or "": no state may be unknown, each
+// revoked slot must be free, and a request for a model with a slot must be served.
 func (w *simWorld) checkSettled() string {
 	for _, m := range simModels {
 		if row := w.row(m.Model); len(row.Slots) > 0 && row.Slots[0].State == replicaspb.SlotState_RELEASING {
@@ -297,7 +297,7 @@
 	}
 	for _, r := range w.machine.Status(w.now).Replicas {
 		if r.State == wirepb.ReplicaState_UNKNOWN {
-			return r.Model + " is not known"
+			return r.Model + " is in an unknown state"
 		}
 	}
 	if got, want := w.machine.reservedBytes(w.machine.reserved()), w.engine.used(); got < want || got > want+10 {
@@ -308,19 +308,20 @@
 	}
 	w.step(Demanded{Request: "last", Model: "a@1", Adapter: "a-x", Deadline: w.now.Add(time.Hour)})
 	w.demands["last"] = Demanded{Request: "last", Model: "a@1", Adapter: "a-x", Deadline: w.now.Add(time.Hour)}
-	for range calmRounds {
+	for range faultFreeRounds {
 		w.round()
 	}
 	if _, waits := w.demands["last"]; waits {
-		return "the last request still waits"
+		return "the last request is still waiting"
 	}
 	return ""
 }
 
-// TestPropertyNoInterleavingBreaksTheRules lets orders arrive late and out of order, answers get lost, engines restart
-// and agents follow one another, in thousands of random interleavings. After each turn the engine holds nothing without
-// a slot, its memory is not overcommitted, fencing numbers have risen, no model version has two orders in flight, no
-// request was cut by an unload, and no waiting request is beyond its deadline without an answer.
+// TestPropertyNoInterleavingBreaksTheRules runs thousands of random interleavings in which orders arrive late and out
+// of order, answers are lost, engines restart and agents are replaced. After each step the engine must hold nothing
+// without a slot, its memory must not be overcommitted, fencing numbers must have increased, no model version may have
+// two orders in flight, no request may be aborted by an unload, and no waiting request may be past its deadline without
+// an answer.
 func TestPropertyNoInterleavingBreaksTheRules(t *testing.T) {
 	const turns = 400
 	seeds, steps := 0, 0
--- a/internal/loading/ready.go
+++ b/internal/loading/ready.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ReadyAt returns the earliest time at which requests of a target that is not usable may run, or false when nothing is
-// known of it. A wait for it is worth while until deadline.
+// ReadyAt returns the earliest time at which requests for an unusable target may run, or false if there is no estimate.
+// The deadline is that of the request.
 func (m *Machine) ReadyAt(model, adapter string, deadline time.Time) (time.Time, bool) {
 	r := m.replicas.get(model)
 	if r == nil {
--- a/internal/loading/refusal.go
+++ b/internal/loading/refusal.go
@@ -7,11 +7,11 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// refusal says why waiting requests are refused.
+// refusal is a reason for refusing waiting requests.
 type refusal struct {
 	reason wirepb.RefusalReason
 	detail string
-	// wantsSlot asks for another slot elsewhere as well.
+	// wantsSlot also asks for a slot on another engine.
 	wantsSlot bool
 }
 
@@ -29,23 +29,23 @@
 )
 
 const (
-	// retrySoon is when to come back where no time is known.
-	retrySoon = time.Second
-	// wishGrace is how long after the expected end of a load the machine waits for callers that were told to come back.
-	wishGrace = 5 * time.Second
+	// defaultRetryAfter is the retry delay if the time of readiness is unknown.
+	defaultRetryAfter = time.Second
+	// returnGrace is how long after the expected end of a load the machine waits for callers that were told to retry.
+	returnGrace = 5 * time.Second
 )
 
-// refusalOf returns why a request cannot be served here at all, or nil.
+// refusalOf returns the reason why a request cannot be served by this engine, or nil.
 func (m *Machine) refusalOf(e Demanded) (*refusal, time.Duration) {
 	switch {
 	case m.leaving:
 		return &refusalLeaving, 0
 	case m.unreachable():
-		return &refusalUnreachable, retrySoon
-	case !m.engine.known || m.slots.knowledge(e.Model) == slotUnknown:
-		return &refusalNotReady, retrySoon
-	case m.slots.knowledge(e.Model) == slotLost:
-		return &refusalNotGranted, retrySoon
+		return &refusalUnreachable, defaultRetryAfter
+	case !m.engine.known || m.slots.status(e.Model) == slotUnknown:
+		return &refusalNotReady, defaultRetryAfter
+	case m.slots.status(e.Model) == slotLost:
+		return &refusalNotGranted, defaultRetryAfter
 	}
 	if h := m.find(e.Model, e.Adapter); h != nil && m.usable(h) {
 		return nil, 0
@@ -53,10 +53,10 @@
 	return m.loadRefusal(e)
 }
 
-// loadRefusal returns why a request that needs a load cannot get it, or nil.
+// loadRefusal returns the reason why a request cannot get the load it needs, or nil.
 func (m *Machine) loadRefusal(e Demanded) (*refusal, time.Duration) {
-	if !m.specsSeen {
-		return &refusalNotReady, retrySoon
+	if !m.specsKnown {
+		return &refusalNotReady, defaultRetryAfter
 	}
 	if _, ok := m.models[e.Model]; !ok {
 		return &refusalUnknown, 0
@@ -65,7 +65,7 @@
 		return &refusalUnknown, 0
 	}
 	if !m.slots.read {
-		return &refusalNotReady, retrySoon
+		return &refusalNotReady, defaultRetryAfter
 	}
 	if h := m.find(e.Model, ""); h != nil && h.state != loaded && m.now.Before(h.retryAt) {
 		return &refusalLoadFailed, h.retryAt.Sub(m.now)
@@ -76,7 +76,7 @@
 	return nil, 0
 }
 
-// refuseOne refuses a single request that is not kept.
+// refuseOne refuses a single request that is not tracked.
 func (m *Machine) refuseOne(e Demanded, why refusal, retryAfter time.Duration) {
 	m.emit(RefuseDemand{
 		Request:    e.Request,
@@ -91,26 +91,26 @@
 	}
 }
 
-// refuseLate refuses a request whose deadline is before the expected end of the load. The load goes on or begins all the
-// same, because the caller is told when to come back; else a model whose load takes longer than any caller waits would
-// never be served.
+// refuseLate refuses a request whose deadline is before the expected end of the load. The load starts or continues
+// nevertheless, because the caller is told when to retry; otherwise a model whose load takes longer than any caller
+// waits would never be served.
 func (m *Machine) refuseLate(e Demanded, target *holding, at time.Time) {
 	why := refusalDeadline
 	why.detail = fmt.Sprintf("ready in %v at the earliest", at.Sub(m.now).Round(time.Millisecond))
 	m.refuseOne(e, why, at.Sub(m.now))
-	m.wish(target, at.Add(wishGrace))
-	m.wish(&target.replica.holding, at.Add(wishGrace))
-	m.touch(target.replica)
+	m.want(target, at.Add(returnGrace))
+	m.want(&target.replica.holding, at.Add(returnGrace))
+	m.markDirty(target.replica)
 }
 
-// refuseWaiting refuses all requests that wait for a model version, its adapters included, or for one adapter.
+// refuseWaiting refuses all requests that wait for a model version, including its adapters, or for one adapter.
 func (m *Machine) refuseWaiting(h *holding, why refusal, retryAfter time.Duration) {
 	if h.waiting == 0 {
 		return
 	}
 	for _, d := range h.replica.demands {
 		if !h.isAdapter() || d.target == h {
-			m.forget(d)
+			m.removeDemand(d)
 		}
 	}
 	m.emit(RefuseDemand{
--- a/internal/loading/results.go
+++ b/internal/loading/results.go
@@ -8,7 +8,7 @@
 	"balsamsail/internal/endpoint"
 )
 
-// orderDone takes in the result of an order. A result that was taken in already is ignored.
+// orderDone handles the result of an order. Duplicate results are ignored.
 func (m *Machine) orderDone(e OrderDone) {
 	o := m.orders[e.ID]
 	if o == nil {
@@ -19,53 +19,53 @@
 	if result == outcomeUnknown && o.unknown {
 		return
 	}
-	h.settled = m.step
-	m.touch(h.replica)
+	h.orderEndedStep = m.step
+	m.markDirty(h.replica)
 	if o.unknown {
-		m.learnLate(o)
+		m.resolveLate(o)
 		return
 	}
 	h.order = nil
 	if m.overtaken(o, e.Err) {
 		delete(m.orders, o.ID)
-		m.giveAgain(o)
+		m.undoOvertaken(o)
 		return
 	}
 	m.endPermit(o.permit.id)
 	if result == outcomeUnknown {
-		m.doubt(o)
+		m.markUnresolved(o)
 		return
 	}
 	delete(m.orders, o.ID)
 	if result == outcomeDone && o.incarnation == m.engine.incarnation {
 		m.accept(o)
-		m.carriedOut(o)
+		m.orderApplied(o)
 		return
 	}
 	if result == outcomeDone {
-		// The engine has restarted since: whether this was before or after, only a read can tell.
+		// The engine has restarted since: only a read can show whether the order was carried out before or after.
 		h.state = unknown
-		m.wantRead()
+		m.scheduleRead()
 		return
 	}
-	m.withoutEffect(o, e.Err)
+	m.orderHadNoEffect(o, e.Err)
 }
 
-// overtaken reports whether the engine refused an order only because a later one of this agent reached it first.
+// overtaken reports whether the engine rejected an order only because a later one of this agent arrived first.
 func (m *Machine) overtaken(o *order, err error) bool {
 	return errors.Is(err, endpoint.ErrFenced) && o.Fence < m.fence.last && o.incarnation == m.engine.incarnation
 }
 
-// giveAgain returns to the state before an order that was overtaken, with the permit that the load had. It is no
-// failure: what asked for the order asks for it again.
-func (m *Machine) giveAgain(o *order) {
+// undoOvertaken restores the state before an order that was overtaken, including the permit of a load. This does not
+// count as a failure: the condition that caused the order causes it again.
+func (m *Machine) undoOvertaken(o *order) {
 	h := o.holding
-	h.state = o.held
-	if o.held == absent {
+	h.state = o.prevState
+	if o.prevState == absent {
 		m.setAbsent(h)
 	}
-	if o.held == unknown {
-		m.wantRead()
+	if o.prevState == unknown {
+		m.scheduleRead()
 	}
 	if !o.isLoad() {
 		return
@@ -76,23 +76,23 @@
 	}
 }
 
-// learnLate takes in a definite result of an order that had been given up.
-func (m *Machine) learnLate(o *order) {
+// resolveLate handles a definite result of an order whose outcome was unknown until now.
+func (m *Machine) resolveLate(o *order) {
 	delete(m.orders, o.ID)
-	o.holding.doubts = slices.DeleteFunc(o.holding.doubts, func(d *order) bool { return d == o })
-	m.wantRead()
+	o.holding.unresolved = slices.DeleteFunc(o.holding.unresolved, func(d *order) bool { return d == o })
+	m.scheduleRead()
 }
 
-// doubt notes that an order ended without a definite result. Its memory stays taken.
-func (m *Machine) doubt(o *order) {
+// markUnresolved records that an order ended without a definite result. Its memory stays reserved.
+func (m *Machine) markUnresolved(o *order) {
 	h := o.holding
 	o.unknown = true
 	o.endedAt = m.now
-	h.doubts = append(h.doubts, o)
+	h.unresolved = append(h.unresolved, o)
 	h.state = unknown
-	m.wantRead()
+	m.scheduleRead()
 	if !o.isLoad() {
-		h.unloadAt = m.now.Add(barrierRetry)
+		h.unloadAt = m.now.Add(orderRetry)
 		return
 	}
 	h.failures++
@@ -102,31 +102,31 @@
 	}
 }
 
-// accept notes that the engine carried out an order, so that it refuses all with lower fencing numbers from now on.
+// accept records that the engine carried out an order, after which it rejects all with lower fencing numbers.
 func (m *Machine) accept(o *order) {
 	if o.Fence <= m.accepted.fence {
 		return
 	}
 	m.accepted = accepted{fence: o.Fence, step: m.step}
-	if !m.engine.clear {
-		m.wantRead()
+	if !m.engine.predecessorsDone {
+		m.scheduleRead()
 	}
 }
 
-// carriedOut takes in that the engine carried out an order.
-func (m *Machine) carriedOut(o *order) {
+// orderApplied handles an order that the engine carried out.
+func (m *Machine) orderApplied(o *order) {
 	h := o.holding
 	if o.isLoad() {
 		h.failures = 0
-		h.replica.crowded = 0
+		h.replica.noRoomCount = 0
 		m.observeLoad(o)
 		m.setLoaded(h)
 		return
 	}
 	h.failures = 0
-	if m.liveLoadDoubt(h) {
+	if m.unresolvedLoadPending(h) {
 		h.state = unknown
-		m.wantRead()
+		m.scheduleRead()
 		return
 	}
 	m.setAbsent(h)
@@ -140,19 +140,19 @@
 	}
 }
 
-// withoutEffect takes in that an order had no effect.
-func (m *Machine) withoutEffect(o *order, err error) {
+// orderHadNoEffect handles an order that had no effect.
+func (m *Machine) orderHadNoEffect(o *order, err error) {
 	h := o.holding
-	h.state = o.held
+	h.state = o.prevState
 	restarted := o.incarnation != m.engine.incarnation
-	if o.held == loaded && restarted || o.held == absent && m.liveLoadDoubt(h) {
+	if o.prevState == loaded && restarted || o.prevState == absent && m.unresolvedLoadPending(h) {
 		h.state = unknown
 	}
 	if h.state == absent {
 		m.setAbsent(h)
 	}
 	if h.state == unknown || errors.Is(err, endpoint.ErrNoMemory) || errors.Is(err, endpoint.ErrFenced) {
-		m.wantRead()
+		m.scheduleRead()
 	}
 	if errors.Is(err, endpoint.ErrFenced) {
 		m.readRows()
@@ -161,5 +161,5 @@
 		m.loadFailed(h, err)
 		return
 	}
-	h.unloadAt = m.now.Add(barrierRetry)
+	h.unloadAt = m.now.Add(orderRetry)
 }
--- a/internal/loading/room.go
+++ b/internal/loading/room.go
@@ -5,97 +5,98 @@
 	"slices"
 )
 
-// roomAnswer says whether there is room for a load.
-type roomAnswer int
+// claimResult is the result of a claim for memory.
+type claimResult int
 
 const (
-	roomNow roomAnswer = iota
-	// roomSoon: when the unloads that are under way have ended.
-	roomSoon
-	roomNever
+	claimNow claimResult = iota
+	// claimAfterUnloads: the load fits once the unloads in progress have ended.
+	claimAfterUnloads
+	// claimDenied: not enough memory can be freed.
+	claimDenied
 )
 
-// room shares the memory among the wanted loads of one plan, the most urgent first.
-type room struct {
+// memoryPlan allocates memory to the wanted loads of one plan, most urgent first.
+type memoryPlan struct {
 	m *Machine
-	// taken is what the ledger has reserved and what more urgent loads of this plan have claimed.
+	// taken is what the ledger has reserved plus what more urgent loads of this plan have claimed.
 	taken size
-	// leaving is the part of taken that unloads under way will free.
-	leaving size
-	// spoken are the idle holdings that make room for a load of this plan.
-	spoken map[*holding]bool
+	// unloading is the part of taken that unloads in progress will free.
+	unloading size
+	// evicting are the idle holdings to be unloaded for a load of this plan.
+	evicting map[*holding]bool
 }
 
-func (m *Machine) newRoom() *room {
-	room := &room{m: m, taken: m.reserved(), spoken: map[*holding]bool{}}
+func (m *Machine) newMemoryPlan() *memoryPlan {
+	plan := &memoryPlan{m: m, taken: m.reserved(), evicting: map[*holding]bool{}}
 	for _, r := range m.replicas {
-		room.noteLeaving(r)
+		plan.addUnloading(r)
 	}
-	return room
+	return plan
 }
 
-func (x *room) noteLeaving(r *replica) {
+func (p *memoryPlan) addUnloading(r *replica) {
 	whole := r.state == unloading
 	if whole {
-		x.leaving = x.leaving.plus(r.taken())
+		p.unloading = p.unloading.plus(r.taken())
 	}
 	for _, a := range r.adapters {
 		if a.state == unloading || whole && a.state == loaded {
-			x.leaving = x.leaving.plus(a.taken())
+			p.unloading = p.unloading.plus(a.taken())
 		}
 	}
 }
 
-// claim looks for room for a load and takes it from less urgent ones. With act set it orders the unloads that the load
-// needs.
-func (x *room) claim(h *holding, act bool) roomAnswer {
-	need := x.m.sizeOf(h).minus(h.taken())
+// claim reserves memory for a load; less urgent loads cannot use it. If evict is set, it orders the unloads that the
+// load needs.
+func (p *memoryPlan) claim(h *holding, evict bool) claimResult {
+	need := p.m.sizeOf(h).minus(h.taken())
 	need = size{max(0, need.bytes), max(0, need.kvFloor)}
-	total := x.taken.plus(need)
-	if x.m.fits(total) {
-		x.taken = total
-		return roomNow
+	total := p.taken.plus(need)
+	if p.m.fits(total) {
+		p.taken = total
+		return claimNow
 	}
-	victims, ok := x.victims(h, total.minus(x.leaving))
+	victims, ok := p.victims(h, total.minus(p.unloading))
 	if !ok {
-		return roomNever
+		return claimDenied
 	}
-	x.taken = total
+	p.taken = total
 	for _, v := range victims {
-		x.spoken[v] = true
-		x.leaving = x.leaving.plus(x.m.takenWith(v))
-		if act && x.m.canOrder() {
-			x.m.giveUnload(v)
+		p.evicting[v] = true
+		p.unloading = p.unloading.plus(p.m.takenWithAdapters(v))
+		if evict && p.m.canOrder() {
+			p.m.orderUnload(v)
 		}
 	}
-	return roomSoon
+	return claimAfterUnloads
 }
 
-// victims chooses idle holdings whose unload makes a size fit: the longest idle for the time that they are kept first,
+// victims chooses idle holdings to unload so that a size fits: those idle longest relative to their keep time first,
 // and no more than needed.
-func (x *room) victims(wanted *holding, total size) ([]*holding, bool) {
-	if x.m.fits(total) {
+func (p *memoryPlan) victims(wanted *holding, total size) ([]*holding, bool) {
+	if p.m.fits(total) {
 		return nil, true
 	}
 	chosen := []*holding{}
-	for _, v := range x.m.evictable(wanted) {
-		if x.spoken[v] || x.spoken[&v.replica.holding] {
+	for _, v := range p.m.evictable(wanted) {
+		if p.evicting[v] || p.evicting[&v.replica.holding] {
 			continue
 		}
 		chosen = append(chosen, v)
-		total = total.minus(x.m.takenWith(v))
-		if x.m.fits(total) {
-			return x.spare(chosen, total), true
+		total = total.minus(p.m.takenWithAdapters(v))
+		if p.m.fits(total) {
+			return p.trimVictims(chosen, total), true
 		}
 	}
 	return nil, false
 }
 
-// spare takes back the choice of those without whose unload the size fits as well.
-func (x *room) spare(chosen []*holding, total size) []*holding {
+// trimVictims removes the victims that are not needed for the size to fit.
+func (p *memoryPlan) trimVictims(chosen []*holding, total size) []*holding {
 	return slices.DeleteFunc(chosen, func(v *holding) bool {
-		without := total.plus(x.m.takenWith(v))
-		if !x.m.fits(without) {
+		without := total.plus(p.m.takenWithAdapters(v))
+		if !p.m.fits(without) {
 			return false
 		}
 		total = without
@@ -103,8 +104,8 @@
 	})
 }
 
-// takenWith returns what a holding takes together with what goes with it.
-func (m *Machine) takenWith(h *holding) size {
+// takenWithAdapters returns the memory of a holding, including the loaded adapters of a model version.
+func (m *Machine) takenWithAdapters(h *holding) size {
 	total := h.taken()
 	if h.isAdapter() {
 		return total
@@ -117,12 +118,12 @@
 	return total
 }
 
-// evictable returns what may be unloaded to make room for a load, best first. Adapters make room for adapters before
-// model versions do, and the other way round.
+// evictable returns the holdings that may be unloaded to make room for a load, best victim first. For an adapter, other
+// adapters are preferred to model versions; for a model version, the reverse.
 func (m *Machine) evictable(wanted *holding) []*holding {
 	models, adapters := []*holding{}, []*holding{}
 	for _, r := range m.replicas {
-		if r != wanted.replica && m.mayEvict(&r.holding) && !m.warm(r) && !r.adapterOrder() {
+		if r != wanted.replica && m.mayEvict(&r.holding) && !m.warm(r) && !r.adapterOrderInFlight() {
 			models = append(models, &r.holding)
 		}
 		for _, a := range r.adapters {
@@ -132,7 +133,7 @@
 		}
 	}
 	slices.SortFunc(models, func(a, b *holding) int {
-		return cmp.Or(-cmp.Compare(m.idleShare(a), m.idleShare(b)), cmp.Compare(a.replica.model, b.replica.model))
+		return cmp.Or(-cmp.Compare(m.idleRatio(a), m.idleRatio(b)), cmp.Compare(a.replica.model, b.replica.model))
 	})
 	slices.SortFunc(adapters, func(a, b *holding) int {
 		return cmp.Or(a.idleSince.Compare(b.idleSince), cmp.Compare(a.adapter, b.adapter))
@@ -143,14 +144,14 @@
 	return append(models, adapters...)
 }
 
-// mayEvict reports whether a loaded holding is idle and not kept for anyone.
+// mayEvict reports whether a loaded holding is idle and not kept for callers that will retry.
 func (m *Machine) mayEvict(h *holding) bool {
 	return h.state == loaded && h.isIdle() && m.mayOrder(h) &&
-		!m.now.Before(h.unloadAt) && !m.now.Before(h.wishUntil)
+		!m.now.Before(h.unloadAt) && !m.now.Before(h.wantedUntil)
 }
 
-// idleShare returns how long a replica has been idle in relation to how long it would be kept.
-func (m *Machine) idleShare(h *holding) float64 {
+// idleRatio returns how long a replica has been idle relative to its keep time.
+func (m *Machine) idleRatio(h *holding) float64 {
 	keep := m.keepTime(h.replica)
 	return float64(m.now.Sub(h.idleSince)+1) / float64(keep+1)
 }
--- a/internal/loading/schedule.go
+++ b/internal/loading/schedule.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// notPlaced is the place of an item that is not in a schedule.
-const notPlaced = -1
+// notScheduled is the index of an item that is not in a schedule.
+const notScheduled = -1
 
-// schedule holds items in the order of their times. Each item knows its own time and its place.
+// schedule is a heap of items ordered by time. Each item stores its own time and heap index.
 type schedule[T any] struct {
 	items []T
 	due   func(T) time.Time
-	place func(T) *int
+	index func(T) *int
 }
 
 // Len implements heap.Interface.
@@ -24,13 +24,13 @@
 // Swap implements heap.Interface.
 func (s *schedule[T]) Swap(i, j int) {
 	s.items[i], s.items[j] = s.items[j], s.items[i]
-	*s.place(s.items[i]) = i
-	*s.place(s.items[j]) = j
+	*s.index(s.items[i]) = i
+	*s.index(s.items[j]) = j
 }
 
 // Push implements heap.Interface.
 func (s *schedule[T]) Push(item any) {
-	*s.place(item.(T)) = len(s.items)
+	*s.index(item.(T)) = len(s.items)
 	s.items = append(s.items, item.(T))
 }
 
@@ -41,27 +41,27 @@
 	var none T
 	s.items[last] = none
 	s.items = s.items[:last]
-	*s.place(item) = notPlaced
+	*s.index(item) = notScheduled
 	return item
 }
 
-// set puts an item in its place after its time was set or changed.
+// set adds an item, or moves it after its time has changed.
 func (s *schedule[T]) set(item T) {
-	if at := *s.place(item); at != notPlaced {
+	if at := *s.index(item); at != notScheduled {
 		heap.Fix(s, at)
 		return
 	}
 	heap.Push(s, item)
 }
 
-// remove takes an item out, if it is in.
+// remove removes an item if it is present.
 func (s *schedule[T]) remove(item T) {
-	if at := *s.place(item); at != notPlaced {
+	if at := *s.index(item); at != notScheduled {
 		heap.Remove(s, at)
 	}
 }
 
-// first returns the time of the first item; zero when there is none.
+// first returns the time of the first item; zero if there is none.
 func (s *schedule[T]) first() time.Time {
 	if len(s.items) == 0 {
 		return time.Time{}
@@ -69,7 +69,7 @@
 	return s.due(s.items[0])
 }
 
-// next takes out the first item that is due.
+// next removes and returns the first item if it is due.
 func (s *schedule[T]) next(now time.Time) (T, bool) {
 	if len(s.items) == 0 || s.first().After(now) {
 		var none T
@@ -78,7 +78,7 @@
 	return heap.Pop(s).(T), true
 }
 
-// earlier returns the earlier of two times, of which the zero time is none.
+// earlier returns the earlier of two times; zero means none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
