--- a/internal/loading/script_test.go
+++ b/internal/loading/script_test.go
@@ -11,9 +11,10 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-const testLife = 10 * time.Second
+const testOrderLife = 10 * time.Second
 
-// testSpecs are the declarations of the scripts: an engine of 100 bytes holds any two of x, y and z, but not all three.
+// testSpecs are the declarations used by the scripts: the engine's 100 bytes hold any two of x, y and z, but not all
+// three.
 var testSpecs = SpecsChanged{
 	Models: []ModelSpec{
 		{Model: "x@1", MemoryBytes: 35, KVFloorBytes: 5, ExpectedLoad: 3 * time.Second},
@@ -29,22 +30,22 @@
 	},
 }
 
-// line is one line of a script: time passes, an event happens, and the machine is expected to do just what is wanted,
-// reads and, unless the case is about them, permits aside.
+// line is one step of a script: the time advances, the event is applied, and the resulting actions must equal want.
+// Reads are left out of the comparison, and so are permits unless the case tests them.
 type line struct {
 	after time.Duration
 	event Event
 	want  string
 }
 
-// result is the result of the newest order of a description, as in "load x@1".
-type result struct {
+// orderResult is the result of the newest order with a description such as "load x@1".
+type orderResult struct {
 	order string
 	err   error
 }
 
-// shows is the answer to the read that is outstanding. Its models are listed as "x@1", "x@1:loading" or "x@1+xa".
-type shows struct {
+// engineReply is the answer to the outstanding read. Its models are written as "x@1", "x@1:loading" or "x@1+xa".
+type engineReply struct {
 	models      []string
 	incarnation string
 	used        int64
@@ -52,16 +53,16 @@
 	fence       uint64
 }
 
-// given answers the newest question for a permit, denied denies it.
-type given struct{ valid time.Duration }
-type denied struct{ after time.Duration }
+// grantPermit grants the newest permit request, denyPermit denies it.
+type grantPermit struct{ valid time.Duration }
+type denyPermit struct{ after time.Duration }
 
-func (result) event() {}
-func (shows) event()  {}
-func (given) event()  {}
-func (denied) event() {}
+func (orderResult) event() {}
+func (engineReply) event() {}
+func (grantPermit) event() {}
+func (denyPermit) event()  {}
 
-func engineShows(models ...string) shows { return shows{models: models} }
+func engineReports(models ...string) engineReply { return engineReply{models: models} }
 
 func demandOf(request, model, adapter string, left time.Duration) Event {
 	return Demanded{Request: request, Model: model, Adapter: adapter, Deadline: scriptStart.Add(left)}
@@ -69,49 +70,50 @@
 
 var scriptStart = time.Unix(1_000_000, 0)
 
-// slots is a row of one model version: the engine's slot is e's on host h.
-func slots(model string, revision uint64, slots ...*replicaspb.Slot) *replicaspb.Row {
+// rowOf returns a row of one model version. The engine under test is e on host h.
+func rowOf(model string, revision uint64, slots ...*replicaspb.Slot) *replicaspb.Row {
 	return &replicaspb.Row{Model: model, Revision: revision, Slots: slots}
 }
 
-func granted(engine string) *replicaspb.Slot {
+func grantedSlot(engine string) *replicaspb.Slot {
 	return &replicaspb.Slot{Engine: engine, Host: "h", State: replicaspb.SlotState_GRANTED}
 }
 
-func releasing(engine string) *replicaspb.Slot {
+func releasingSlot(engine string) *replicaspb.Slot {
 	return &replicaspb.Slot{Engine: engine, Host: "h", State: replicaspb.SlotState_RELEASING}
 }
 
-// holding grants slots for model versions at revision 5, read from the table as of revision 9.
-func holdingSlots(models ...string) RowsRead {
+// grantsFor returns a read of the table at revision 9 in which rows of revision 5 grant slots for the model versions.
+func grantsFor(models ...string) RowsRead {
 	read := RowsRead{Revision: 9}
 	for _, m := range models {
-		read.Rows = append(read.Rows, slots(m, 5, granted("e")))
+		read.Rows = append(read.Rows, rowOf(m, 5, grantedSlot("e")))
 	}
 	return read
 }
 
-// begun are the first lines of a script in which the agent has started, waited out its predecessor's orders and read all.
-func begun(models ...string) []line {
-	return begunWith(engineShows(), models...)
+// started returns the first lines of a script: the agent starts, waits until its predecessor's orders have expired, and
+// completes its initial reads.
+func started(models ...string) []line {
+	return startedWith(engineReports(), models...)
 }
 
-func begunWith(state shows, models ...string) []line {
+func startedWith(state engineReply, models ...string) []line {
 	return []line{
 		{event: Tick{}},
 		{event: testSpecs},
-		{after: testLife, event: Tick{}},
+		{after: testOrderLife, event: Tick{}},
 		{event: state, want: "*"},
-		{event: holdingSlots(models...), want: "*"},
+		{event: grantsFor(models...), want: "*"},
 		{event: state, want: "*"},
 	}
 }
 
-// loadedFirst are the lines by which a model version gets loaded.
-func loadedFirst(model string) []line {
+// loadFirst returns the lines that load a model version.
+func loadFirst(model string) []line {
 	return []line{
 		{event: demandOf("first "+model, model, "", time.Hour), want: "load " + model},
-		{event: result{order: "load " + model}, want: "usable " + model},
+		{event: orderResult{order: "load " + model}, want: "usable " + model},
 		{event: DemandGone{Request: "first " + model}, want: ""},
 	}
 }
@@ -129,7 +131,7 @@
 	return all
 }
 
-// script is a running script.
+// script is the state of a running script.
 type script struct {
 	t       *testing.T
 	m       *Machine
@@ -147,14 +149,14 @@
 	keep    time.Duration
 	permits bool
 	lines   []line
-	// then looks at the machine after the last line.
-	then func(t *testing.T, s *script)
+	// check inspects the machine after the last line.
+	check func(t *testing.T, s *script)
 }
 
 func runScripts(t *testing.T, cases []scriptCase) {
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			o := Options{Engine: "e", Host: "h", MemoryBytes: 100, OrderLife: testLife, StateInterval: time.Hour, LoadsAtOnce: 2}
+			o := Options{Engine: "e", Host: "h", MemoryBytes: 100, OrderLife: testOrderLife, StateInterval: time.Hour, LoadsAtOnce: 2}
 			if c.options != nil {
 				c.options(&o)
 			}
@@ -166,8 +168,8 @@
 			for i, l := range c.lines {
 				s.play(i, l)
 			}
-			if c.then != nil {
-				c.then(t, s)
+			if c.check != nil {
+				c.check(t, s)
 			}
 		})
 	}
@@ -188,26 +190,27 @@
 	}
 }
 
-// resolve fills in the identifiers of what an event answers.
+// resolve converts a script event to a machine event, with the identifier of the order, read or permit that it refers
+// to.
 func (s *script) resolve(e Event) Event {
 	switch e := e.(type) {
-	case result:
+	case orderResult:
 		id, ok := s.orders[e.order]
 		if !ok {
-			s.t.Fatalf("no order %q was given", e.order)
+			s.t.Fatalf("no order %q was sent", e.order)
 		}
 		return OrderDone{ID: id, Err: e.err}
-	case shows:
+	case engineReply:
 		return EngineRead{ID: s.read, State: e.state()}
-	case given:
+	case grantPermit:
 		return PermitGiven{ID: s.asked, Expires: s.now.Add(e.valid)}
-	case denied:
+	case denyPermit:
 		return PermitDenied{ID: s.asked, RetryAt: s.now.Add(e.after)}
 	}
 	return e
 }
 
-func (e shows) state() endpoint.EngineState {
+func (e engineReply) state() endpoint.EngineState {
 	s := endpoint.EngineState{Incarnation: "1" + e.incarnation, MemoryBytes: 100, UsedBytes: e.used, HighestFence: e.fence}
 	s.Cached = map[string]string{}
 	for _, name := range e.cached {
@@ -225,7 +228,7 @@
 	return s
 }
 
-// describe turns an action into a few words and remembers its identifiers.
+// describe returns a short description of an action and records its identifiers for resolve.
 func (s *script) describe(a Action) string {
 	switch a := a.(type) {
 	case GiveOrder:
@@ -259,7 +262,7 @@
 	return ""
 }
 
-// stateOf returns a replica's state as told in the status.
+// stateOf returns a replica's state in the status report.
 func (s *script) stateOf(model string) wirepb.ReplicaState {
 	for _, r := range s.m.Status(s.now).Replicas {
 		if r.Model == model {
--- a/internal/loading/simengine_test.go
+++ b/internal/loading/simengine_test.go
@@ -9,14 +9,14 @@
 	"balsamsail/internal/endpoint"
 )
 
-// fencing is how a simulated engine treats fencing numbers.
+// fencing is how a simulated engine handles fencing numbers.
 type fencing int
 
 const (
 	fencingIgnored fencing = iota
-	// fencingDurable: numbers are checked and outlive a restart.
+	// fencingDurable: numbers are checked and survive a restart.
 	fencingDurable
-	// fencingVolatile: numbers are checked and forgotten at a restart, which breaks the connections of orders on their way.
+	// fencingVolatile: numbers are checked and lost on restart, which also breaks the connections of orders in flight.
 	fencingVolatile
 )
 
@@ -32,19 +32,19 @@
 	loaded bool
 }
 
-// simOrder is an order on its way through the simulated world.
+// simOrder is an order in flight in the simulation.
 type simOrder struct {
 	endpoint.Order
 	agent int
-	// sent, arrived and answered are the stages; answer is what the engine said.
+	// sent, arrived and answered are the stages of the order; answer is the engine's response.
 	sent, arrived, answered bool
 	answer                  error
-	// abandoned is set once its sender gave it up or died; from dies on it has no effect any more.
+	// abandoned is set once the sender has abandoned the order or died; it has no effect after expires.
 	abandoned bool
-	dies      time.Time
+	expires   time.Time
 }
 
-// simEngine is an engine that carries orders out late and in any order.
+// simEngine is an engine that executes orders late and in any order.
 type simEngine struct {
 	random      *rand.Rand
 	fencing     fencing
@@ -53,9 +53,9 @@
 	highest     uint64
 	models      map[string]*simModel
 	orders      []*simOrder
-	// calm engines have no failures of their own.
-	calm bool
-	// violation is the first thing that must not happen.
+	// faultFree disables random failures of the engine.
+	faultFree bool
+	// violation is the first violation of an invariant.
 	violation string
 }
 
@@ -98,7 +98,7 @@
 	return s
 }
 
-// arrive lets a sent order reach the engine.
+// arrive delivers a sent order to the engine.
 func (e *simEngine) arrive(o *simOrder) {
 	m := e.models[o.Model]
 	if o.Kind == endpoint.OrderLoad && m != nil && m.state == endpoint.EngineUnloading {
@@ -110,7 +110,7 @@
 		return
 	}
 	e.highest = max(e.highest, o.Fence)
-	if !e.calm && e.random.IntN(20) == 0 {
+	if !e.faultFree && e.random.IntN(20) == 0 {
 		e.end(o, endpoint.ErrUnavailable)
 		return
 	}
@@ -154,14 +154,14 @@
 
 func (e *simEngine) checkMemory(o *simOrder) {
 	if e.used() > e.limit {
-		e.violate("order %s of agent %d takes the memory to %d of %d", o.ID, o.agent, e.used(), e.limit)
+		e.violate("order %s of agent %d raises the used memory to %d of %d", o.ID, o.agent, e.used(), e.limit)
 	}
 }
 
-// work brings an order that has arrived to its end.
+// work completes an order that has arrived.
 func (e *simEngine) work(o *simOrder) {
 	m := e.models[o.Model]
-	failed := !e.calm && e.random.IntN(8) == 0
+	failed := !e.faultFree && e.random.IntN(8) == 0
 	switch o.Kind {
 	case endpoint.OrderLoad:
 		switch {
@@ -192,13 +192,13 @@
 	}
 }
 
-// end fixes the answer of an order.
+// end sets the answer of an order.
 func (e *simEngine) end(o *simOrder, answer error) {
 	o.answered = true
 	o.answer = answer
 }
 
-// restart replaces the engine's process. Orders that it was carrying out end without an answer.
+// restart replaces the engine's process. Orders in progress end without an answer.
 func (e *simEngine) restart() {
 	e.incarnation++
 	e.models = map[string]*simModel{}
@@ -214,9 +214,9 @@
 	}
 }
 
-// settle drops what is over and, of an abandoned adapter load whose life ends, brings it to its end: an engine does not
-// list what it is loading, so that only the life tells when it is over.
-func (e *simEngine) settle(now time.Time) {
+// expireOrders drops abandoned orders that have ended or expired. An abandoned adapter load completes when it expires:
+// the engine does not list adapters while it loads them, so only the order's lifetime bounds the load.
+func (e *simEngine) expireOrders(now time.Time) {
 	e.orders = slices.DeleteFunc(e.orders, func(o *simOrder) bool {
 		if !o.abandoned {
 			return false
@@ -224,7 +224,7 @@
 		if o.answered {
 			return true
 		}
-		if now.Before(o.dies) {
+		if now.Before(o.expires) {
 			return false
 		}
 		if o.arrived && o.Kind == endpoint.OrderLoadAdapter {
--- a/internal/loading/simworld_test.go
+++ b/internal/loading/simworld_test.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	simLife  = 10 * time.Second
-	simLimit = 100
-	simBase  = 7
+	simOrderLife = 10 * time.Second
+	simLimit     = 100
+	simBase      = 7
 )
 
-// simModels and simAdapters are declared: not all of them fit at once.
+// simModels and simAdapters are the declarations; not all of them fit into memory at once.
 var (
 	simModels = []ModelSpec{
 		{Model: "a@1", MemoryBytes: 40, KVFloorBytes: 5, ExpectedLoad: time.Second},
@@ -32,38 +32,38 @@
 	}
 )
 
-// simTarget is what a simulated request needs.
+// simTarget is the model version and adapter that a simulated request needs.
 type simTarget struct{ model, adapter string }
 
-// simWorld is a table with grants, an engine, and the agents that follow one another beside it.
+// simWorld simulates a table of grants, one engine, and the successive agents beside it.
 type simWorld struct {
 	random *rand.Rand
 	now    time.Time
 	engine *simEngine
 
-	// rows are all versions of the rows; releasing are the revisions at which slots became RELEASING.
+	// rows are all versions of each row; releasing are the revisions at which slots became RELEASING.
 	revision  uint64
 	rows      map[string][]*replicaspb.Row
 	releasing map[string]uint64
 	confirmed map[string]uint64
-	// late are confirmations on their way.
-	late []ConfirmRelease
-
-	machine  *Machine
-	agent    int
-	steps    int
-	fence    uint64
-	pending  []Event
-	old      []Event
-	reads    []ReadEngine
-	askedRow bool
-	permits  []AskPermit
-	usable   map[simTarget]bool
-	demands  map[string]Demanded
-	running  map[string]simTarget
-	requests int
-	calm     bool
-	log      []string
+	// confirmations are those in flight.
+	confirmations []ConfirmRelease
+
+	machine       *Machine
+	agent         int
+	steps         int
+	fence         uint64
+	pending       []Event
+	delivered     []Event
+	reads         []ReadEngine
+	rowsRequested bool
+	permits       []AskPermit
+	usable        map[simTarget]bool
+	demands       map[string]Demanded
+	running       map[string]simTarget
+	requests      int
+	faultFree     bool
+	log           []string
 }
 
 func newSimWorld(seed uint64, f fencing) *simWorld {
@@ -80,7 +80,7 @@
 	return w
 }
 
-// startAgent replaces the agent: what it had in memory is gone, and what it sent is on its way.
+// startAgent replaces the agent: its memory is lost, and the orders it sent remain in flight.
 func (w *simWorld) startAgent() {
 	w.engine.orders = slices.DeleteFunc(w.engine.orders, func(o *simOrder) bool { return !o.sent })
 	for _, o := range w.engine.orders {
@@ -92,12 +92,12 @@
 		Engine:         "e",
 		MemoryBytes:    simLimit,
 		ChecksFencing:  w.engine.fencing != fencingIgnored,
-		OrderLife:      simLife,
+		OrderLife:      simOrderLife,
 		StateInterval:  5 * time.Second,
 		PermitPatience: time.Second,
 		Seed:           w.random.Uint64(),
 	}, fixedPolicy(time.Duration(w.random.IntN(5))*time.Second))
-	w.pending, w.old, w.reads, w.permits, w.askedRow = nil, nil, nil, nil, false
+	w.pending, w.delivered, w.reads, w.permits, w.rowsRequested = nil, nil, nil, nil, false
 	w.usable = map[simTarget]bool{}
 	w.demands = map[string]Demanded{}
 	w.running = map[string]simTarget{}
@@ -108,11 +108,11 @@
 func (w *simWorld) abandon(o *simOrder) {
 	if !o.abandoned {
 		o.abandoned = true
-		o.dies = w.now.Add(simLife)
+		o.expires = w.now.Add(simOrderLife)
 	}
 }
 
-// step gives the machine an event and carries out its actions.
+// step applies an event to the machine and carries out its actions.
 func (w *simWorld) step(e Event) {
 	w.steps++
 	w.logf("%v agent %d: %T%+v", w.now.Sub(time.Unix(1_000_000, 0)), w.agent, e, e)
@@ -135,11 +135,11 @@
 	case ReadEngine:
 		w.reads = append(w.reads, a)
 	case ReadRows:
-		w.askedRow = true
+		w.rowsRequested = true
 	case AskPermit:
 		w.permits = append(w.permits, a)
 	case ConfirmRelease:
-		w.late = append(w.late, a)
+		w.confirmations = append(w.confirmations, a)
 	case Usable:
 		w.usable[simTarget{a.Model, a.Adapter}] = true
 	case Unusable:
@@ -156,7 +156,7 @@
 // give checks and sends an order.
 func (w *simWorld) give(o endpoint.Order) {
 	if o.Fence <= w.fence {
-		w.engine.violate("fence %d after %d", o.Fence, w.fence)
+		w.engine.violate("fencing number %d after %d", o.Fence, w.fence)
 	}
 	w.fence = o.Fence
 	for _, other := range w.engine.orders {
@@ -167,7 +167,7 @@
 	}
 	for id, t := range w.running {
 		if t.model == o.Model && o.Kind == endpoint.OrderUnload || t.adapter == o.Adapter && o.Kind == endpoint.OrderUnloadAdapter {
-			w.engine.violate("order %s cuts request %s", o.ID, id)
+			w.engine.violate("order %s aborts request %s", o.ID, id)
 		}
 	}
 	w.engine.orders = append(w.engine.orders, &simOrder{Order: o, agent: w.agent})
@@ -191,7 +191,7 @@
 	return versions[len(versions)-1]
 }
 
-// write puts a new version of a row into the table.
+// write adds a new version of a row to the table.
 func (w *simWorld) write(model string, state replicaspb.SlotState) {
 	w.revision++
 	row := &replicaspb.Row{Model: model, Revision: w.revision}
@@ -216,7 +216,7 @@
 	}
 }
 
-// readTable returns the rows that name the engine, as the agent's shell reads them.
+// readTable returns the rows that name the engine.
 func (w *simWorld) readTable() RowsRead {
 	read := RowsRead{Revision: w.revision}
 	for _, m := range simModels {
@@ -227,7 +227,7 @@
 	return read
 }
 
-// check returns what is wrong, or "".
+// check returns the first violation, or "".
 func (w *simWorld) check() string {
 	for model := range w.engine.models {
 		if len(w.row(model).Slots) == 0 {
@@ -236,7 +236,7 @@
 	}
 	for id, d := range w.demands {
 		if w.now.After(d.Deadline) && !w.usable[simTarget{d.Model, d.Adapter}] {
-			w.engine.violate("request %s was forgotten", id)
+			w.engine.violate("request %s was not answered by its deadline", id)
 		}
 	}
 	return w.engine.violation
--- a/internal/loading/slots.go
+++ b/internal/loading/slots.go
@@ -10,49 +10,49 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// rowsInterval is the least time between two reads of the table: each writes to it.
+// rowsInterval is the minimum time between two reads of the table, each of which writes to it.
 const rowsInterval = 5 * time.Second
 
-// grant is what the machine knows of its slot in one model version's row.
+// grant is the known state of the engine's slot in one model version's row.
 type grant struct {
-	// row is the newest row seen; nil when a read of the table showed that the row does not name the engine.
+	// row is the newest row; nil if a read of the table showed that the row does not name the engine.
 	row *replicaspb.Row
-	// slot is the engine's own slot in row; nil when it has none.
+	// slot is the engine's own slot in row; nil if it has none.
 	slot *replicaspb.Slot
-	// revision is the table revision as of which slot is known.
+	// revision is the table revision at which slot was current.
 	revision uint64
-	// owed is set when a confirmation is due as soon as the engine holds nothing.
-	owed bool
+	// confirmDue is set if a release must be confirmed as soon as the engine does not hold the model version.
+	confirmDue bool
 }
 
-// slotBook holds the rows.
+// slotTable holds the newest known rows.
 //
-// Rows come from the table and, late and out of order, from peers. A row only ever replaces an older one; and after a
-// read of the table, rows up to its revision are known whole, so a pushed row that is not newer is ignored. Without the
-// first read a pushed row may be older than a release that a predecessor of this agent confirmed; loading under it would
-// make one replica more than was decided. So until then nothing is loaded.
-type slotBook struct {
+// Rows come from the table and, late and out of order, from peers. A row only replaces an older one. A read of the
+// table is complete up to its revision, so pushed rows that are not newer are ignored. Before the first read a pushed
+// row may be older than a release that a previous agent confirmed, and loading under it would exceed the decided
+// replica count, so nothing is loaded until then.
+type slotTable struct {
 	grants map[string]*grant
-	// read is set once the table was read, as of revision.
+	// read is set once the table was read; revision is that of the newest read.
 	read     bool
 	revision uint64
-	// asked is set while a read is outstanding; askAt is when the next one may be asked for.
-	asked bool
-	askAt time.Time
+	// readPending is set while a read is outstanding; nextReadAt is the earliest time of the next one.
+	readPending bool
+	nextReadAt  time.Time
 }
 
-// slotKnowledge is what the machine knows of its slot for a model version.
-type slotKnowledge int
+// slotStatus is the known status of the engine's slot for a model version.
+type slotStatus int
 
 const (
 	// slotUnknown: the table was not read and no row was pushed.
-	slotUnknown slotKnowledge = iota
+	slotUnknown slotStatus = iota
 	slotGranted
 	// slotLost: RELEASING, or not in the row.
 	slotLost
 )
 
-func (b *slotBook) grant(model string) *grant {
+func (b *slotTable) grant(model string) *grant {
 	g := b.grants[model]
 	if g == nil {
 		g = &grant{}
@@ -61,8 +61,8 @@
 	return g
 }
 
-// knowledge returns what is known of the slot for a model version.
-func (b *slotBook) knowledge(model string) slotKnowledge {
+// status returns the status of the slot for a model version.
+func (b *slotTable) status(model string) slotStatus {
 	g := b.grants[model]
 	switch {
 	case g != nil && g.slot.GetState() == replicaspb.SlotState_GRANTED:
@@ -74,40 +74,40 @@
 	}
 }
 
-// rowSeen takes in a row. fromTable says that it was read from the table itself.
+// rowSeen handles a row. fromTable is set if it was read from the table itself.
 //
-// A release is confirmed for the newest revision known, and no row up to that is ever accepted again: so nothing is
-// loaded under a revision for which a release was confirmed.
+// A release is confirmed at the newest known revision, and no row up to that is accepted afterwards, so nothing is
+// loaded under a revision whose release was confirmed.
 func (m *Machine) rowSeen(row *replicaspb.Row, fromTable bool) {
 	m.fence.observeRevision(row.Revision)
 	g := m.slots.grant(row.Model)
 	switch {
 	case row.Revision == g.revision && g.row != nil:
-		m.seenAgain(g)
+		m.repeatConfirmation(g)
 	case row.Revision <= g.revision:
 	case !fromTable && m.slots.read && row.Revision <= m.slots.revision:
 	default:
 		m.acceptRow(g, row)
 	}
-	m.touch(m.replica(row.Model))
+	m.markDirty(m.replica(row.Model))
 }
 
-// seenAgain repeats the confirmation of a release: the first one may have been lost on its way.
-func (m *Machine) seenAgain(g *grant) {
-	g.owed = g.owed || g.slot.GetState() == replicaspb.SlotState_RELEASING
+// repeatConfirmation schedules another confirmation of a release, as the first one may have been lost.
+func (m *Machine) repeatConfirmation(g *grant) {
+	g.confirmDue = g.confirmDue || g.slot.GetState() == replicaspb.SlotState_RELEASING
 }
 
-// acceptRow makes a row the newest one known.
+// acceptRow makes a row the newest known one.
 func (m *Machine) acceptRow(g *grant, row *replicaspb.Row) {
 	g.row = row
 	g.slot = replicas.SlotOf(row, m.options.Engine, m.options.Host)
 	g.revision = row.Revision
-	g.owed = g.slot.GetState() == replicaspb.SlotState_RELEASING
+	g.confirmDue = g.slot.GetState() == replicaspb.SlotState_RELEASING
 }
 
-// rowsRead takes in a read of the table. Reads may come out of order.
+// rowsRead handles a read of the table. Reads may arrive out of order.
 func (m *Machine) rowsRead(e RowsRead) {
-	m.slots.asked = false
+	m.slots.readPending = false
 	m.fence.observeRevision(e.Revision)
 	if m.slots.read && e.Revision < m.slots.revision {
 		return
@@ -124,14 +124,14 @@
 			g.row = nil
 			g.slot = nil
 			g.revision = e.Revision
-			g.owed = false
+			g.confirmDue = false
 		}
 	}
-	m.touchAll()
+	m.markAllDirty()
 }
 
 // granted reports whether the engine has a GRANTED slot for a model version.
-func (m *Machine) granted(r *replica) bool { return m.slots.knowledge(r.model) == slotGranted }
+func (m *Machine) granted(r *replica) bool { return m.slots.status(r.model) == slotGranted }
 
 // warm reports whether a replica stays loaded while idle.
 func (m *Machine) warm(r *replica) bool {
@@ -141,7 +141,7 @@
 		replicas.Warm(g.row, m.options.Engine, m.options.Host, spec.WarmReplicas)
 }
 
-// Rows returns the rows that name the engine, in the order of their model versions.
+// Rows returns the rows that name the engine, sorted by model version.
 func (m *Machine) Rows() []*replicaspb.Row {
 	rows := []*replicaspb.Row{}
 	for _, g := range m.slots.grants {
@@ -153,7 +153,7 @@
 	return rows
 }
 
-// sortedKeys returns a map's keys in order, so that the machine's actions do not depend on a map's order.
+// sortedKeys returns the sorted keys of a map, to make the machine's actions deterministic.
 func sortedKeys[V any](values map[string]V) []string {
 	return slices.Sorted(maps.Keys(values))
 }
--- a/internal/loading/specs.go
+++ b/internal/loading/specs.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// specsChanged takes in the declarations.
+// specsChanged replaces the declared models and adapters.
 func (m *Machine) specsChanged(e SpecsChanged) {
-	m.specsSeen = true
+	m.specsKnown = true
 	m.models = make(map[string]ModelSpec, len(e.Models))
 	for _, s := range e.Models {
 		m.models[s.Model] = s
@@ -13,7 +13,7 @@
 	for _, s := range e.Adapters {
 		m.adapters[s.Adapter] = s
 	}
-	m.forgetReplicas()
+	m.dropUnusedReplicas()
 	for _, r := range m.replicas {
 		m.sizeAdopted(&r.holding)
 		for _, a := range r.adapters {
@@ -21,10 +21,10 @@
 		}
 		m.refuseUndeclared(r)
 	}
-	m.touchAll()
+	m.markAllDirty()
 }
 
-// refuseUndeclared refuses requests that wait for something that is no longer declared and not loaded.
+// refuseUndeclared refuses requests for models and adapters that are no longer declared and are not loaded.
 func (m *Machine) refuseUndeclared(r *replica) {
 	if !m.isDeclared(&r.holding) && r.state != loaded {
 		m.refuseWaiting(&r.holding, refusalUnknown, 0)
@@ -36,12 +36,11 @@
 	}
 }
 
-// forgetReplicas drops the records of model versions that are neither declared nor granted and of which there is nothing
-// to know.
-func (m *Machine) forgetReplicas() {
+// dropUnusedReplicas drops the records of model versions that are neither declared nor granted and that carry no state.
+func (m *Machine) dropUnusedReplicas() {
 	m.replicas = slices.DeleteFunc(m.replicas, func(r *replica) bool {
 		g := m.slots.grants[r.model]
-		if m.isDeclared(&r.holding) || g != nil && (g.slot != nil || g.owed) || !r.isBlank() || len(r.adapters) > 0 {
+		if m.isDeclared(&r.holding) || g != nil && (g.slot != nil || g.confirmDue) || !r.isUnused() || len(r.adapters) > 0 {
 			return false
 		}
 		delete(m.wanting, &r.holding)
@@ -51,5 +50,6 @@
 	})
 }
 
-// isBlank reports whether nothing is held of a model version or adapter, under way, running, or waiting for it.
-func (h *holding) isBlank() bool { return h.state == absent && len(h.doubts) == 0 && h.isIdle() }
+// isUnused reports whether a model version or adapter is not in memory and has no orders and no running or waiting
+// requests.
+func (h *holding) isUnused() bool { return h.state == absent && len(h.unresolved) == 0 && h.isIdle() }
--- a/internal/loading/status.go
+++ b/internal/loading/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Status returns the machine's state as told to the entries.
+// Status returns the machine's state as reported to the gateways.
 func (m *Machine) Status(now time.Time) Status {
 	now = later(m.now, now)
 	s := Status{
@@ -29,8 +29,8 @@
 	return s
 }
 
-// ready reports whether requests can be taken: the engine's state is known, and so are the slots, or a pushed row lets
-// something that is loaded be served.
+// ready reports whether requests can be accepted: the engine's state is known, and either the table was read or a
+// pushed row allows a loaded model to be served.
 func (m *Machine) ready() bool {
 	if !m.engine.known || m.unreachable() {
 		return false
@@ -64,7 +64,7 @@
 	return s
 }
 
-// revisionOf returns the revision of the row that gives the engine a slot for the model version; 0 when it has none.
+// revisionOf returns the revision of the row that gives the engine a slot for the model version, or 0 if it has none.
 func (m *Machine) revisionOf(model string) uint64 {
 	if g := m.slots.grants[model]; g != nil && g.slot != nil {
 		return g.revision
--- a/internal/loading/tend.go
+++ b/internal/loading/tend.go
@@ -6,83 +6,83 @@
 	"time"
 )
 
-// touch marks a replica to be looked at before the step ends.
-func (m *Machine) touch(r *replica) {
+// markDirty marks a replica to be reconciled before the step ends.
+func (m *Machine) markDirty(r *replica) {
 	if !r.dirty {
 		r.dirty = true
 		m.dirty = append(m.dirty, r)
 	}
 }
 
-// touchAll marks all replicas.
-func (m *Machine) touchAll() {
+// markAllDirty marks all replicas.
+func (m *Machine) markAllDirty() {
 	for _, r := range m.replicas {
-		m.touch(r)
+		m.markDirty(r)
 	}
 }
 
-// wakeAt makes sure that a replica is looked at at a time.
+// wakeAt schedules a replica to be reconciled at the given time at the latest.
 func (m *Machine) wakeAt(r *replica, at time.Time) {
-	if at.IsZero() || r.place != notPlaced && !at.Before(r.due) {
+	if at.IsZero() || r.heapIndex != notScheduled && !at.Before(r.due) {
 		return
 	}
 	r.due = at
 	m.timers.set(r)
 }
 
-// tendDirty looks at all marked replicas, in the order of their names so that the actions do not depend on a map's.
-func (m *Machine) tendDirty() {
+// reconcileDirty reconciles all marked replicas, sorted by name so that the actions are deterministic.
+func (m *Machine) reconcileDirty() {
 	for len(m.dirty) > 0 {
 		dirty := m.dirty
 		m.dirty = nil
 		slices.SortFunc(dirty, func(a, b *replica) int { return cmp.Compare(a.model, b.model) })
 		for _, r := range dirty {
 			r.dirty = false
-			m.tend(r)
+			m.reconcile(r)
 		}
 	}
 }
 
-// tend does for one replica what its state, its slot and its waiting requests ask for.
-func (m *Machine) tend(r *replica) {
-	m.tendLost(r)
-	m.tendSlot(r)
-	m.tendUnknown(r)
-	m.tendIdle(r)
+// reconcile drives one replica towards what its slot and its waiting requests require.
+func (m *Machine) reconcile(r *replica) {
+	m.refuseUnavailable(r)
+	m.reconcileSlot(r)
+	m.reconcileUnknown(r)
+	m.reconcileIdle(r)
 	m.announceAll(r)
 	m.updateWanting(&r.holding)
 	r.adapters = slices.DeleteFunc(r.adapters, func(a *holding) bool {
 		m.updateWanting(a)
-		return m.isForgettable(a)
+		return m.isDroppable(a)
 	})
-	for _, at := range []time.Time{r.retryAt, r.warmAt, r.wishUntil} {
+	for _, at := range []time.Time{r.retryAt, r.warmRetryAt, r.wantedUntil} {
 		if m.now.Before(at) {
 			m.wakeAt(r, at)
 		}
 	}
 }
 
-// tendLost refuses what waits while the engine does not answer or the endpoint leaves.
-func (m *Machine) tendLost(r *replica) {
+// refuseUnavailable refuses waiting requests while the engine is unreachable or the endpoint is leaving.
+func (m *Machine) refuseUnavailable(r *replica) {
 	if m.leaving {
 		m.refuseWaiting(&r.holding, refusalLeaving, 0)
 	}
 	if m.unreachable() {
-		m.refuseWaiting(&r.holding, refusalUnreachable, retrySoon)
+		m.refuseWaiting(&r.holding, refusalUnreachable, defaultRetryAfter)
 	}
 }
 
-// tendSlot gives back a slot that was taken away: no new request, then the unload, then the confirmation.
-func (m *Machine) tendSlot(r *replica) {
-	if m.slots.knowledge(r.model) != slotLost {
+// reconcileSlot gives up a slot that was revoked: it stops new requests, unloads the model, then confirms the release.
+func (m *Machine) reconcileSlot(r *replica) {
+	if m.slots.status(r.model) != slotLost {
 		return
 	}
-	m.withdraw(&r.holding)
-	m.refuseWaiting(&r.holding, refusalNotGranted, retrySoon)
-	r.wishUntil = time.Time{}
+	m.announceUnusable(&r.holding)
+	m.refuseWaiting(&r.holding, refusalNotGranted, defaultRetryAfter)
+	r.wantedUntil = time.Time{}
 	g := m.slots.grant(r.model)
 	if r.state != absent && r.state != unloading {
-		g.owed = true
+		g.confirmDue = true
 	}
 	if r.state == loaded || m.mayReissue(&r.holding) {
 		if !m.tryUnload(&r.holding) {
@@ -90,54 +90,54 @@
 		}
 		return
 	}
-	if g.owed && r.state == absent && r.order == nil {
+	if g.confirmDue && r.state == absent && r.order == nil {
 		m.confirmRelease(r, g)
 	}
 }
 
-// confirmRelease confirms a release once it is certain that the engine holds nothing of the model version and that no
-// load order, of this agent or of a predecessor, can take effect any more.
+// confirmRelease confirms a release once it is certain that the engine does not hold the model version and that no load
+// order, of this agent or of a previous one, can still take effect.
 //
-// A fencing number is no proof here. An engine that restarts may have forgotten the numbers it has seen, and would then
-// carry out an order that is still on its way; what was confirmed cannot be taken back, because the slot may be granted
-// elsewhere. So the confirmation waits for the orders' lives to end, and for a read of the state that began after that.
+// A fencing number is not sufficient here. An engine that restarts may lose the numbers it has seen and carry out an
+// order that is still in flight; a confirmation cannot be undone, because the slot may be granted elsewhere. The
+// confirmation therefore waits until the orders have expired, and for a read of the state that began after that.
 func (m *Machine) confirmRelease(r *replica, g *grant) {
-	certain := m.spentAt(&m.predecessor)
-	for _, o := range r.doubts {
+	certain := m.expiresAt(&m.predecessor)
+	for _, o := range r.unresolved {
 		if o.isLoad() {
-			certain = later(certain, m.spentAt(o))
+			certain = later(certain, m.expiresAt(o))
 		}
 	}
 	if m.now.Before(certain) {
 		m.wakeAt(r, certain)
 		return
 	}
-	if r.shown != shownAbsent || r.shownAt.Before(certain) || m.engine.unanswered > 0 {
-		m.wantReadFrom(certain, r.settled)
+	if r.observed != observedAbsent || r.observedAt.Before(certain) || m.engine.failedReads > 0 {
+		m.scheduleReadFrom(certain, r.orderEndedStep)
 		return
 	}
-	g.owed = false
+	g.confirmDue = false
 	if g.slot == nil {
 		g.revision = max(g.revision, m.slots.revision)
 	}
 	m.emit(ConfirmRelease{Model: r.model, Revision: g.revision})
 }
 
-// tendUnknown looks after what is not known: it reads the engine's state again, has the engine drop what nobody wants,
-// and refuses requests that would wait for the end of an order's life.
-func (m *Machine) tendUnknown(r *replica) {
+// reconcileUnknown handles unknown state: it polls the engine, unloads what is not wanted, and refuses requests that
+// would have to wait until an order of unknown outcome expires.
+func (m *Machine) reconcileUnknown(r *replica) {
 	unsettled := r.state == unknown
 	for _, a := range r.adapters {
 		unsettled = unsettled || a.state == unknown
 	}
 	if unsettled {
-		m.reads.next = earlier(m.reads.next, m.now.Add(pollInterval))
+		m.reads.nextAt = earlier(m.reads.nextAt, m.now.Add(pollInterval))
 	}
-	if r.state != unknown || r.order != nil || r.shown == shownNothing || r.shown == shownBetween {
+	if r.state != unknown || r.order != nil || r.observed == observedNothing || r.observed == observedTransient {
 		return
 	}
 	if !m.mayOrder(&r.holding) {
-		m.refuseWaiting(&r.holding, refusalLoadUnknown, max(retrySoon, m.doubtsEnd(&r.holding).Sub(m.now)))
+		m.refuseWaiting(&r.holding, refusalLoadUnknown, max(defaultRetryAfter, m.unresolvedUntil(&r.holding).Sub(m.now)))
 		return
 	}
 	if m.mayReissue(&r.holding) && m.granted(r) && !m.wantsLoad(&r.holding) {
@@ -145,14 +145,14 @@
 	}
 }
 
-// usable reports whether requests of a target may run.
+// usable reports whether requests for a target may run.
 func (m *Machine) usable(h *holding) bool {
 	r := h.replica
 	return h.state == loaded && r.state == loaded && r.order == nil &&
 		!m.leaving && !m.unreachable() && m.granted(r)
 }
 
-// announceAll tells what became usable and what no longer is, the model version before its adapters.
+// announceAll reports what became usable or unusable, the model version before its adapters.
 func (m *Machine) announceAll(r *replica) {
 	m.announce(&r.holding, m.usable(&r.holding))
 	if !r.announced {
@@ -169,13 +169,13 @@
 		h.announced = true
 		m.emit(Usable{Model: h.replica.model, Adapter: h.adapter})
 	case !usable && h.announced:
-		m.withdraw(h)
+		m.announceUnusable(h)
 	}
 }
 
-// withdraw tells that no further request may start on a holding; a model version takes its adapters along. The requests
-// that wait are watched for their deadlines again.
-func (m *Machine) withdraw(h *holding) {
+// announceUnusable reports that no further request may start on a holding; for a model version this includes its
+// adapters. The deadlines of the waiting requests are tracked again.
+func (m *Machine) announceUnusable(h *holding) {
 	if !h.announced {
 		return
 	}
@@ -193,7 +193,7 @@
 	}
 }
 
-// isForgettable reports whether there is nothing to know of an adapter.
-func (m *Machine) isForgettable(a *holding) bool {
-	return a.isBlank() && !m.now.Before(a.retryAt) && !m.now.Before(a.wishUntil)
+// isDroppable reports whether the record of an adapter carries no state.
+func (m *Machine) isDroppable(a *holding) bool {
+	return a.isUnused() && !m.now.Before(a.retryAt) && !m.now.Before(a.wantedUntil)
 }
