--- a/internal/loading/engine.go
+++ b/internal/loading/engine.go
@@ -41,7 +41,7 @@
 	nextBarrierAt time.Time
 }
 
-// engineReads orders the reads of the engine's state relative to the orders.
+// engineReads tracks the reads of the engine's state.
 //
 // Reads run concurrently with orders. A read that began before an order was sent or ended may not reflect that order;
 // treating it as the order's result would free memory that is in use. The machine therefore records the step and time
--- a/internal/loading/idle/hold.go
+++ b/internal/loading/idle/hold.go
@@ -6,14 +6,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Defaults of the settings.
+// Defaults of HoldOptions.
 const (
 	DefaultMargin      = 10 * time.Minute
 	DefaultMarginLoads = 6
 )
 
 // The fraction of the slack for which a batch request is held. It varies by model, so that requests with a common
-// deadline do not wake all models at once.
+// deadline do not cause loads of all models at once.
 const (
 	minHeldShare = 0.5
 	maxHeldShare = 0.9
--- a/internal/loading/idle/policy.go
+++ b/internal/loading/idle/policy.go
@@ -15,7 +15,7 @@
 	"balsamsail/internal/loading"
 )
 
-// Defaults of the settings.
+// Defaults of Options.
 const (
 	DefaultMax       = 24 * time.Hour
 	DefaultHalfLife  = 7 * 24 * time.Hour
--- a/internal/loading/machine.go
+++ b/internal/loading/machine.go
@@ -41,7 +41,7 @@
 	adapters   map[string]AdapterSpec
 
 	replicas    ordered[*replica]
-	wanting     map[*holding]struct{}
+	wanted      map[*holding]struct{}
 	demands     map[string]*demand
 	running     map[string]*runningRequest
 	deadlines   schedule[*demand]
@@ -73,7 +73,7 @@
 		orders:    map[string]*order{},
 		models:    map[string]ModelSpec{},
 		adapters:  map[string]AdapterSpec{},
-		wanting:   map[*holding]struct{}{},
+		wanted:    map[*holding]struct{}{},
 		demands:   map[string]*demand{},
 		running:   map[string]*runningRequest{},
 		permits:   map[string]*holding{},
--- a/internal/loading/ordered.go
+++ b/internal/loading/ordered.go
@@ -8,7 +8,7 @@
 // keyed is an item of an ordered list.
 type keyed interface{ key() string }
 
-// ordered is a list sorted by key. It makes the machine's actions independent of map iteration order.
+// ordered is a list sorted by key, which makes the machine's actions independent of map iteration order.
 type ordered[T keyed] []T
 
 // find returns the index of a key, and whether it is present.
--- a/internal/loading/permit.go
+++ b/internal/loading/permit.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// extendedPermitWait returns how long a load waits for its permit after a denial: at most until the latest start that
+// extendedPermitWait returns until when a load waits for its permit after a denial: at most until the latest start that
 // meets its deadline, so that an issuer with a wrong view of the store cannot block a load forever.
 func (m *Machine) extendedPermitWait(h *holding, retryAt time.Time) time.Time {
 	extended := retryAt.Add(m.jitter(m.options.PermitPatience))
--- a/internal/loading/permits/options.go
+++ b/internal/loading/permits/options.go
@@ -8,7 +8,7 @@
 
 import "time"
 
-// Defaults of the settings.
+// Defaults of Options.
 const (
 	DefaultLease       = 15 * time.Second
 	DefaultStartWithin = 2 * time.Second
--- a/internal/loading/permits/storm_test.go
+++ b/internal/loading/permits/storm_test.go
@@ -12,7 +12,7 @@
 type deployment struct {
 	name    string
 	options Options
-	wakes   int
+	loads   int
 }
 
 var (
@@ -83,7 +83,7 @@
 		for seed := range uint64(5) {
 			s := func(is issuers, changeAt time.Duration) *store {
 				return &store{atOnce: d.options.LoadsAtOnce, spacing: d.options.spacing(), issuers: is, changeAt: changeAt,
-					loads: storm(seed, d.wakes, work, wirepb.PermitKind_WEIGHTS)}
+					loads: storm(seed, d.loads, work, wirepb.PermitKind_WEIGHTS)}
 			}
 			without := play(s(noIssuer, 0))
 			with := play(s(singleIssuer(d.options), 0))
--- a/internal/loading/plan.go
+++ b/internal/loading/plan.go
@@ -42,13 +42,13 @@
 	return ok
 }
 
-// updateWanting adds a holding to the set of wanted loads or removes it.
-func (m *Machine) updateWanting(h *holding) {
+// updateWanted adds a holding to the set of wanted loads or removes it.
+func (m *Machine) updateWanted(h *holding) {
 	if m.wantsLoad(h) {
-		m.wanting[h] = struct{}{}
+		m.wanted[h] = struct{}{}
 		return
 	}
-	delete(m.wanting, h)
+	delete(m.wanted, h)
 	m.dropPermit(h)
 }
 
@@ -64,11 +64,11 @@
 
 // queue returns the wanted loads, least slack first.
 func (m *Machine) queue() []*holding {
-	if len(m.wanting) == 0 {
+	if len(m.wanted) == 0 {
 		return nil
 	}
-	queue := make([]*holding, 0, len(m.wanting))
-	for h := range m.wanting {
+	queue := make([]*holding, 0, len(m.wanted))
+	for h := range m.wanted {
 		queue = append(queue, h)
 	}
 	slices.SortFunc(queue, func(a, b *holding) int {
@@ -87,7 +87,7 @@
 // LoadsAtOnce bounds both the loads in flight and the loads that request permits. A load that waits for its permit does
 // not block a later one whose checkpoint is cached.
 func (m *Machine) plan() {
-	if len(m.wanting) == 0 || !m.canLoad() {
+	if len(m.wanted) == 0 || !m.canLoad() {
 		return
 	}
 	memory := m.newMemoryPlan()
@@ -106,7 +106,7 @@
 		started := m.permitted(h) && answer == claimNow && m.canOrder()
 		if started {
 			m.orderLoad(h, !m.isCached(h))
-			delete(m.wanting, h)
+			delete(m.wanted, h)
 		}
 		switch {
 		case h.isAdapter():
@@ -121,7 +121,7 @@
 // noRoom refuses the requests that wait for a load for which not enough memory can be freed, and asks for a slot on
 // another engine.
 func (m *Machine) noRoom(h *holding) {
-	delete(m.wanting, h)
+	delete(m.wanted, h)
 	m.dropPermit(h)
 	h.wantedUntil = time.Time{}
 	if h.waiting > 0 {
--- a/internal/loading/refusal.go
+++ b/internal/loading/refusal.go
@@ -15,7 +15,6 @@
 	wantsSlot bool
 }
 
-// The refusals.
 var (
 	refusalLeaving     = refusal{wirepb.RefusalReason_LEAVING, "the endpoint is leaving", false}
 	refusalUnknown     = refusal{wirepb.RefusalReason_UNKNOWN_TARGET, "not declared", false}
--- a/internal/loading/specs.go
+++ b/internal/loading/specs.go
@@ -43,7 +43,7 @@
 		if m.isDeclared(&r.holding) || g != nil && (g.slot != nil || g.confirmDue) || !r.isUnused() || len(r.adapters) > 0 {
 			return false
 		}
-		delete(m.wanting, &r.holding)
+		delete(m.wanted, &r.holding)
 		m.dropPermit(&r.holding)
 		m.timers.remove(r)
 		return true
--- a/internal/loading/tend.go
+++ b/internal/loading/tend.go
@@ -50,9 +50,9 @@
 	m.reconcileUnknown(r)
 	m.reconcileIdle(r)
 	m.announceAll(r)
-	m.updateWanting(&r.holding)
+	m.updateWanted(&r.holding)
 	r.adapters = slices.DeleteFunc(r.adapters, func(a *holding) bool {
-		m.updateWanting(a)
+		m.updateWanted(a)
 		return m.isDroppable(a)
 	})
 	for _, at := range []time.Time{r.retryAt, r.warmRetryAt, r.wantedUntil} {
