--- a/internal/declarations/change.go
+++ b/internal/declarations/change.go
@@ -11,17 +11,17 @@
 	"balsamsail/internal/selector"
 )
 
-// ErrNotDeclared says that an edit names a declaration that does not exist.
+// ErrNotDeclared reports that an edit refers to a declaration that does not exist.
 var ErrNotDeclared = errors.New("declarations: not declared")
 
-// Change is what an edit does to a set.
+// Change lists the objects that an edit puts and deletes.
 type Change struct {
 	Put    []*pb.Object
 	Delete []*pb.ObjectKey
 }
 
-// ChangeFunc works out an edit's change from the set that it is made on. It is called again when the edit is made on a
-// newer set than at first, so it must depend on its argument alone.
+// ChangeFunc computes an edit's change from the set that the edit is applied to. It is called again if the edit is
+// retried on a newer set, so its result must depend only on its argument.
 type ChangeFunc func(base *Set) (Change, error)
 
 // PutObjects returns a change that puts and deletes objects.
@@ -29,7 +29,8 @@
 	return func(*Set) (Change, error) { return Change{Put: put, Delete: deleted}, nil }
 }
 
-// PutFile returns a change that puts the declarations of an INI file and deletes others.
+// PutFile returns a change that puts the declarations of an INI file and deletes other objects. The name is used in
+// error messages.
 func PutFile(name string, data []byte, deleted []*pb.ObjectKey) ChangeFunc {
 	return func(base *Set) (Change, error) {
 		without, err := base.Apply(&pb.Delta{Revision: base.revision + 1, Deleted: deleted})
@@ -41,8 +42,8 @@
 	}
 }
 
-// SetLabels returns a change that sets and removes labels of one declaration. An engine that isn't declared yet is
-// declared by it.
+// SetLabels returns a change that sets and removes labels of one declaration. An engine that is not declared yet is
+// created.
 func SetLabels(key *pb.ObjectKey, set map[string]string, remove []string) ChangeFunc {
 	return func(base *Set) (Change, error) {
 		for label, value := range set {
@@ -50,7 +51,7 @@
 				return Change{}, errors.Wrap(ErrInvalid, err.Error())
 			}
 		}
-		object, err := base.editable(key)
+		object, err := base.cloneForEdit(key)
 		if err != nil {
 			return Change{}, err
 		}
@@ -69,10 +70,11 @@
 	}
 }
 
-// SetDrain returns a change that sets or ends the drain of an endpoint, which is declared by it if it wasn't.
+// SetDrain returns a change that sets or clears the drain flag of an endpoint, which is created if it is not declared
+// yet.
 func SetDrain(endpoint string, drain bool) ChangeFunc {
 	return func(base *Set) (Change, error) {
-		object, err := base.editable(&pb.ObjectKey{Kind: KindEngine, Name: endpoint})
+		object, err := base.cloneForEdit(&pb.ObjectKey{Kind: KindEngine, Name: endpoint})
 		if err != nil {
 			return Change{}, err
 		}
@@ -81,8 +83,8 @@
 	}
 }
 
-// editable returns a copy of a declaration.
-func (s *Set) editable(key *pb.ObjectKey) (*pb.Object, error) {
+// cloneForEdit returns a copy of a declaration, or an empty declaration for an engine that is not declared yet.
+func (s *Set) cloneForEdit(key *pb.ObjectKey) (*pb.Object, error) {
 	if object, ok := s.Object(key); ok {
 		return proto.Clone(object).(*pb.Object), nil
 	}
@@ -107,26 +109,26 @@
 	}
 }
 
-// effective returns the part of a change that alters the set.
-func (s *Set) effective(change Change) Change {
-	var effect Change
+// withoutNoOps returns the change without the parts that would leave the set as it is.
+func (s *Set) withoutNoOps(change Change) Change {
+	var result Change
 	for _, object := range change.Put {
-		if held, ok := s.Object(KeyOf(object)); !ok || !proto.Equal(held, object) {
-			effect.Put = append(effect.Put, object)
+		if current, ok := s.Object(KeyOf(object)); !ok || !proto.Equal(current, object) {
+			result.Put = append(result.Put, object)
 		}
 	}
 	for _, key := range change.Delete {
 		put := slices.ContainsFunc(change.Put, func(o *pb.Object) bool { return proto.Equal(KeyOf(o), key) })
 		if _, ok := s.Object(key); ok && !put {
-			effect.Delete = append(effect.Delete, key)
+			result.Delete = append(result.Delete, key)
 		}
 	}
-	return effect
+	return result
 }
 
 func (c Change) empty() bool { return len(c.Put) == 0 && len(c.Delete) == 0 }
 
-// keys returns the declarations that the change touches.
+// keys returns the keys of the declarations that the change modifies.
 func (c Change) keys() []*pb.ObjectKey {
 	var keys []*pb.ObjectKey
 	for _, object := range c.Put {
--- a/internal/declarations/check.go
+++ b/internal/declarations/check.go
@@ -9,7 +9,7 @@
 	"balsamsail/internal/settings/inifile"
 )
 
-func reportName(r *inifile.Reporter, name string) {
+func checkName(r *inifile.Reporter, name string) {
 	if !validName(name) {
 		r.Report("", fmt.Sprintf("name %q is not allowed", name), nameAllowed)
 	}
@@ -17,7 +17,7 @@
 
 // Check implements inifile.Checker.
 func (s *modelSection) Check(r *inifile.Reporter) {
-	reportName(r, s.Name)
+	checkName(r, s.Name)
 	s.checkVersions(r)
 	s.checkReplicas(r)
 }
@@ -32,10 +32,10 @@
 	}
 	for i, version := range s.Versions {
 		if !validVersion(version) {
-			r.Report("versions", fmt.Sprintf("version %q is not allowed", version), versionForm)
+			r.Report("versions", fmt.Sprintf("version %q is not allowed", version), versionAllowed)
 		}
 		if slices.Contains(s.Versions[:i], version) {
-			r.Report("versions", fmt.Sprintf("version %q stands twice", version), "each version once")
+			r.Report("versions", fmt.Sprintf("version %q is listed twice", version), "each version once")
 		}
 	}
 	if s.DefaultVersion == "" && len(s.Versions) == 1 {
@@ -46,7 +46,8 @@
 	}
 }
 
-// checkReplicas also fits a default to the bound that the file gives: max_replicas = 1 alone means one slot.
+// checkReplicas checks the replica bounds. It also adjusts the default of a bound that is left out to the one that is
+// given: max_replicas = 1 alone implies min_replicas = 1.
 func (s *modelSection) checkReplicas(r *inifile.Reporter) {
 	if !r.Valid("min_replicas", "max_replicas", "warm_replicas") {
 		return
@@ -67,12 +68,12 @@
 }
 
 // Check implements inifile.Checker.
-func (s *adapterSection) Check(r *inifile.Reporter) { reportName(r, s.Name) }
+func (s *adapterSection) Check(r *inifile.Reporter) { checkName(r, s.Name) }
 
 // Check implements inifile.Checker.
-func (s *engineSection) Check(r *inifile.Reporter) { reportName(r, s.Name) }
+func (s *engineSection) Check(r *inifile.Reporter) { checkName(r, s.Name) }
 
-// reservedPrefixes are the paths that the entries serve themselves.
+// reservedPrefixes are the path prefixes that the entries serve themselves.
 var reservedPrefixes = []string{"/v1/", "/healthz/", "/readyz/", "/metrics/"}
 
 const prefixAllowed = `a path of letters, digits, ".", "_", "~", "-" and "/" that begins and ends with "/", at most 256 long, ` +
@@ -82,16 +83,16 @@
 
 // Check implements inifile.Checker.
 func (s *serviceSection) Check(r *inifile.Reporter) {
-	reportName(r, s.Name)
+	checkName(r, s.Name)
 	if r.Valid("path_prefix") && !validPrefix(s.PathPrefix) {
 		r.Report("path_prefix", fmt.Sprintf("%q is not allowed", s.PathPrefix), prefixAllowed)
 	}
 	for i, method := range s.IdempotentMethods {
 		if method == "" || strings.Trim(method, "ABCDEFGHIJKLMNOPQRSTUVWXYZ-") != "" {
-			r.Report("idempotent_methods", fmt.Sprintf("%q is no method", method), "methods in capitals, such as GET, PUT")
+			r.Report("idempotent_methods", fmt.Sprintf("%q is not a method", method), "methods in capitals, such as GET, PUT")
 		}
 		if slices.Contains(s.IdempotentMethods[:i], method) {
-			r.Report("idempotent_methods", fmt.Sprintf("%q stands twice", method), "each method once")
+			r.Report("idempotent_methods", fmt.Sprintf("%q is listed twice", method), "each method once")
 		}
 	}
 }
@@ -129,17 +130,16 @@
 	}
 }
 
-// Check implements inifile.Checker. It looks for contradictions between the file's declarations and those that it is put
-// over.
+// Check implements inifile.Checker. It reports contradictions between the file's declarations and the base set.
 func (f *fileSchema) Check(r *inifile.Reporter) {
-	f.fillAdapterVersions()
+	f.setAdapterVersions()
 	base := f.base
 	if base == nil {
 		base = Empty()
 	}
 	merged, err := base.Apply(&pb.Delta{Revision: base.revision + 1, Put: f.objects()})
 	if err != nil {
-		// Only a selector can fail here, and one that doesn't parse is reported at its key.
+		// Only a selector can fail here, and a malformed selector has already been reported at its key.
 		return
 	}
 	for _, c := range merged.contradictions() {
@@ -149,9 +149,9 @@
 	}
 }
 
-// fillAdapterVersions gives adapters without a version the default one of their model, so that a later change of the
+// setAdapterVersions gives adapters without a version the default version of their model, so that a later change of the
 // default does not move the adapter to weights that it was not made for.
-func (f *fileSchema) fillAdapterVersions() {
+func (f *fileSchema) setAdapterVersions() {
 	defaults := map[string]string{}
 	if f.base != nil {
 		for _, model := range f.base.models {
@@ -168,15 +168,15 @@
 	}
 }
 
-// contradiction is a fault between two declarations: kind, name and key tell where to report it, otherKind and otherName
-// the declaration that it contradicts.
+// contradiction is an inconsistency between two declarations: kind, name and key locate where to report it, and
+// otherKind and otherName identify the declaration that it contradicts.
 type contradiction struct {
 	kind, name, key      string
 	otherKind, otherName string
 	text, allowed        string
 }
 
-// contradictions returns the faults between the set's declarations.
+// contradictions returns all contradictions between the set's declarations.
 func (s *Set) contradictions() []contradiction {
 	var found []contradiction
 	for _, adapter := range s.adapters {
@@ -211,7 +211,7 @@
 	if _, taken := s.models.find(adapter.GetName()); taken {
 		found = append(found, contradiction{
 			kind: KindAdapter, name: adapter.GetName(), otherKind: KindModel, otherName: adapter.GetName(),
-			text: "a model has the same name, so that requests could mean either", allowed: "a name that no model has",
+			text: "a model has the same name, so requests would be ambiguous", allowed: "a name that no model has",
 		})
 	}
 	return found
--- a/internal/declarations/declared.go
+++ b/internal/declarations/declared.go
@@ -1,15 +1,15 @@
 package declarations
 
-// HeadKey is the key of the table's row that names the newest revision. Other slices make their writes conditional on
-// it, so that none that was decided under older declarations commits after an edit was accepted.
+// HeadKey is the key of the head row, which names the newest revision in the table. Other packages make their writes
+// conditional on this row, so that a write decided on older declarations cannot commit after an edit was accepted.
 const HeadKey = headKey
 
-// Declared returns the newest set with the table revision of the head's row that names it; false while the set that is
-// held is not the one that the row last read names.
+// Declared returns the current set and the table revision of the head row that names it. It returns false before the
+// first read, and while the head row last read names a revision other than the current set's.
 func (s *Store) Declared() (*Set, uint64, bool) {
 	s.mu.Lock()
-	row, revision, seen := s.headRow, s.headRevision, s.seen
+	headRowRevision, revision, synced := s.headRowRevision, s.headRevision, s.synced
 	s.mu.Unlock()
 	set := s.Current()
-	return set, row, seen && set.Revision() == revision
+	return set, headRowRevision, synced && set.Revision() == revision
 }
--- a/internal/declarations/edit.go
+++ b/internal/declarations/edit.go
@@ -14,13 +14,14 @@
 	pb "balsamsail/internal/declarations/declarationspb"
 )
 
-// Edit makes one edit and returns once it is known to be made, or to be lost. The error is a *ConflictError when another
-// edit came first, an inifile.Problems or one that wraps ErrInvalid or ErrNotDeclared when the edit is wrong, one that
-// wraps ErrUnavailable when the table could not be reached, each of which had no effect; or a *UnknownError.
+// Edit makes one edit and returns once its outcome is known or its deadline has passed. The error is a *ConflictError
+// if another edit was committed first; an inifile.Problems or an error that wraps ErrInvalid or ErrNotDeclared if the
+// edit is invalid; or an error that wraps ErrUnavailable if the table could not be reached. In all of these cases the
+// edit had no effect. A *OutcomeUnknownError means that the edit may have been committed or may still be.
 func (s *Store) Edit(ctx context.Context, request EditRequest) (EditResult, error) {
 	start := s.clock.Now()
 	result, err := s.edit(ctx, request, start.Add(s.options.EditTimeout))
-	s.metrics.editTime.Observe(s.clock.Now().Sub(start).Seconds())
+	s.metrics.editDuration.Observe(s.clock.Now().Sub(start).Seconds())
 	s.metrics.edits.WithLabelValues(outcomeOf(result, err)).Inc()
 	return result, err
 }
@@ -34,46 +35,46 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, deadline.Sub(s.clock.Now()))
 	defer cancel()
-	if limit, ok := ctx.Deadline(); ok && limit.Before(deadline) {
-		deadline = limit
+	if ctxDeadline, ok := ctx.Deadline(); ok && ctxDeadline.Before(deadline) {
+		deadline = ctxDeadline
 	}
-	if err := s.editing.Acquire(ctx, 1); err != nil {
-		return EditResult{}, errors.Wrap(ErrUnavailable, "earlier edits wait for the table")
+	if err := s.editSem.Acquire(ctx, 1); err != nil {
+		return EditResult{}, errors.Wrap(ErrUnavailable, "the context ended while waiting for earlier edits")
 	}
-	defer s.editing.Release(1)
-	e := &editor{request: request, deadline: deadline, keep: uint64(s.options.LogKeep), random: s.fork()}
-	return s.drive(ctx, e)
+	defer s.editSem.Release(1)
+	e := &editor{request: request, deadline: deadline, logKeep: uint64(s.options.LogKeep), random: s.newRandom()}
+	return s.runMachine(ctx, e)
 }
 
-// maxIdentityLength bounds an edit's author and operation identifier, which each row of the log repeats.
-const maxIdentityLength = 256
+// maxIDLength is the maximum length in bytes of an edit's author and operation identifier, which every log row repeats.
+const maxIDLength = 256
 
 func (r *EditRequest) check() error {
 	switch {
 	case r.Change == nil:
 		return errors.Wrap(ErrInvalid, "the edit has no change")
-	case len(r.Author) > maxIdentityLength || !utf8.ValidString(r.Author):
-		return errors.Wrapf(ErrInvalid, "the author is not UTF-8 of at most %d bytes", maxIdentityLength)
-	case len(r.OperationID) > maxIdentityLength || !utf8.ValidString(r.OperationID):
-		return errors.Wrapf(ErrInvalid, "the operation's identifier is not UTF-8 of at most %d bytes", maxIdentityLength)
+	case len(r.Author) > maxIDLength || !utf8.ValidString(r.Author):
+		return errors.Wrapf(ErrInvalid, "the author must be valid UTF-8 of at most %d bytes", maxIDLength)
+	case len(r.OperationID) > maxIDLength || !utf8.ValidString(r.OperationID):
+		return errors.Wrapf(ErrInvalid, "the operation identifier must be valid UTF-8 of at most %d bytes", maxIDLength)
 	}
 	return nil
 }
 
-// fork returns a source of randomness for one edit.
-func (s *Store) fork() *rand.Rand {
+// newRandom returns a random source for one edit.
+func (s *Store) newRandom() *rand.Rand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return rand.New(rand.NewPCG(s.random.Uint64(), s.random.Uint64()))
 }
 
-// stepper is the machine that drive carries out.
-type stepper interface {
+// stateMachine is the state machine that runMachine executes.
+type stateMachine interface {
 	start() editAction
 	step(now time.Time, event editEvent) editAction
 }
 
-func (s *Store) drive(ctx context.Context, machine stepper) (EditResult, error) {
+func (s *Store) runMachine(ctx context.Context, machine stateMachine) (EditResult, error) {
 	action := machine.start()
 	for {
 		var event editEvent
@@ -81,7 +82,7 @@
 		case finish:
 			return a.result, a.err
 		case readView:
-			event = s.readForEdit(ctx)
+			event = s.readView(ctx)
 		case commitTxn:
 			event = s.commit(ctx, a)
 		case wait:
@@ -91,7 +92,7 @@
 	}
 }
 
-func (s *Store) readForEdit(ctx context.Context) editEvent {
+func (s *Store) readView(ctx context.Context) editEvent {
 	view, err := s.refresh(ctx)
 	if err != nil {
 		return readFailed{}
@@ -99,34 +100,35 @@
 	return view
 }
 
-// commit runs a transaction. What the platform doesn't name as without effect counts as lost.
+// commit executes a transaction. An error that the platform does not guarantee to be without effect counts as a lost
+// response.
 func (s *Store) commit(ctx context.Context, action commitTxn) editEvent {
-	row, err := s.table.Commit(ctx, action.txn)
+	headRowRevision, err := s.table.Commit(ctx, action.txn)
 	var conflict *backing.ConflictError
 	switch {
 	case err == nil:
-		s.adoptOwn(row, action.delta)
+		s.applyOwnEdit(headRowRevision, action.delta)
 		return committed{}
 	case errors.As(err, &conflict):
 		return conflicted{}
 	case errors.Is(err, backing.ErrUnavailable), errors.Is(err, backing.ErrRateLimited):
-		return refused{}
+		return notAccepted{}
 	case errors.Is(err, backing.ErrInvalid):
-		return rejected{err: err}
+		return malformed{err: err}
 	default:
-		return answerLost{}
+		return responseLost{}
 	}
 }
 
-// adoptOwn puts an own edit in force here without waiting for the next read. The edit was conditioned on the head's row
-// of the revision before it, so that no other revision lies between. Should the store hold another set by now, the next
-// read sorts it out.
-func (s *Store) adoptOwn(row uint64, delta *pb.Delta) {
+// applyOwnEdit applies an edit of this process without waiting for the next read. The edit was conditional on the head
+// row of the preceding revision, so no other revision lies between them. If the store holds another set by now, the
+// next read corrects it.
+func (s *Store) applyOwnEdit(headRowRevision uint64, delta *pb.Delta) {
 	if s.holder.apply(delta) != nil {
 		return
 	}
 	s.metrics.applied.WithLabelValues(appliedDelta).Inc()
-	s.noteHead(row, delta.GetRevision())
+	s.advanceHead(headRowRevision, delta.GetRevision())
 }
 
 func (s *Store) wait(ctx context.Context, duration time.Duration) editEvent {
@@ -134,28 +136,28 @@
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-		return expired{}
+		return canceled{}
 	case <-timer.C():
-		return waited{}
+		return waitDone{}
 	}
 }
 
-// OperationState is what is known of an edit.
+// OperationState is the known state of an edit.
 type OperationState string
 
 // The states of an operation.
 const (
-	// OperationMade: the edit is stored.
+	// OperationMade: the edit was committed.
 	OperationMade OperationState = "made"
-	// OperationNever: the edit did not and will not take effect.
+	// OperationNever: the edit was not committed and never will be.
 	OperationNever OperationState = "never"
-	// OperationUnknown: the edit is not stored now and may still take effect.
+	// OperationUnknown: the edit has not been committed so far but still may be.
 	OperationUnknown OperationState = "unknown"
 )
 
-// Operation looks an edit up by its identifier and, for one that was made, returns its revision. BasedOn is the revision
-// that the edit was made on, 0 if not known; without it an edit that is not stored can't be told from one on its way.
-// The error wraps ErrUnavailable when the table can't be read.
+// Operation looks up an edit by its identifier and returns its state and, if it was made, its revision. BasedOn is the
+// revision that the edit was based on, or 0 if unknown; without it, an edit that was never made can't be distinguished
+// from one that is still in flight. The error wraps ErrUnavailable if the table can't be read.
 func (s *Store) Operation(ctx context.Context, id string, basedOn uint64) (OperationState, uint64, error) {
 	view, err := s.refresh(ctx)
 	if err != nil {
--- a/internal/declarations/edit_test.go
+++ b/internal/declarations/edit_test.go
@@ -62,12 +62,12 @@
 	}{
 		{"no change", EditRequest{}, ErrInvalid},
 		{"long author", EditRequest{Author: strings.Repeat("a", 257), Change: putEngine("f")}, ErrInvalid},
-		{"identifier that no message holds", EditRequest{OperationID: "\xff", Change: putEngine("f")}, ErrInvalid},
+		{"identifier that is not UTF-8", EditRequest{OperationID: "\xff", Change: putEngine("f")}, ErrInvalid},
 		{"invalid object", EditRequest{Change: putEngine("not a name")}, ErrInvalid},
-		{"base of the future", EditRequest{BasedOn: 9, Change: putEngine("f")}, ErrInvalid},
-		{"label of nothing", EditRequest{Change: SetLabels(&pb.ObjectKey{Kind: KindModel, Name: "m"}, nil, nil)}, ErrNotDeclared},
-		{"wrong label", EditRequest{Change: SetLabels(&pb.ObjectKey{Kind: KindEngine, Name: "e"}, map[string]string{"a b": "c"}, nil)}, ErrInvalid},
-		{"label of the limits", EditRequest{Change: SetLabels(&pb.ObjectKey{Kind: KindLimits, Name: LimitsName}, map[string]string{"a": "c"}, nil)}, ErrNotDeclared},
+		{"base newer than the newest revision", EditRequest{BasedOn: 9, Change: putEngine("f")}, ErrInvalid},
+		{"label of an undeclared model", EditRequest{Change: SetLabels(&pb.ObjectKey{Kind: KindModel, Name: "m"}, nil, nil)}, ErrNotDeclared},
+		{"invalid label", EditRequest{Change: SetLabels(&pb.ObjectKey{Kind: KindEngine, Name: "e"}, map[string]string{"a b": "c"}, nil)}, ErrInvalid},
+		{"label of undeclared limits", EditRequest{Change: SetLabels(&pb.ObjectKey{Kind: KindLimits, Name: LimitsName}, map[string]string{"a": "c"}, nil)}, ErrNotDeclared},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 				t.Errorf("error = %v, want %v", err, c.want)
 			}
 			if table.content().head.GetRevision() != 1 {
-				t.Error("the refused edit took effect")
+				t.Error("the rejected edit took effect")
 			}
 		})
 	}
@@ -100,7 +100,8 @@
 	}
 }
 
-// Two operators edit on the same revision. The second one must be told whose edit won, and change nothing.
+// Two operators edit the same revision. The second one must get a conflict that names the winning edit, and must change
+// nothing.
 func TestLoserOfARaceLearnsTheWinner(t *testing.T) {
 	table := newMemTable()
 	a, b := newTestStore(table, Options{}), newTestStore(table, Options{})
@@ -117,8 +118,8 @@
 	}
 }
 
-// The table takes an edit and its answer is lost, or it takes effect only after the sender gave up on the answer. The
-// operator must be told that the edit is made, once it is, and never that it failed.
+// The response to a commit is lost before or after the write, or the write takes effect only after its sender gave up
+// waiting. The edit must be reported as made once it is, and never as failed.
 func TestEditSurvivesALostAnswer(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -126,7 +127,7 @@
 	}{
 		{"lost before the write", func(*memTable, backing.Txn) {}},
 		{"lost after the write", func(table *memTable, txn backing.Txn) { table.apply(txn) }},
-		{"write comes late", func(table *memTable, txn backing.Txn) {
+		{"write takes effect late", func(table *memTable, txn backing.Txn) {
 			time.AfterFunc(3*time.Second, func() { table.apply(txn) })
 		}},
 	}
@@ -142,7 +143,7 @@
 						return false, nil
 					}
 					c.commit(table, txn)
-					return true, errors.Wrap(backing.ErrOutcomeUnknown, "answer lost")
+					return true, errors.Wrap(backing.ErrOutcomeUnknown, "response lost")
 				}
 				result := mustEdit(t, s, EditRequest{BasedOn: 0, OperationID: "op", Change: putEngine("e")})
 				time.Sleep(10 * time.Second)
@@ -154,8 +155,8 @@
 	}
 }
 
-// The table loses every answer until the edit's time is over. Nobody can know whether the last write is still on its
-// way, so the operator must be told just that, and how to find out.
+// Every response is lost until the edit's deadline. The last write may still be in flight, so the error must say that
+// the outcome is unknown and give the identifier to look it up by.
 func TestEditSaysWhenTheOutcomeIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newMemTable()
@@ -168,7 +169,7 @@
 		}
 		start := time.Now()
 		_, err := s.Edit(t.Context(), EditRequest{OperationID: "op", Change: putEngine("e")})
-		var unknown *UnknownError
+		var unknown *OutcomeUnknownError
 		if !errors.As(err, &unknown) || unknown.OperationID != "op" || !errors.Is(err, ErrOutcomeUnknown) {
 			t.Fatalf("error is %v", err)
 		}
@@ -200,7 +201,8 @@
 	}
 }
 
-// The table is down for longer than an edit may take. The edit certainly had no effect, and must end in time.
+// The table is unavailable for longer than the edit timeout. The edit has no effect; it must end in time with an error
+// that says so.
 func TestEditInAnOutageIsNotMade(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -235,7 +237,7 @@
 	}
 }
 
-// A caller that stops waiting must get its answer at once, and the edits behind it must go on.
+// An edit must return promptly when its context is canceled, so that it does not block the edits behind it.
 func TestEditEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newMemTable()
@@ -273,8 +275,8 @@
 	}
 }
 
-// Eight operators edit at once through two entries while the table is slow and loses answers. Each edit must be made
-// once, none may fail, and both entries must end at the same set.
+// Eight operators edit concurrently through two entries while the table is slow and loses responses. Each edit must be
+// applied exactly once, none may fail, and both entries must converge to the same set.
 func TestConcurrentEditsAreAllMadeOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newMemTable()
@@ -320,7 +322,8 @@
 	})
 }
 
-// BenchmarkEdit counts what one edit beside many adapters costs: this process's time and the table's calls.
+// BenchmarkEdit measures the cost of one edit with many adapters declared: this process's time and the calls to the
+// table.
 func BenchmarkEdit(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, objects []*pb.Object) func() error {
 		table := newMemTable()
--- a/internal/declarations/editor_test.go
+++ b/internal/declarations/editor_test.go
@@ -10,10 +10,10 @@
 	pb "balsamsail/internal/declarations/declarationspb"
 )
 
-// viewAt returns a view of revision n whose log reaches back to the revision oldest.
+// viewAt returns a view at revision n whose log starts at the revision oldest.
 func viewAt(t *testing.T, n, oldest uint64) viewRead {
 	deltas, snapshots := chain(int(n))
-	return viewRead{set: mustSet(t, n, snapshots[n].Objects), history: deltas[oldest-1:], headRow: 100 + n}
+	return viewRead{set: mustSet(t, n, snapshots[n].Objects), history: deltas[oldest-1:], headRowRevision: 100 + n}
 }
 
 func newTestEditor(basedOn uint64, start time.Time) *editor {
@@ -22,12 +22,12 @@
 			BasedOn: basedOn, Author: "a", OperationID: "op",
 			Change: PutObjects([]*pb.Object{EngineObject(&pb.Engine{Name: "mine"})}, nil),
 		},
-		deadline: start.Add(time.Second), keep: 16, random: rand.New(rand.NewPCG(1, 1)),
+		deadline: start.Add(time.Second), logKeep: 16, random: rand.New(rand.NewPCG(1, 1)),
 	}
 }
 
-// An edit's answer is lost, and before the log is read back so many other edits are made that the log no longer tells
-// what became of this one. Whether it was made is then not known and must be called so.
+// The response to a commit is lost, and before the log is read again so many other edits commit that the log no longer
+// shows what became of this one. Its outcome must then be reported as unknown.
 func TestEditorDoesNotGuessBeyondTheLog(t *testing.T) {
 	start := time.Unix(1000, 0)
 	cases := []struct {
@@ -46,12 +46,12 @@
 			e := newTestEditor(c.basedOn, start)
 			e.start()
 			if _, ok := e.step(start, viewAt(t, 3, 1)).(commitTxn); !ok {
-				t.Fatal("no commit")
+				t.Fatal("the first view did not lead to a commit")
 			}
-			if _, ok := e.step(start, answerLost{}).(wait); !ok {
-				t.Fatal("no wait")
+			if _, ok := e.step(start, responseLost{}).(wait); !ok {
+				t.Fatal("the lost response did not lead to a wait")
 			}
-			e.step(start, waited{})
+			e.step(start, waitDone{})
 			action := e.step(start, c.second)
 			if again, ok := action.(commitTxn); ok && c.want == nil {
 				if again.delta.Revision != 7 || again.txn.Conditions[0].Revision != 106 {
@@ -69,16 +69,16 @@
 	}
 }
 
-// A copy of an edit whose answer was lost may commit at any later time. Each further copy must hang on the same revision
-// of the head's row, so that at most one of them can.
+// An edit whose response was lost may commit at any later time. Each retry must be conditional on the same revision of
+// the head row, so that at most one of the copies commits.
 func TestEditorRepeatsOnTheSameRow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newTestEditor(0, now)
 	e.start()
 	first := e.step(now, viewAt(t, 3, 1)).(commitTxn)
 	for range 5 {
-		e.step(now, answerLost{})
-		e.step(now, waited{})
+		e.step(now, responseLost{})
+		e.step(now, waitDone{})
 		again, ok := e.step(now, viewAt(t, 3, 1)).(commitTxn)
 		if !ok || again.txn.Conditions[0] != first.txn.Conditions[0] || again.delta != first.delta {
 			t.Fatalf("commits %+v after %+v", again, first)
@@ -95,14 +95,14 @@
 		want   error
 	}{
 		{"never read", nil, readFailed{}, ErrUnavailable},
-		{"refused", []editEvent{viewAt(t, 3, 1)}, refused{}, ErrUnavailable},
+		{"refused", []editEvent{viewAt(t, 3, 1)}, notAccepted{}, ErrUnavailable},
 		{"conflicted", []editEvent{viewAt(t, 3, 1)}, conflicted{}, ErrUnavailable},
-		{"lost", []editEvent{viewAt(t, 3, 1)}, answerLost{}, ErrOutcomeUnknown},
-		{"lost, then refused", []editEvent{viewAt(t, 3, 1), answerLost{}, waited{}, viewAt(t, 3, 1)}, refused{}, ErrOutcomeUnknown},
-		{"lost, then overtaken", []editEvent{viewAt(t, 3, 1), answerLost{}, waited{}}, viewAt(t, 4, 1), ErrUnavailable},
-		{"lost, then not found", []editEvent{viewAt(t, 3, 1), answerLost{}, waited{}}, viewAt(t, 3, 1), ErrOutcomeUnknown},
-		{"left by its caller", []editEvent{viewAt(t, 3, 1), refused{}}, expired{}, ErrUnavailable},
-		{"made at the last moment", []editEvent{viewAt(t, 3, 1)}, committed{}, nil},
+		{"lost", []editEvent{viewAt(t, 3, 1)}, responseLost{}, ErrOutcomeUnknown},
+		{"lost, then refused", []editEvent{viewAt(t, 3, 1), responseLost{}, waitDone{}, viewAt(t, 3, 1)}, notAccepted{}, ErrOutcomeUnknown},
+		{"lost, then superseded", []editEvent{viewAt(t, 3, 1), responseLost{}, waitDone{}}, viewAt(t, 4, 1), ErrUnavailable},
+		{"lost, then not found", []editEvent{viewAt(t, 3, 1), responseLost{}, waitDone{}}, viewAt(t, 3, 1), ErrOutcomeUnknown},
+		{"canceled by its caller", []editEvent{viewAt(t, 3, 1), notAccepted{}}, canceled{}, ErrUnavailable},
+		{"committed at the deadline", []editEvent{viewAt(t, 3, 1)}, committed{}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/declarations/errors.go
+++ b/internal/declarations/errors.go
@@ -7,28 +7,28 @@
 )
 
 var (
-	// ErrUnknownModel says that a request names neither a model nor an adapter that is declared.
+	// ErrUnknownModel reports that a request names neither a declared model nor a declared adapter.
 	ErrUnknownModel = errors.New("declarations: unknown model")
-	// ErrUnknownVersion says that a request names a version that its model doesn't declare.
+	// ErrUnknownVersion reports that a request names a version that its model does not declare.
 	ErrUnknownVersion = errors.New("declarations: unknown version")
-	// ErrInvalid says that an object or an edit is malformed or contradicts the other declarations; nothing was applied.
+	// ErrInvalid reports that an object or an edit is malformed or contradicts other declarations; nothing was applied.
 	ErrInvalid = errors.New("declarations: invalid")
-	// ErrGap says that a delta doesn't follow the revision that is held; a snapshot is needed.
+	// ErrGap reports that a delta does not directly follow the current revision; a snapshot is needed.
 	ErrGap = errors.New("declarations: gap between revisions")
-	// ErrOldRevision says that a delta or a snapshot isn't newer than the revision that is held.
-	ErrOldRevision = errors.New("declarations: old revision")
-	// ErrUnavailable says that the table could not be reached in time and that the edit certainly had no effect.
+	// ErrStaleRevision reports that a delta or a snapshot is not newer than the current revision.
+	ErrStaleRevision = errors.New("declarations: stale revision")
+	// ErrUnavailable reports that the table could not be reached in time. An edit that fails with it had no effect.
 	ErrUnavailable = errors.New("declarations: table unavailable, edit not made")
-	// ErrOutcomeUnknown says that an edit may have been made or may still take effect.
+	// ErrOutcomeUnknown reports that an edit may have been committed or may still be committed.
 	ErrOutcomeUnknown = errors.New("declarations: outcome of the edit unknown")
 )
 
-// ConflictError says that an edit lost to another one and had no effect.
+// ConflictError reports that another edit was committed first and that this one had no effect.
 type ConflictError struct {
-	// BasedOn is the revision that the edit was based on, Revision the newest one.
+	// BasedOn is the revision that the edit was based on; Revision is the newest one.
 	BasedOn, Revision uint64
-	// Winner is the revision that took the edit's place and Author who made it; 0 and empty where the table no longer
-	// tells.
+	// Winner is the revision that took the edit's place and Author is who made it; they are 0 and empty if the table's
+	// log no longer holds that revision.
 	Winner uint64
 	Author string
 }
@@ -41,18 +41,18 @@
 	return fmt.Sprintf("declarations: edit based on revision %d lost to %s; the newest revision is %d", e.BasedOn, winner, e.Revision)
 }
 
-// UnknownError says that the deadline passed while a write whose answer was lost could still take effect. It wraps
-// ErrOutcomeUnknown. Store.Operation tells later what became of the edit.
-type UnknownError struct {
+// OutcomeUnknownError reports that the deadline passed while a write whose response was lost could still commit. It
+// wraps ErrOutcomeUnknown. Store.Operation reports later whether the edit was made.
+type OutcomeUnknownError struct {
 	OperationID string
-	// BasedOn is the revision on which the write is conditioned.
+	// BasedOn is the revision that the write is conditional on.
 	BasedOn uint64
 }
 
-func (e *UnknownError) Error() string {
-	return fmt.Sprintf("%v: operation %s may be made as revision %d; look it up by its identifier before trying again",
+func (e *OutcomeUnknownError) Error() string {
+	return fmt.Sprintf("%v: operation %s may be committed as revision %d; look it up by its identifier before retrying",
 		ErrOutcomeUnknown, e.OperationID, e.BasedOn+1)
 }
 
 // Unwrap returns ErrOutcomeUnknown.
-func (e *UnknownError) Unwrap() error { return ErrOutcomeUnknown }
+func (e *OutcomeUnknownError) Unwrap() error { return ErrOutcomeUnknown }
--- a/internal/declarations/file.go
+++ b/internal/declarations/file.go
@@ -10,15 +10,15 @@
 	"balsamsail/internal/settings/inifile"
 )
 
-// ParseFile reads a file of declarations that refer to nothing outside it. See Set.ParseFile.
+// ParseFile reads a declarations file that refers to nothing outside itself. See Set.ParseFile.
 func ParseFile(name string, data []byte) ([]*pb.Object, error) {
 	return Empty().ParseFile(name, data)
 }
 
-// ParseFile reads a file of declarations to be put over the set: an adapter in it may be for a model that the set
-// declares, and what the file changes must agree with what the set keeps. Each section replaces the declaration of its
-// name whole, keys that it leaves out by their defaults. The name is for messages. The error is an inifile.Problems with
-// all faults of the file.
+// ParseFile reads a declarations file to be applied on top of the set: an adapter in it may refer to a model of the
+// set, and the file's declarations must be consistent with those of the set that remain. Each section replaces the
+// whole declaration of the same name; keys that it leaves out take their defaults. The name is used in error messages.
+// The error is an inifile.Problems with all problems of the file.
 func (s *Set) ParseFile(name string, data []byte) ([]*pb.Object, error) {
 	file := fileSchema{base: s}
 	if err := inifile.Decode(inifile.Parse(name, data), &file); err != nil {
@@ -27,8 +27,8 @@
 	return file.objects(), nil
 }
 
-// Format writes objects as a file that ParseFile reads back, by kind and in the order given. Limits stand once, the last
-// ones given.
+// Format formats objects as a file that ParseFile reads back, grouped by kind and otherwise in the given order. If
+// limits occur more than once, only the last ones are written.
 func Format(objects []*pb.Object) []byte {
 	var file fileSchema
 	for _, object := range objects {
@@ -37,15 +37,16 @@
 	return inifile.Format(&file)
 }
 
-// DescribeFile writes all sections and keys of a file of declarations, with what is allowed and their defaults.
+// DescribeFile returns a commented file of all sections and keys of a declarations file, with allowed values and
+// defaults.
 func DescribeFile() string { return inifile.Describe(&fileSchema{}) }
 
-// formatName is the file name in messages about objects that come from no file.
-const formatName = "declarations"
+// messageFileName is the file name in error messages about objects that do not come from a file.
+const messageFileName = "declarations"
 
-// check returns an error that wraps ErrInvalid unless putting and deleting the objects leaves a set without faults.
-// Objects are valid exactly if the file that Format writes reads back as them, so that one set of rules holds for edits
-// from files and from elsewhere; a name that would break out of its line reads back as something else.
+// check returns an error that wraps ErrInvalid unless putting and deleting the objects leaves a consistent set. Objects
+// are valid if and only if the file that Format writes parses back to the same objects, so that edits from files and
+// from other sources follow the same rules; a name that would break out of its line parses back to something else.
 func (s *Set) check(put []*pb.Object, deleted []*pb.ObjectKey) error {
 	base, err := s.Apply(&pb.Delta{Revision: s.revision + 1, Deleted: deleted})
 	if err != nil {
@@ -56,12 +57,12 @@
 			return errors.Wrap(ErrInvalid, "an object has no kind")
 		}
 	}
-	parsed, err := base.ParseFile(formatName, Format(put))
+	parsed, err := base.ParseFile(messageFileName, Format(put))
 	if err != nil {
 		return errors.Wrap(ErrInvalid, err.Error())
 	}
 	if !slices.EqualFunc(sortedByKind(put), parsed, equalObject) {
-		return errors.Wrap(ErrInvalid, "an object holds characters that are not allowed, or stands twice")
+		return errors.Wrap(ErrInvalid, "an object contains characters that are not allowed, or is listed twice")
 	}
 	return nil
 }
--- a/internal/declarations/file_test.go
+++ b/internal/declarations/file_test.go
@@ -79,7 +79,7 @@
 		{"both left out", "", 2, 2},
 		{"maximum of one", "max_replicas = 1\n", 1, 1},
 		{"minimum of five", "min_replicas = 5\n", 5, 5},
-		{"minimum of none", "min_replicas = 0\n", 0, 2},
+		{"minimum of zero", "min_replicas = 0\n", 0, 2},
 		{"both given", "min_replicas = 1\nmax_replicas = 7\n", 1, 7},
 	}
 	for _, c := range cases {
@@ -105,18 +105,18 @@
 		{"unknown key", model + "replicas = 2\n", `f.ini:5: [model "m"] replicas: unknown key; allowed: versions, default_version`},
 		{"name of a model", "[model \"m@v1\"]\nversions = v1\nmemory = 1GiB\n", `f.ini:1: [model "m@v1"] name "m@v1" is not allowed; allowed: letters`},
 		{"no versions", "[model \"m\"]\nversions =\nmemory = 1GiB\n", `f.ini:2: [model "m"] versions: no version is named`},
-		{"version twice", "[model \"m\"]\nversions = v1, v1\ndefault_version = v1\nmemory = 1GiB\n", `f.ini:2: [model "m"] versions: version "v1" stands twice`},
+		{"version twice", "[model \"m\"]\nversions = v1, v1\ndefault_version = v1\nmemory = 1GiB\n", `f.ini:2: [model "m"] versions: version "v1" is listed twice`},
 		{"version with separator", "[model \"m\"]\nversions = a@b\nmemory = 1GiB\n", `f.ini:2: [model "m"] versions: version "a@b" is not allowed`},
 		{"default not among versions", "[model \"m\"]\nversions = v1, v2\ndefault_version = v3\nmemory = 1GiB\n", `f.ini:3: [model "m"] default_version: "v3" is not among the versions; allowed: v1, v2`},
-		{"no default of several", "[model \"m\"]\nversions = v1, v2\nmemory = 1GiB\n", `f.ini:1: [model "m"] default_version: "" is not among the versions`},
+		{"no default among several", "[model \"m\"]\nversions = v1, v2\nmemory = 1GiB\n", `f.ini:1: [model "m"] default_version: "" is not among the versions`},
 		{"no memory", "[model \"m\"]\nversions = v1\n", `f.ini:1: [model "m"] memory: the key is missing; allowed: a size with unit`},
 		{"memory without unit", "[model \"m\"]\nversions = v1\nmemory = 24\n", `f.ini:3: [model "m"] memory: "24" has no unit of size`},
 		{"minimum above maximum", model + "min_replicas = 3\nmax_replicas = 2\n", `f.ini:5: [model "m"] min_replicas: 3 is above max_replicas; allowed: at most max_replicas, which is 2`},
 		{"warm above maximum", model + "warm_replicas = 3\n", `f.ini:5: [model "m"] warm_replicas: 3 is above max_replicas`},
-		{"maximum of none", model + "max_replicas = 0\n", `f.ini:5: [model "m"] max_replicas: 0 is out of range; allowed: a whole number, from 1`},
+		{"maximum of zero", model + "max_replicas = 0\n", `f.ini:5: [model "m"] max_replicas: 0 is out of range; allowed: a whole number, from 1`},
 		{"selector", model + "engine_selector = gpu in (h100\n", `f.ini:5: [model "m"] engine_selector: selector: column 13: found the end`},
 		{"labels", model + "labels = gpu=h 100\n", `f.ini:5: [model "m"] labels: value "h 100" of "gpu" is not allowed`},
-		{"time of a load", model + "load_time = 1500us\n", `f.ini:5: [model "m"] load_time: 1500us is no multiple of 1ms`},
+		{"load time", model + "load_time = 1500us\n", `f.ini:5: [model "m"] load_time: 1500us is not a multiple of 1ms`},
 		{"adapter of an undeclared model", model + "[adapter \"a\"]\nmodel = n\nmemory = 1MB\n", `f.ini:6: [adapter "a"] model: model "n" is not declared; allowed: a declared model`},
 		{"adapter of an undeclared version", model + "[adapter \"a\"]\nmodel = m\nversion = v3\nmemory = 1MB\n", `f.ini:7: [adapter "a"] version: model "m" has no version "v3"; allowed: v1, v2`},
 		{"adapter named as a model", model + "[adapter \"m\"]\nmodel = m\nmemory = 1MB\n", `f.ini:5: [adapter "m"] a model has the same name`},
@@ -125,10 +125,10 @@
 		{"prefix without slash", "[service \"s\"]\npath_prefix = /s\nendpoint_selector = a=b\n", `f.ini:2: [service "s"] path_prefix: "/s" is not allowed`},
 		{"prefix of the callers' API", "[service \"s\"]\npath_prefix = /v1/chat/\nendpoint_selector = a=b\n", `f.ini:2: [service "s"] path_prefix: "/v1/chat/" is not allowed`},
 		{"prefix with dots", "[service \"s\"]\npath_prefix = /a/../b/\nendpoint_selector = a=b\n", `f.ini:2: [service "s"] path_prefix: "/a/../b/" is not allowed`},
-		{"prefix of all", "[service \"s\"]\npath_prefix = /\nendpoint_selector = a=b\n", `f.ini:2: [service "s"] path_prefix: "/" is not allowed`},
+		{"root prefix", "[service \"s\"]\npath_prefix = /\nendpoint_selector = a=b\n", `f.ini:2: [service "s"] path_prefix: "/" is not allowed`},
 		{"one prefix twice", service + strings.ReplaceAll(service, `"s"`, `"t"`), `f.ini:5: [service "t"] path_prefix: service "s" has the same prefix`},
 		{"selector of a service", "[service \"s\"]\npath_prefix = /s/\nendpoint_selector =\n", `f.ini:3: [service "s"] endpoint_selector: the value is empty`},
-		{"method", service + "idempotent_methods = GET, put\n", `f.ini:4: [service "s"] idempotent_methods: "put" is no method`},
+		{"method", service + "idempotent_methods = GET, put\n", `f.ini:4: [service "s"] idempotent_methods: "put" is not a method`},
 		{"limits out of range", "[limits]\nstore_loads_at_once = 0\n", "f.ini:2: [limits] store_loads_at_once: 0 is out of range; allowed: a whole number, from 1 to 100000"},
 		{"deadlines", "[limits]\ninteractive_deadline = 9h\n", "f.ini:2: [limits] interactive_deadline: it is longer than batch_deadline"},
 	}
@@ -140,7 +140,7 @@
 				t.Errorf("errors:\n%v\nwant among them:\n%s", err, c.want)
 			}
 			if objects != nil {
-				t.Error("a wrong file gave objects")
+				t.Error("an invalid file returned objects")
 			}
 		})
 	}
@@ -278,7 +278,7 @@
 		}
 		set, err := NewSet(&pb.Snapshot{Revision: 1, Objects: objects})
 		if err != nil || !proto.Equal(set.Snapshot(), &pb.Snapshot{Revision: 1, Objects: set.Objects()}) {
-			t.Fatalf("%q makes no set: %v", text, err)
+			t.Fatalf("%q does not form a valid set: %v", text, err)
 		}
 	})
 }
--- a/internal/declarations/index.go
+++ b/internal/declarations/index.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// named is a declaration with its name.
+// named is a declaration that has a name.
 type named interface{ GetName() string }
 
-// index holds declarations of one kind in the order of their names. A sorted slice serves better than a map here: it is
-// copied in one move, so that an edit costs a few microseconds also beside thousands of adapters, and it is read in
-// order.
+// index holds the declarations of one kind, sorted by name. A sorted slice is used rather than a map because it is
+// cloned with a single copy, which keeps an edit at a few microseconds with thousands of adapters, and because it
+// iterates in order.
 type index[T named] []T
 
 func compareName[T named](item T, name string) int { return strings.Compare(item.GetName(), name) }
@@ -19,11 +19,11 @@
 	if i, ok := slices.BinarySearchFunc(x, name, compareName[T]); ok {
 		return x[i], true
 	}
-	var none T
-	return none, false
+	var zero T
+	return zero, false
 }
 
-// put returns the index with an item added or replaced; it changes x in place.
+// put adds or replaces an item in place and returns the index.
 func (x index[T]) put(item T) index[T] {
 	i, ok := slices.BinarySearchFunc(x, item.GetName(), compareName[T])
 	if ok {
@@ -33,7 +33,7 @@
 	return slices.Insert(x, i, item)
 }
 
-// delete returns the index without an item; it changes x in place.
+// delete removes an item in place and returns the index.
 func (x index[T]) delete(name string) index[T] {
 	if i, ok := slices.BinarySearchFunc(x, name, compareName[T]); ok {
 		return slices.Delete(x, i, i+1)
--- a/internal/declarations/limits.go
+++ b/internal/declarations/limits.go
@@ -7,7 +7,7 @@
 	"balsamsail/internal/settings/inifile"
 )
 
-// defaultLimits are the limits of an empty section.
+// defaultLimits returns the limits that an empty section decodes to.
 var defaultLimits = sync.OnceValue(func() *pb.Limits {
 	var file fileSchema
 	if err := inifile.Decode(inifile.Parse("defaults", []byte("[limits]\n")), &file); err != nil {
@@ -16,7 +16,7 @@
 	return file.Limits.limits()
 })
 
-// Limits returns the declared limits, or the default ones where none are declared.
+// Limits returns the declared limits, or the defaults if none are declared.
 func (s *Set) Limits() *pb.Limits {
 	if s.limits == nil {
 		return defaultLimits()
--- a/internal/declarations/metrics.go
+++ b/internal/declarations/metrics.go
@@ -8,13 +8,13 @@
 const subsystem = "declarations"
 
 type metrics struct {
-	polls    *prometheus.CounterVec
-	edits    *prometheus.CounterVec
-	editTime prometheus.Histogram
-	applied  *prometheus.CounterVec
+	polls        *prometheus.CounterVec
+	edits        *prometheus.CounterVec
+	editDuration prometheus.Histogram
+	applied      *prometheus.CounterVec
 }
 
-// Label values; each set is closed.
+// Label values; each group lists all values of its label.
 const (
 	resultOK     = "ok"
 	resultFailed = "failed"
@@ -40,7 +40,7 @@
 			Namespace: "balsamsail", Subsystem: subsystem, Name: "edits_total",
 			Help: "Edits asked of this process, by outcome.",
 		}, []string{"outcome"}),
-		editTime: prometheus.NewHistogram(prometheus.HistogramOpts{
+		editDuration: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: "balsamsail", Subsystem: subsystem, Name: "edit_duration_seconds",
 			Help: "Time from an edit's request to its outcome.", Buckets: prometheus.ExponentialBuckets(0.002, 2, 14),
 		}),
@@ -57,11 +57,11 @@
 		Namespace: "balsamsail", Subsystem: subsystem, Name: "table_outage_seconds",
 		Help: "Time since the table last answered a read; 0 while it answers.",
 	}, s.outageSeconds)
-	registerer.MustRegister(m.polls, m.edits, m.editTime, m.applied, revision, outage)
+	registerer.MustRegister(m.polls, m.edits, m.editDuration, m.applied, revision, outage)
 	return m
 }
 
-// outcomeOf names an edit's outcome for the metrics.
+// outcomeOf returns the outcome label of an edit.
 func outcomeOf(result EditResult, err error) string {
 	var conflict *ConflictError
 	switch {
--- a/internal/declarations/names.go
+++ b/internal/declarations/names.go
@@ -7,7 +7,7 @@
 	pb "balsamsail/internal/declarations/declarationspb"
 )
 
-// The kinds of declarations, as section titles, object keys and the table's rows name them.
+// The kinds of declarations, as they appear in section titles, object keys and table rows.
 const (
 	KindModel   = "model"
 	KindAdapter = "adapter"
@@ -16,27 +16,27 @@
 	KindLimits  = "limits"
 )
 
-// LimitsName is the name of the one limits object.
+// LimitsName is the name of the single limits object.
 const LimitsName = "fleet"
 
 const versionSeparator = "@"
 
 const (
-	maxNameLength = 128
-	nameAllowed   = `letters, digits, ".", "_", "-", ":" and "/", beginning and ending with a letter or digit, at most 128 long`
-	versionForm   = `letters, digits, ".", "_" and "-", beginning and ending with a letter or digit, at most 128 long`
+	maxNameLength  = 128
+	nameAllowed    = `letters, digits, ".", "_", "-", ":" and "/", beginning and ending with a letter or digit, at most 128 long`
+	versionAllowed = `letters, digits, ".", "_" and "-", beginning and ending with a letter or digit, at most 128 long`
 )
 
 // ModelVersion returns the name of one version of a model, "name@version".
 func ModelVersion(name, version string) string { return name + versionSeparator + version }
 
-// SplitModelVersion takes "name@version" apart; ok is false when the text has another form.
+// SplitModelVersion splits "name@version"; ok is false if the text is malformed.
 func SplitModelVersion(modelVersion string) (name, version string, ok bool) {
 	name, version, ok = strings.Cut(modelVersion, versionSeparator)
 	return name, version, ok && name != "" && version != "" && !strings.Contains(version, versionSeparator)
 }
 
-// KeyOf returns the key of an object. An object of a kind that this build doesn't know has the zero key.
+// KeyOf returns the key of an object. An object of a kind unknown to this build has the zero key.
 func KeyOf(o *pb.Object) *pb.ObjectKey {
 	switch kind := o.GetKind().(type) {
 	case *pb.Object_Model:
@@ -54,7 +54,7 @@
 	}
 }
 
-// keyText writes a key as a section's title.
+// keyText formats a key like a section title.
 func keyText(key *pb.ObjectKey) string {
 	if key.GetKind() == KindLimits {
 		return KindLimits
--- a/internal/declarations/objects.go
+++ b/internal/declarations/objects.go
@@ -17,7 +17,7 @@
 // LimitsObject wraps limits as an object.
 func LimitsObject(l *pb.Limits) *pb.Object { return &pb.Object{Kind: &pb.Object_Limits{Limits: l}} }
 
-// Objects returns all declarations, by kind and in the order of their names.
+// Objects returns all declarations, grouped by kind and sorted by name within each kind.
 func (s *Set) Objects() []*pb.Object {
 	objects := make([]*pb.Object, 0, len(s.models)+len(s.adapters)+len(s.engines)+len(s.services)+1)
 	for _, model := range s.models {
@@ -38,7 +38,7 @@
 	return objects
 }
 
-// Object returns the declaration of a key.
+// Object returns the declaration with the given key.
 func (s *Set) Object(key *pb.ObjectKey) (*pb.Object, bool) {
 	switch key.GetKind() {
 	case KindModel:
@@ -63,7 +63,7 @@
 	return nil, false
 }
 
-// Snapshot returns the set as a message.
+// Snapshot returns the set as a snapshot message.
 func (s *Set) Snapshot() *pb.Snapshot {
 	return &pb.Snapshot{Revision: s.revision, Objects: s.Objects()}
 }
--- a/internal/declarations/race_test.go
+++ b/internal/declarations/race_test.go
@@ -15,24 +15,24 @@
 	pb "balsamsail/internal/declarations/declarationspb"
 )
 
-// The tests of this file play operators who race each other with conflicting edits while the table loses answers, lets
-// writes take effect late and refuses calls. Everything runs on one goroutine in made-up time, so that a seed always
-// gives the same history; porcupine then decides whether what the operators were told can be true.
+// The tests in this file simulate operators that make conflicting edits while the table loses responses, applies writes
+// late and rejects calls. Everything runs on one goroutine in simulated time, so that a seed always gives the same
+// history; porcupine then checks whether the results that the operators got are linearizable.
 
-// raceCall is one edit as its operator sees it.
+// raceCall is one edit as its operator requested it.
 type raceCall struct {
 	id      string
 	basedOn uint64
 	author  string
 }
 
-// raceAnswer is what the operator was told.
-type raceAnswer struct {
+// raceResult is the result that the operator got.
+type raceResult struct {
 	revision uint64
 	err      error
 }
 
-// raceState is the log of the declarations: the operation that made each revision.
+// raceState is the state of the model: the operation that made each revision.
 type raceState struct{ log []string }
 
 func (s raceState) with(call raceCall) raceState {
@@ -42,12 +42,12 @@
 // made returns the revision that an operation made, or 0.
 func (s raceState) made(id string) uint64 { return uint64(slices.Index(s.log, id) + 1) }
 
-// editModel is the register that edits must behave as: an edit takes effect at most once, at one moment between its call
-// and its answer, and on the revision that it was based on.
+// editModel is the sequential specification of edits: an edit takes effect at most once, atomically between its call
+// and its return, and on the revision that it was based on.
 var editModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{raceState{}} },
 	Step: func(state, input, output any) []any {
-		return stepModel(state.(raceState), input.(raceCall), output.(raceAnswer))
+		return stepModel(state.(raceState), input.(raceCall), output.(raceResult))
 	},
 	Equal: func(a, b any) bool { return slices.Equal(a.(raceState).log, b.(raceState).log) },
 	DescribeOperation: func(input, output any) string {
@@ -55,26 +55,26 @@
 	},
 }
 
-func stepModel(state raceState, call raceCall, answer raceAnswer) []any {
+func stepModel(state raceState, call raceCall, result raceResult) []any {
 	newest := uint64(len(state.log))
-	mayMake := state.made(call.id) == 0 && (call.basedOn == 0 || call.basedOn == newest)
+	canCommit := state.made(call.id) == 0 && (call.basedOn == 0 || call.basedOn == newest)
 	var conflict *ConflictError
 	switch {
-	case answer.err == nil && state.made(call.id) == answer.revision:
+	case result.err == nil && state.made(call.id) == result.revision:
 		return []any{state}
-	case answer.err == nil && mayMake && answer.revision == newest+1:
+	case result.err == nil && canCommit && result.revision == newest+1:
 		return []any{state.with(call)}
-	case errors.As(answer.err, &conflict):
+	case errors.As(result.err, &conflict):
 		if state.made(call.id) == 0 && call.basedOn != 0 && conflict.Revision == newest && call.basedOn < newest &&
 			conflict.Winner == call.basedOn+1 && conflict.Author == authorOf(state.log[call.basedOn]) {
 			return []any{state}
 		}
-	case errors.Is(answer.err, ErrOutcomeUnknown):
-		if mayMake {
+	case errors.Is(result.err, ErrOutcomeUnknown):
+		if canCommit {
 			return []any{state, state.with(call)}
 		}
 		return []any{state}
-	case errors.Is(answer.err, ErrUnavailable):
+	case errors.Is(result.err, ErrUnavailable):
 		if state.made(call.id) == 0 {
 			return []any{state}
 		}
@@ -87,34 +87,34 @@
 	return author
 }
 
-// raceWorld is the table and the operators.
-type raceWorld struct {
+// raceSim simulates the table and the operators.
+type raceSim struct {
 	random *rand.Rand
 	now    time.Time
 	table  *memTable
-	// made lists the operations in the order in which they took effect, past any trimming of the log.
-	made []string
-	keep uint64
-	// faults is the chance that a call goes wrong.
-	faults float64
-	events []raceEvent
-	ops    []porcupine.Operation
-	// lastBase is the newest revision that any operator has read, which the next edits are based on.
-	lastBase uint64
-	wrap     func(*editor) stepper
+	// committed lists the operations in commit order, including those trimmed from the log.
+	committed []string
+	logKeep   uint64
+	// faultRate scales the probability of every fault.
+	faultRate float64
+	events    []raceEvent
+	ops       []porcupine.Operation
+	// lastRead is the newest revision that any operator has read; the next edits are based on it.
+	lastRead uint64
+	wrap     func(*editor) stateMachine
 }
 
-// raceEvent runs at a time; events of one time run in the order in which they were made.
+// raceEvent runs at a given time; events of the same time run in the order in which they were added.
 type raceEvent struct {
 	at  time.Time
 	run func()
 }
 
-func (w *raceWorld) after(d time.Duration, run func()) {
+func (w *raceSim) after(d time.Duration, run func()) {
 	w.events = append(w.events, raceEvent{at: w.now.Add(d), run: run})
 }
 
-func (w *raceWorld) run() {
+func (w *raceSim) run() {
 	for len(w.events) > 0 {
 		first := 0
 		for i := range w.events {
@@ -129,80 +129,80 @@
 	}
 }
 
-func (w *raceWorld) hits(share float64) bool { return w.random.Float64() < w.faults*share }
+func (w *raceSim) injectFault(weight float64) bool { return w.random.Float64() < w.faultRate*weight }
 
-func (w *raceWorld) latency() time.Duration {
+func (w *raceSim) latency() time.Duration {
 	return time.Duration(1+w.random.IntN(30)) * time.Millisecond
 }
 
-// operator makes edits one after another and repeats those whose outcome it was not told.
+// operator makes edits one after another and retries those whose outcome is unknown.
 type operator struct {
-	world  *raceWorld
-	number int
-	left   int
+	sim       *raceSim
+	number    int
+	remaining int
 }
 
 func (o *operator) next() {
-	if o.left == 0 {
+	if o.remaining == 0 {
 		return
 	}
-	o.left--
+	o.remaining--
 	call := raceCall{author: fmt.Sprintf("operator%d", o.number)}
-	call.id = fmt.Sprintf("%s-%d", call.author, o.left)
-	if o.world.random.IntN(3) > 0 {
-		call.basedOn = o.world.lastBase
+	call.id = fmt.Sprintf("%s-%d", call.author, o.remaining)
+	if o.sim.random.IntN(3) > 0 {
+		call.basedOn = o.sim.lastRead
 	}
 	o.edit(call, 1)
 }
 
 const raceDeadline = 400 * time.Millisecond
 
-func (o *operator) edit(call raceCall, repeats int) {
-	w := o.world
+func (o *operator) edit(call raceCall, retries int) {
+	w := o.sim
 	called := w.now
 	e := &editor{
 		request: EditRequest{
 			BasedOn: call.basedOn, Author: call.author, OperationID: call.id,
 			Change: PutObjects([]*pb.Object{EngineObject(&pb.Engine{Name: "e", Labels: map[string]string{"by": call.id}})}, nil),
 		},
-		deadline: w.now.Add(raceDeadline), keep: w.keep, random: rand.New(rand.NewPCG(w.random.Uint64(), 0)),
+		deadline: w.now.Add(raceDeadline), logKeep: w.logKeep, random: rand.New(rand.NewPCG(w.random.Uint64(), 0)),
 	}
 	machine := w.wrap(e)
-	w.carryOut(machine, machine.start(), func(end finish) {
+	w.runMachine(machine, machine.start(), func(end finish) {
 		returned := w.now
 		if errors.Is(end.err, ErrOutcomeUnknown) {
-			// The write may still take effect, so the call counts as open for good.
+			// The write may still take effect, so the call is recorded as still open until after the end of the run.
 			returned = w.now.Add(time.Hour)
 		}
 		w.ops = append(w.ops, porcupine.Operation{
-			ClientId: len(w.ops), Input: call, Output: raceAnswer{end.result.Revision, end.err},
+			ClientId: len(w.ops), Input: call, Output: raceResult{end.result.Revision, end.err},
 			Call: called.UnixNano(), Return: returned.UnixNano(),
 		})
-		if errors.Is(end.err, ErrOutcomeUnknown) && repeats > 0 {
-			w.after(w.latency(), func() { o.edit(call, repeats-1) })
+		if errors.Is(end.err, ErrOutcomeUnknown) && retries > 0 {
+			w.after(w.latency(), func() { o.edit(call, retries-1) })
 			return
 		}
 		w.after(w.latency(), o.next)
 	})
 }
 
-// carryOut answers a machine's actions until it finishes.
-func (w *raceWorld) carryOut(machine stepper, action editAction, done func(finish)) {
-	answer := func(event editEvent) { w.carryOut(machine, machine.step(w.now, event), done) }
+// runMachine executes a machine's actions until it finishes.
+func (w *raceSim) runMachine(machine stateMachine, action editAction, done func(finish)) {
+	reply := func(event editEvent) { w.runMachine(machine, machine.step(w.now, event), done) }
 	switch a := action.(type) {
 	case finish:
 		done(a)
 	case wait:
-		w.after(a.duration, func() { answer(waited{}) })
+		w.after(a.duration, func() { reply(waitDone{}) })
 	case readView:
-		w.after(w.latency(), func() { answer(w.read()) })
+		w.after(w.latency(), func() { reply(w.read()) })
 	case commitTxn:
-		w.after(w.latency(), func() { w.commit(a.txn, answer) })
+		w.after(w.latency(), func() { w.commit(a.txn, reply) })
 	}
 }
 
-func (w *raceWorld) read() editEvent {
-	if w.hits(0.3) {
+func (w *raceSim) read() editEvent {
+	if w.injectFault(0.3) {
 		return readFailed{}
 	}
 	content := w.table.content()
@@ -210,24 +210,24 @@
 	if err != nil {
 		panic(err)
 	}
-	w.lastBase = max(w.lastBase, set.Revision())
-	return viewRead{set: set, history: content.log, headRow: content.headRow}
+	w.lastRead = max(w.lastRead, set.Revision())
+	return viewRead{set: set, history: content.log, headRowRevision: content.headRowRevision}
 }
 
-// commit lets a transaction through, or loses it or its answer, delays it, or refuses it.
-func (w *raceWorld) commit(txn backing.Txn, answer func(editEvent)) {
+// commit executes a transaction, loses it or its response, delays it, or rejects it.
+func (w *raceSim) commit(txn backing.Txn, answer func(editEvent)) {
 	reply := func(event editEvent) { w.after(w.latency(), func() { answer(event) }) }
 	switch {
-	case w.hits(0.2):
-		reply(refused{})
-	case w.hits(0.25):
-		reply(answerLost{})
-	case w.hits(0.3):
+	case w.injectFault(0.2):
+		reply(notAccepted{})
+	case w.injectFault(0.25):
+		reply(responseLost{})
+	case w.injectFault(0.3):
 		w.apply(txn)
-		reply(answerLost{})
-	case w.hits(0.5):
+		reply(responseLost{})
+	case w.injectFault(0.5):
 		w.after(time.Duration(w.random.IntN(600))*time.Millisecond, func() { w.apply(txn) })
-		reply(answerLost{})
+		reply(responseLost{})
 	case w.apply(txn):
 		reply(committed{})
 	default:
@@ -235,30 +235,30 @@
 	}
 }
 
-func (w *raceWorld) apply(txn backing.Txn) bool {
+func (w *raceSim) apply(txn backing.Txn) bool {
 	if _, err := w.table.apply(txn); err != nil {
 		return false
 	}
-	w.made = append(w.made, w.table.content().head.GetOperationId())
+	w.committed = append(w.committed, w.table.content().head.GetOperationId())
 	return true
 }
 
-// race plays one seed and returns the history with a last read of the whole log.
-func race(seed uint64, keep uint64, wrap func(*editor) stepper) *raceWorld {
+// runRace runs the simulation of one seed to its end.
+func runRace(seed uint64, logKeep uint64, wrap func(*editor) stateMachine) *raceSim {
 	random := rand.New(rand.NewPCG(seed, 1))
-	w := &raceWorld{
-		random: random, now: time.Unix(0, 0), table: newMemTable(), keep: keep, wrap: wrap, faults: random.Float64(),
+	w := &raceSim{
+		random: random, now: time.Unix(0, 0), table: newMemTable(), logKeep: logKeep, wrap: wrap, faultRate: random.Float64(),
 	}
 	for i := range 3 {
-		o := &operator{world: w, number: i, left: 4}
+		o := &operator{sim: w, number: i, remaining: 4}
 		w.after(w.latency(), o.next)
 	}
 	w.run()
 	return w
 }
 
-// legal says whether the operators' answers fit one order of edits that ends in the table's log.
-func (w *raceWorld) legal() bool {
+// linearizable reports whether the operators' results fit one order of edits that ends in the table's log.
+func (w *raceSim) linearizable() bool {
 	end := w.now.Add(2 * time.Hour).UnixNano()
 	model := editModel
 	step := model.Step
@@ -272,7 +272,7 @@
 		return step(state, input, output)
 	}
 	history := append(slices.Clone(w.ops), porcupine.Operation{
-		ClientId: len(w.ops), Input: raceState{log: w.made}, Call: end, Return: end + 1,
+		ClientId: len(w.ops), Input: raceState{log: w.committed}, Call: end, Return: end + 1,
 	})
 	return porcupine.CheckOperations(model.ToModel(), history)
 }
@@ -282,21 +282,21 @@
 	guardSeeds = 100
 )
 
-// An operator is told that an edit was not made, tries again, and later finds both made; or is told that it lost to
-// another edit, which turns out to be its own. Answers of the table are lost after the write took effect, writes take
-// effect after their sender has given up on the answer, and other operators' edits come in between. What operators are
-// told must always fit one order of edits, each of which took effect at most once.
+// An operator is told that an edit was not made, retries it, and later finds both made; or is told that it lost to
+// another edit, which turns out to be its own. This happens when responses are lost after the write took effect, writes
+// take effect after their sender gave up waiting, and other operators' edits commit in between. The results must always
+// fit one order of edits, each of which took effect at most once.
 func TestRacingEditsAreLinearizable(t *testing.T) {
 	made, conflicts, unknown := 0, 0, 0
 	for seed := range uint64(raceSeeds) {
-		w := race(seed, 1024, func(e *editor) stepper { return e })
-		if !w.legal() {
-			t.Fatalf("seed %d: no order of edits fits the answers:\n%s\nlog %v", seed, w.describe(), w.made)
+		w := runRace(seed, 1024, func(e *editor) stateMachine { return e })
+		if !w.linearizable() {
+			t.Fatalf("seed %d: the results are not linearizable:\n%s\nlog %v", seed, w.describe(), w.committed)
 		}
-		checkMadeOnce(t, seed, w.made)
+		checkMadeOnce(t, seed, w.committed)
 		for _, op := range w.ops {
 			var conflict *ConflictError
-			switch err := op.Output.(raceAnswer).err; {
+			switch err := op.Output.(raceResult).err; {
 			case err == nil:
 				made++
 			case errors.As(err, &conflict):
@@ -308,7 +308,7 @@
 	}
 	t.Logf("%d seeds: %d edits made, %d lost to another, %d unknown", raceSeeds, made, conflicts, unknown)
 	if made == 0 || conflicts == 0 || unknown == 0 {
-		t.Error("the seeds don't reach every outcome")
+		t.Error("the seeds don't cover every outcome")
 	}
 }
 
@@ -320,7 +320,7 @@
 	}
 }
 
-func (w *raceWorld) describe() string {
+func (w *raceSim) describe() string {
 	var b strings.Builder
 	for _, op := range w.ops {
 		fmt.Fprintf(&b, "%6.3f..%8.3f %+v -> %+v\n", float64(op.Call)/1e9, float64(op.Return)/1e9, op.Input, op.Output)
@@ -328,20 +328,20 @@
 	return b.String()
 }
 
-// claimsFailure is the machine without its first guard: a lost answer counts as a failure.
-type claimsFailure struct{ *editor }
+// treatsLostAsFailed is the machine without its first guard: a lost response counts as a failure.
+type treatsLostAsFailed struct{ *editor }
 
-func (m claimsFailure) step(now time.Time, event editEvent) editAction {
-	if _, lost := event.(answerLost); lost {
+func (m treatsLostAsFailed) step(now time.Time, event editEvent) editAction {
+	if _, lost := event.(responseLost); lost {
 		return m.fail(ErrUnavailable)
 	}
 	return m.editor.step(now, event)
 }
 
-// neverReadsBack is the machine without its second guard: it doesn't find its own operation in the log.
-type neverReadsBack struct{ *editor }
+// skipsReadBack is the machine without its second guard: it does not find its own operation in the log.
+type skipsReadBack struct{ *editor }
 
-func (m neverReadsBack) step(now time.Time, event editEvent) editAction {
+func (m skipsReadBack) step(now time.Time, event editEvent) editAction {
 	if view, ok := event.(viewRead); ok {
 		view.history = slices.DeleteFunc(slices.Clone(view.history), func(d *pb.Delta) bool {
 			return d.GetOperationId() == m.request.OperationID
@@ -351,8 +351,8 @@
 	return m.editor.step(now, event)
 }
 
-// trustsOneRead is the machine without its third guard: when a read shows that the lost write is not there, it gives up
-// on it as not made.
+// trustsOneRead is the machine without its third guard: when one read does not show the lost write, it reports the edit
+// as not made.
 type trustsOneRead struct{ *editor }
 
 func (m trustsOneRead) step(now time.Time, event editEvent) editAction {
@@ -363,27 +363,27 @@
 	return m.editor.step(now, event)
 }
 
-// Without any one of its guards the machine must be caught by the same seeds, or the test above would prove nothing.
+// Removing any one of the guards must be detected by the same seeds; otherwise the test above would prove nothing.
 func TestRacingEditsNeedEachGuard(t *testing.T) {
 	cases := []struct {
 		name string
-		wrap func(*editor) stepper
+		wrap func(*editor) stateMachine
 	}{
-		{"a lost answer counts as a failure", func(e *editor) stepper { return claimsFailure{e} }},
-		{"the own operation isn't read back", func(e *editor) stepper { return neverReadsBack{e} }},
-		{"one read decides that a write is lost", func(e *editor) stepper { return trustsOneRead{e} }},
+		{"a lost response counts as a failure", func(e *editor) stateMachine { return treatsLostAsFailed{e} }},
+		{"the log isn't searched for the operation", func(e *editor) stateMachine { return skipsReadBack{e} }},
+		{"one read decides that a write is lost", func(e *editor) stateMachine { return trustsOneRead{e} }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			caught := 0
+			detected := 0
 			for seed := range uint64(guardSeeds) {
-				if !race(seed, 1024, c.wrap).legal() {
-					caught++
+				if !runRace(seed, 1024, c.wrap).linearizable() {
+					detected++
 				}
 			}
-			t.Logf("caught in %d of %d seeds", caught, guardSeeds)
-			if caught == 0 {
-				t.Error("no seed catches the missing guard")
+			t.Logf("detected in %d of %d seeds", detected, guardSeeds)
+			if detected == 0 {
+				t.Error("no seed detects the missing guard")
 			}
 		})
 	}
--- a/internal/declarations/receiver_test.go
+++ b/internal/declarations/receiver_test.go
@@ -11,7 +11,8 @@
 	pb "balsamsail/internal/declarations/declarationspb"
 )
 
-// chain returns deltas of revisions 1 to n, of which each sets the one engine's label, and the snapshot after each.
+// chain returns the deltas of revisions 1 to n, each of which sets the label of the same engine, and the snapshots of
+// revisions 0 to n.
 func chain(n int) ([]*pb.Delta, []*pb.Snapshot) {
 	set := Empty()
 	var deltas []*pb.Delta
@@ -26,15 +27,16 @@
 	return deltas, snapshots
 }
 
-// labelOf tells by its content of which revision a set of chain is.
+// labelOf returns the label that chain's deltas set, which identifies the revision of the set's content.
 func labelOf(set *Set) string {
 	engine, _ := set.Engine("e")
 	return engine.GetLabels()["revision"]
 }
 
-// An operator sees a change in force and a moment later the old state again. Two entries send their declarations to one
-// agent; the slower one's older snapshot or delta arrives after the newer one. Whatever the order, repeats and gaps, an
-// agent must only go forward, hold exactly what its revision says, and ask for a snapshot when it misses a delta.
+// Two entries send their declarations to one agent, and the slower one's older snapshot or delta arrives after the
+// newer one: the operator sees a change in force and a moment later the old state again. Whatever the order, duplicates
+// and gaps, the agent's revision must never decrease, its content must match its revision, and a missing delta must be
+// reported as a gap.
 func TestReceiverOnlyGoesForward(t *testing.T) {
 	const newest = 12
 	deltas, snapshots := chain(newest)
@@ -78,8 +80,8 @@
 	}
 }
 
-// An agent of an older build gets a selector in a syntax that it can't read. It must keep what it has and say so, not
-// serve half of a revision.
+// An agent of an older build gets a selector in a syntax that it can't parse. It must keep its current set and report
+// the error, not apply part of a revision.
 func TestReceiverKeepsItsSetWhenItCannotRead(t *testing.T) {
 	receiver := NewReceiver()
 	_, snapshots := chain(3)
@@ -125,7 +127,7 @@
 			apply(h, 1)
 			h.replace(mustSet(t, 4, snapshots[4].Objects))
 			apply(h, 5)
-			h.fill(deltas)
+			h.backfill(deltas)
 		}, 0, 5, true},
 	}
 	for _, c := range cases {
--- a/internal/declarations/refresh.go
+++ b/internal/declarations/refresh.go
@@ -10,18 +10,18 @@
 	pb "balsamsail/internal/declarations/declarationspb"
 )
 
-// refresh brings the store to the table's newest revision and returns what the table holds.
+// refresh updates the store to the table's newest revision and returns the table's state.
 func (s *Store) refresh(ctx context.Context) (viewRead, error) {
-	if err := s.refreshing.Acquire(ctx, 1); err != nil {
+	if err := s.refreshSem.Acquire(ctx, 1); err != nil {
 		return viewRead{}, errors.Wrap(ErrUnavailable, err.Error())
 	}
-	defer s.refreshing.Release(1)
+	defer s.refreshSem.Release(1)
 	view, err := s.read(ctx)
-	s.noteRead(err)
+	s.recordRead(err)
 	return view, err
 }
 
-func (s *Store) noteRead(err error) {
+func (s *Store) recordRead(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
@@ -32,10 +32,10 @@
 		return
 	}
 	s.metrics.polls.WithLabelValues(resultOK).Inc()
-	s.outageSince, s.seen = time.Time{}, true
+	s.outageSince, s.synced = time.Time{}, true
 }
 
-// maxReadAttempts bounds the reads that follow each other because edits are made meanwhile.
+// maxReadAttempts limits the reads that are repeated because edits commit in between.
 const maxReadAttempts = 5
 
 func (s *Store) read(ctx context.Context) (viewRead, error) {
@@ -45,43 +45,45 @@
 		}
 		set, history := s.holder.view()
 		s.mu.Lock()
-		view := viewRead{set: set, history: history, headRow: s.headRow}
+		view := viewRead{set: set, history: history, headRowRevision: s.headRowRevision}
 		current := set.revision == s.headRevision
 		s.mu.Unlock()
 		if current {
 			return view, nil
 		}
 	}
-	return viewRead{}, errors.Wrap(ErrUnavailable, "the table is behind what is held")
+	return viewRead{}, errors.Wrap(ErrUnavailable, "the table is behind the declarations held in memory")
 }
 
-// readOnce reads the head, and what has changed since the last time if it differs.
+// readOnce reads the head row and, if it differs from the one last read, everything that was written since.
 func (s *Store) readOnce(ctx context.Context) error {
-	// Taken before the read: an own edit that commits meanwhile would make the answer look older than what is known.
+	// Loaded before the read: if an edit of this process commits in between, the response would otherwise look older
+	// than the known head row.
 	s.mu.Lock()
-	known, seen := s.headRow, s.seen
+	known, synced := s.headRowRevision, s.synced
 	s.mu.Unlock()
 	row, err := s.table.Get(ctx, headKey)
 	if err != nil && !errors.Is(err, backing.ErrNotFound) {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
-	if seen && row.Revision == known {
+	if synced && row.Revision == known {
 		return nil
 	}
 	if row.Revision < known {
-		// A table that lost rows would otherwise make the system go on with what it holds and refuse every edit without
-		// a word.
-		return errors.Wrapf(ErrUnavailable, "the table went back from row revision %d to %d", known, row.Revision)
+		// Without this check, a table that lost rows would leave the system with its current declarations and every
+		// edit rejected, without an error that names the cause.
+		return errors.Wrapf(ErrUnavailable, "the table's head row went back from revision %d to %d", known, row.Revision)
 	}
 	err = s.fetch(ctx, known)
 	if errors.Is(err, ErrGap) {
-		// The log was trimmed beyond what is held: read everything.
+		// The log no longer reaches back to the current revision: read everything.
 		err = s.fetch(ctx, 0)
 	}
 	return err
 }
 
-// fetch reads all rows that were written after a table revision, in one call and so as of one revision, and adopts them.
+// fetch reads all rows that were written after a table revision and applies them. It reads them in one call, so they
+// are consistent as of one revision.
 func (s *Store) fetch(ctx context.Context, after uint64) error {
 	listing, err := s.table.List(ctx, tablePrefix, after)
 	if err != nil {
@@ -91,43 +93,43 @@
 	if err != nil {
 		return err
 	}
-	if err := s.adoptContent(content, after == 0); err != nil {
+	if err := s.applyContent(content, after == 0); err != nil {
 		return err
 	}
-	s.noteHead(content.headRow, content.head.GetRevision())
+	s.advanceHead(content.headRowRevision, content.head.GetRevision())
 	return nil
 }
 
-// noteHead notes the head's row once all that was written up to it is held. Reads may end out of order; the row only
-// moves forward.
-func (s *Store) noteHead(row, revision uint64) {
+// advanceHead records the head row's revision once everything written up to it has been applied. Reads may finish out
+// of order, so the recorded revision only increases.
+func (s *Store) advanceHead(headRowRevision, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if row > s.headRow {
-		s.headRow, s.headRevision = row, revision
+	if headRowRevision > s.headRowRevision {
+		s.headRowRevision, s.headRevision = headRowRevision, revision
 	}
 }
 
-// adoptContent takes in what was read. The log is kept also where a peer was faster with the declarations themselves: it
-// tells which operations were made, and without it an edit that a client repeats would be made twice.
-func (s *Store) adoptContent(content *tableContent, whole bool) error {
-	if err := s.adoptNewer(content, whole); err != nil {
+// applyContent applies what was read. The log is stored even if a peer has already delivered the declarations: it
+// records which operations were committed, and without it an edit that a client retries would be applied twice.
+func (s *Store) applyContent(content *tableContent, full bool) error {
+	if err := s.applyIfNewer(content, full); err != nil {
 		return err
 	}
-	s.holder.fill(content.log)
+	s.holder.backfill(content.log)
 	return nil
 }
 
-func (s *Store) adoptNewer(content *tableContent, whole bool) error {
+func (s *Store) applyIfNewer(content *tableContent, full bool) error {
 	if content.head.GetRevision() <= s.Current().Revision() {
 		return nil
 	}
-	if !whole {
+	if !full {
 		return s.applyAll(content.log)
 	}
 	set, err := NewSet(&pb.Snapshot{Revision: content.head.GetRevision(), Objects: content.objects})
 	if err != nil {
 		return err
 	}
-	return s.adopt(set)
+	return s.installSet(set)
 }
--- a/internal/declarations/schema.go
+++ b/internal/declarations/schema.go
@@ -8,7 +8,7 @@
 	"balsamsail/internal/settings/inifile"
 )
 
-// fileSchema is the operators' file.
+// fileSchema is the schema of a declarations file.
 type fileSchema struct {
 	Models   []modelSection   `section:"model" doc:"A language model and the versions of it that are served."`
 	Adapters []adapterSection `section:"adapter" doc:"An adapter, which is requested by its own name."`
@@ -16,7 +16,7 @@
 	Services []serviceSection `section:"service" doc:"A plain service reached under a path prefix."`
 	Limits   *limitsSection   `section:"limits" doc:"Limits and policy weights of the whole fleet."`
 
-	// base holds the declarations that those of the file may refer to.
+	// base is the set that declarations in the file may refer to; nil stands for the empty set.
 	base *Set
 }
 
@@ -107,7 +107,7 @@
 	}
 }
 
-// objects returns the file's declarations by kind, each kind in the order of the file.
+// objects returns the file's declarations grouped by kind, in file order within each kind.
 func (f *fileSchema) objects() []*pb.Object {
 	var objects []*pb.Object
 	for i := range f.Models {
@@ -128,7 +128,7 @@
 	return objects
 }
 
-// add puts an object into the file, the reverse of objects.
+// add appends an object to the file's sections; it is the inverse of objects.
 func (f *fileSchema) add(object *pb.Object) {
 	switch kind := object.GetKind().(type) {
 	case *pb.Object_Model:
--- a/internal/declarations/set.go
+++ b/internal/declarations/set.go
@@ -30,7 +30,7 @@
 	return slices.Contains(s.IdempotentMethods, method)
 }
 
-// Set is all declarations as of one revision. It is immutable, and so must its callers treat what it returns.
+// Set is an immutable snapshot of all declarations at one revision. Callers must not modify what its methods return.
 type Set struct {
 	revision uint64
 	models   index[*Model]
@@ -39,41 +39,41 @@
 	services index[*Service]
 	// limits is nil when none are declared.
 	limits *pb.Limits
-	// byPrefix holds the services with longer path prefixes first.
+	// byPrefix holds the services ordered by path prefix, longest first.
 	byPrefix []*Service
 }
 
-// Empty returns the set of revision 0, which declares nothing.
+// Empty returns the empty set, which has revision 0.
 func Empty() *Set { return &Set{} }
 
-// NewSet returns the set that a snapshot holds.
+// NewSet builds a set from a snapshot.
 func NewSet(snapshot *pb.Snapshot) (*Set, error) {
 	s := &Set{revision: snapshot.GetRevision()}
-	if err := s.change(snapshot.GetObjects(), nil); err != nil {
+	if err := s.update(snapshot.GetObjects(), nil); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// Apply returns the set of the next revision. It shares with s what the delta leaves alone. The error wraps
-// ErrOldRevision, ErrGap or ErrInvalid.
+// Apply returns the set at the next revision, which shares unchanged parts with s. The error wraps ErrStaleRevision,
+// ErrGap or ErrInvalid.
 func (s *Set) Apply(delta *pb.Delta) (*Set, error) {
 	switch {
 	case delta.GetRevision() <= s.revision:
-		return nil, errors.Wrapf(ErrOldRevision, "delta %d on revision %d", delta.GetRevision(), s.revision)
+		return nil, errors.Wrapf(ErrStaleRevision, "delta %d on revision %d", delta.GetRevision(), s.revision)
 	case delta.GetRevision() != s.revision+1:
 		return nil, errors.Wrapf(ErrGap, "delta %d on revision %d", delta.GetRevision(), s.revision)
 	}
-	next := s.copyFor(delta)
+	next := s.cloneFor(delta)
 	next.revision = delta.GetRevision()
-	if err := next.change(delta.GetPut(), delta.GetDeleted()); err != nil {
+	if err := next.update(delta.GetPut(), delta.GetDeleted()); err != nil {
 		return nil, err
 	}
 	return next, nil
 }
 
-// copyFor returns a set whose indexes of the kinds that the delta touches are copies.
-func (s *Set) copyFor(delta *pb.Delta) *Set {
+// cloneFor returns a copy of s in which the indexes of the kinds that the delta changes are cloned.
+func (s *Set) cloneFor(delta *pb.Delta) *Set {
 	touched := map[string]bool{}
 	for _, object := range delta.GetPut() {
 		touched[KeyOf(object).Kind] = true
@@ -97,8 +97,8 @@
 	return &next
 }
 
-// change puts and deletes objects in place.
-func (s *Set) change(put []*pb.Object, deleted []*pb.ObjectKey) error {
+// update deletes and puts objects in place.
+func (s *Set) update(put []*pb.Object, deleted []*pb.ObjectKey) error {
 	for _, key := range deleted {
 		s.delete(key)
 	}
@@ -116,7 +116,7 @@
 	return cmp.Or(cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)), cmp.Compare(a.PathPrefix, b.PathPrefix))
 }
 
-// put passes over objects of unknown kinds, so that a process goes on during an upgrade that brings new ones.
+// put ignores objects of unknown kinds, so that an older process keeps working during an upgrade that adds a kind.
 func (s *Set) put(object *pb.Object) error {
 	switch kind := object.GetKind().(type) {
 	case *pb.Object_Model:
@@ -155,31 +155,31 @@
 // Revision returns the set's revision.
 func (s *Set) Revision() uint64 { return s.revision }
 
-// Model returns the model of a name.
+// Model returns the model with the given name.
 func (s *Set) Model(name string) (*Model, bool) { return s.models.find(name) }
 
-// Adapter returns the adapter of a name.
+// Adapter returns the adapter with the given name.
 func (s *Set) Adapter(name string) (*pb.Adapter, bool) { return s.adapters.find(name) }
 
-// Engine returns what is declared of an engine.
+// Engine returns the engine declaration with the given name.
 func (s *Set) Engine(name string) (*pb.Engine, bool) { return s.engines.find(name) }
 
-// Service returns the plain service of a name.
+// Service returns the plain service with the given name.
 func (s *Set) Service(name string) (*Service, bool) { return s.services.find(name) }
 
-// Models returns all models in the order of their names.
+// Models returns all models, sorted by name.
 func (s *Set) Models() []*Model { return s.models }
 
-// Adapters returns all adapters in the order of their names.
+// Adapters returns all adapters, sorted by name.
 func (s *Set) Adapters() []*pb.Adapter { return s.adapters }
 
-// Engines returns all declared engines in the order of their names.
+// Engines returns all declared engines, sorted by name.
 func (s *Set) Engines() []*pb.Engine { return s.engines }
 
-// Services returns all plain services in the order of their names.
+// Services returns all plain services, sorted by name.
 func (s *Set) Services() []*Service { return s.services }
 
-// ServiceFor returns the service with the longest path prefix that the path begins with.
+// ServiceFor returns the service with the longest path prefix that matches the path.
 func (s *Set) ServiceFor(path string) (*Service, bool) {
 	for _, service := range s.byPrefix {
 		if strings.HasPrefix(path, service.PathPrefix) {
@@ -189,15 +189,15 @@
 	return nil, false
 }
 
-// Target is what a request for a model is served by.
+// Target identifies the model version and the adapter that serve a request.
 type Target struct {
 	// Model is "name@version".
 	Model string
-	// Adapter is empty for the model itself.
+	// Adapter is empty for requests to the base model.
 	Adapter string
 }
 
-// Resolve finds the target of a request by the model that it names: a model (its default version), "name@version" or an
+// Resolve finds the target for the model named in a request: a model (its default version), "name@version" or an
 // adapter. The error wraps ErrUnknownModel or ErrUnknownVersion.
 func (s *Set) Resolve(requested string) (Target, error) {
 	if model, ok := s.models.find(requested); ok {
--- a/internal/declarations/set_test.go
+++ b/internal/declarations/set_test.go
@@ -73,7 +73,7 @@
 	cases := []struct {
 		revision uint64
 		want     error
-	}{{4, ErrOldRevision}, {5, ErrOldRevision}, {6, nil}, {7, ErrGap}}
+	}{{4, ErrStaleRevision}, {5, ErrStaleRevision}, {6, nil}, {7, ErrGap}}
 	for _, c := range cases {
 		next, err := set.Apply(&pb.Delta{Revision: c.revision})
 		if !errors.Is(err, c.want) || (err == nil) != (c.want == nil) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// A process of an older build must go on when a newer one declares a kind that it doesn't know.
+// A process of an older build must ignore a kind that a newer build declares.
 func TestApplyPassesOverUnknownKinds(t *testing.T) {
 	set, err := Empty().Apply(&pb.Delta{
 		Revision: 1, Put: []*pb.Object{{}, EngineObject(&pb.Engine{Name: "e"})}, Deleted: []*pb.ObjectKey{{Kind: "zone", Name: "x"}},
@@ -95,7 +95,7 @@
 	}
 }
 
-// step is one random edit of the property below.
+// setStep is one random edit of the property test below.
 type setStep struct {
 	kind   int
 	name   int
@@ -125,7 +125,7 @@
 	return &pb.Delta{Revision: revision, Put: []*pb.Object{s.object()}}
 }
 
-// Applying deltas gives the set that a snapshot of the same objects gives, and leaves every earlier set as it was.
+// Applying deltas must give the same set as a snapshot of the same objects and must not modify earlier sets.
 func TestApplyEqualsSnapshotAndCopies(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	parameters.MinSuccessfulTests = 300
@@ -164,8 +164,8 @@
 
 func sameObjects(set *Set, model map[string]*pb.Object) bool {
 	for _, object := range model {
-		held, ok := set.Object(KeyOf(object))
-		if !ok || !proto.Equal(held, object) {
+		current, ok := set.Object(KeyOf(object))
+		if !ok || !proto.Equal(current, object) {
 			return false
 		}
 	}
@@ -183,7 +183,7 @@
 	return objects
 }
 
-// benchmarkSizes runs a benchmark beside several numbers of adapters.
+// benchmarkSizes runs a benchmark with different numbers of adapters.
 func benchmarkSizes(b *testing.B, run func(b *testing.B, objects []*pb.Object) func() error) {
 	for _, n := range []int{100, 1000, 2700, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -213,7 +213,7 @@
 	})
 }
 
-// BenchmarkReceiveSnapshot gives the time, the memory and the bytes on the wire of a whole set, decoding included.
+// BenchmarkReceiveSnapshot measures the time, the memory and the wire size of a whole set, including decoding.
 func BenchmarkReceiveSnapshot(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, objects []*pb.Object) func() error {
 		wire, _ := proto.Marshal(&pb.Snapshot{Revision: 1, Objects: objects})
--- a/internal/declarations/store.go
+++ b/internal/declarations/store.go
@@ -16,16 +16,16 @@
 	pb "balsamsail/internal/declarations/declarationspb"
 )
 
-// Options are the settings of a Store. A zero takes the default that is given with it.
+// Options are the settings of a Store. A zero field takes the default given in its comment.
 type Options struct {
 	// PollInterval is the time between reads of the newest revision (500 ms).
 	PollInterval time.Duration
-	// MaxBackoff bounds the time between such reads while the table doesn't answer (2 s).
+	// MaxBackoff is the maximum time between such reads while the table is unavailable (2 s).
 	MaxBackoff time.Duration
 	// EditTimeout bounds one edit (10 s).
 	EditTimeout time.Duration
-	// LogKeep is the number of revisions that the table's log keeps (1024). An edit that is repeated after more than that
-	// many others is made twice, so it must cover the time in which clients repeat.
+	// LogKeep is the number of revisions that the table's log keeps (1024). An edit that is retried after more than
+	// that many others is applied twice, so the log must cover the period in which clients retry.
 	LogKeep int
 	// Seed seeds the jitter.
 	Seed uint64
@@ -54,8 +54,8 @@
 	}
 }
 
-// Store keeps a process at the newest revision of the declarations in the platform's table, and makes edits. It is safe
-// for concurrent use.
+// Store keeps a process at the newest revision of the declarations in the platform's table and commits edits. It is
+// safe for concurrent use.
 type Store struct {
 	options Options
 	table   backing.Table
@@ -64,20 +64,22 @@
 	metrics *metrics
 	holder  *holder
 
-	// refreshing and editing let one refresh and one edit at a time through, so that edits of one process don't lose to
-	// each other.
-	refreshing, editing *semaphore.Weighted
+	// refreshSem and editSem admit one refresh and one edit at a time, so that edits of one process do not conflict
+	// with each other.
+	refreshSem, editSem *semaphore.Weighted
 
 	mu     sync.Mutex
 	random *rand.Rand
-	// headRow is the revision of the head's row as last read, and headRevision the declarations' revision in it.
-	headRow, headRevision uint64
-	// seen says that the table was read once, outageSince since when it hasn't answered.
-	seen        bool
+	// headRowRevision is the table revision of the head row as last read, and headRevision is the declarations revision
+	// that it names.
+	headRowRevision, headRevision uint64
+	// synced is set once the table has been read. outageSince is the start of the current table outage, zero if there
+	// is none.
+	synced      bool
 	outageSince time.Time
 }
 
-// NewStore returns a store that holds the empty set; Run starts it.
+// NewStore returns a store with the empty set; Run starts polling.
 func NewStore(o Options, table backing.Table, c clock.Clock, logger *slog.Logger, registerer prometheus.Registerer) *Store {
 	o = o.withDefaults()
 	s := &Store{
@@ -86,8 +88,8 @@
 		clock:      c,
 		logger:     logger,
 		holder:     newHolder(o.LogKeep),
-		refreshing: semaphore.NewWeighted(1),
-		editing:    semaphore.NewWeighted(1),
+		refreshSem: semaphore.NewWeighted(1),
+		editSem:    semaphore.NewWeighted(1),
 		random:     rand.New(rand.NewPCG(o.Seed, 0)),
 	}
 	s.outageSince = c.Now()
@@ -95,7 +97,7 @@
 	return s
 }
 
-// Run polls the table until the context is done, and returns its error.
+// Run polls the table until the context is done and returns the context's error.
 func (s *Store) Run(ctx context.Context) error {
 	failures := 0
 	for {
@@ -105,7 +107,7 @@
 		} else {
 			failures = 0
 		}
-		timer := s.clock.NewTimer(s.pollAfter(failures))
+		timer := s.clock.NewTimer(s.pollDelay(failures))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -115,9 +117,9 @@
 	}
 }
 
-// pollAfter returns the time to the next read. It is jittered, so that processes which started together, or found the
-// table back together, spread their reads.
-func (s *Store) pollAfter(failures int) time.Duration {
+// pollDelay returns the time until the next read. It is jittered, so that processes that started together, or detected
+// the table's recovery together, spread their reads.
+func (s *Store) pollDelay(failures int) time.Duration {
 	base := s.options.PollInterval
 	for range min(failures, 10) {
 		base = min(2*base, s.options.MaxBackoff)
@@ -130,21 +132,21 @@
 // Current returns the newest set.
 func (s *Store) Current() *Set { return s.holder.current.Load() }
 
-// Changed returns a channel that is closed when the set changes next; take it before reading Current.
+// Changed returns a channel that is closed at the next change of the set. Call it before Current to miss no change.
 func (s *Store) Changed() <-chan struct{} { return s.holder.watch() }
 
-// DeltasSince returns the deltas that lead from a revision to the current one; false when the store no longer has them
+// DeltasSince returns the deltas that lead from a revision to the current one; false if the store no longer has them
 // and a snapshot is needed.
 func (s *Store) DeltasSince(revision uint64) ([]*pb.Delta, bool) { return s.holder.since(revision) }
 
-// Ready reports whether the store has had the table's revision once.
+// Ready reports whether the store has read the table at least once.
 func (s *Store) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen
+	return s.synced
 }
 
-// Outage returns since when the table hasn't answered, or the zero time when it does.
+// Outage returns the start of the current table outage, or the zero time if there is none.
 func (s *Store) Outage() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,47 +161,47 @@
 	return s.clock.Now().Sub(since).Seconds()
 }
 
-// Learn adopts what a peer holds if that is newer, so that a process which starts in an outage of the table gets the
-// highest revision that its peers have. Either argument may be nil. It returns an error that wraps ErrGap when the
-// deltas don't follow what is held, or ErrInvalid.
+// Learn applies a peer's declarations if they are newer, so that a process that starts during a table outage gets the
+// highest revision of its peers. Either argument may be nil. It returns an error that wraps ErrGap if the deltas do not
+// follow the current revision, or ErrInvalid.
 func (s *Store) Learn(snapshot *pb.Snapshot, deltas []*pb.Delta) error {
 	if snapshot.GetRevision() > s.Current().Revision() {
 		set, err := NewSet(snapshot)
 		if err != nil {
 			return err
 		}
-		if err := s.adopt(set); err != nil {
+		if err := s.installSet(set); err != nil {
 			return err
 		}
 	}
 	return s.applyAll(deltas)
 }
 
-// adopt takes a whole set; an older one than is held is passed over.
-func (s *Store) adopt(set *Set) error {
+// installSet installs a whole set; a set that is not newer than the current one is ignored.
+func (s *Store) installSet(set *Set) error {
 	err := s.holder.replace(set)
 	if err == nil {
 		s.metrics.applied.WithLabelValues(appliedSnapshot).Inc()
 	}
-	return unlessOld(err)
+	return ignoreStale(err)
 }
 
-// applyAll takes deltas in the order of their revisions; those that are held already are passed over.
+// applyAll applies deltas in the order of their revisions and ignores those already applied.
 func (s *Store) applyAll(deltas []*pb.Delta) error {
 	for _, delta := range deltas {
 		err := s.holder.apply(delta)
 		if err == nil {
 			s.metrics.applied.WithLabelValues(appliedDelta).Inc()
 		}
-		if unlessOld(err) != nil {
+		if ignoreStale(err) != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func unlessOld(err error) error {
-	if errors.Is(err, ErrOldRevision) {
+func ignoreStale(err error) error {
+	if errors.Is(err, ErrStaleRevision) {
 		return nil
 	}
 	return err
--- a/internal/declarations/store_test.go
+++ b/internal/declarations/store_test.go
@@ -23,7 +23,7 @@
 	return NewStore(o, table, clock.Real{}, slog.New(slog.DiscardHandler), prometheus.NewRegistry())
 }
 
-// runStore runs a store until the test is over.
+// runStore runs a store until the test ends.
 func runStore(t *testing.T, s *Store) {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -49,7 +49,7 @@
 	return result
 }
 
-// A store that was cut off for longer than the log reaches back must read everything anew.
+// A store that has missed more revisions than the log keeps must read the whole table.
 func TestStoreCatchesUpBeyondTheLog(t *testing.T) {
 	table := newMemTable()
 	writer, reader := newTestStore(table, Options{LogKeep: 4}), newTestStore(table, Options{LogKeep: 4})
@@ -76,7 +76,7 @@
 		t.Error("the last four deltas are missing")
 	}
 	if _, ok := reader.DeltasSince(15); ok {
-		t.Error("deltas beyond the log are there")
+		t.Error("deltas older than the log are returned")
 	}
 }
 
@@ -95,9 +95,9 @@
 	}
 }
 
-// An entry starts in an outage of the table and gets the declarations from a peer. It must not be ready by that alone,
-// and when the table comes back it must know the operations in its log: a client that repeats an edit would otherwise
-// have it made twice.
+// An entry that starts during a table outage gets the declarations from a peer. That alone must not make it ready, and
+// once the table is back the entry must load the operations from the table's log: otherwise an edit that a client
+// retries would be applied twice.
 func TestStoreLearnsFromAPeerInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newMemTable()
@@ -124,7 +124,7 @@
 	})
 }
 
-// A peer's snapshot that was sent before the newest change arrives after it. What is in force must not revert.
+// A peer's snapshot that was sent before the newest change arrives after it. The current set must not revert.
 func TestStoreNeverLearnsAnOldRevision(t *testing.T) {
 	deltas, snapshots := chain(5)
 	s := newTestStore(newMemTable(), Options{})
@@ -137,10 +137,10 @@
 	}{
 		{"snapshot", snapshots[3], nil, 3, nil},
 		{"older snapshot", snapshots[2], nil, 3, nil},
-		{"next deltas, some known", nil, deltas[1:4], 4, nil},
+		{"next deltas, some already applied", nil, deltas[1:4], 4, nil},
 		{"gap", nil, []*pb.Delta{{Revision: 9}}, 4, ErrGap},
 		{"snapshot and delta", snapshots[4], deltas[4:], 5, nil},
-		{"all of the past", snapshots[1], deltas, 5, nil},
+		{"old snapshot and deltas", snapshots[1], deltas, 5, nil},
 	}
 	for _, step := range steps {
 		err := s.Learn(step.snapshot, step.deltas)
@@ -153,7 +153,7 @@
 	}
 }
 
-// The table loses rows. The system must go on with what it holds, say so, and not take the older state for a new one.
+// The table loses rows. The store must keep its current set, return an error, and not apply the older state.
 func TestStoreRefusesATableThatWentBack(t *testing.T) {
 	table := newMemTable()
 	s := newTestStore(table, Options{EditTimeout: time.Second})
@@ -171,7 +171,7 @@
 	}
 }
 
-// While the table is down its readers must not hammer it, and when it is back they must be quick.
+// While the table is unavailable, the store must back off; once it is back, the store must recover quickly.
 func TestRunBacksOffAndRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newMemTable()
@@ -197,7 +197,7 @@
 	})
 }
 
-// The same over HTTP and the stand-in of the platform: each way in which the table loses an answer, and an outage.
+// Edits over HTTP against the platform's stand-in: each way in which the table loses a response, and an outage.
 func TestStoreOverHTTP(t *testing.T) {
 	standin := standinplatform.New(standinplatform.Options{Seed: 1})
 	server := httptest.NewServer(standin.Handler())
--- a/internal/declarations/table.go
+++ b/internal/declarations/table.go
@@ -11,8 +11,9 @@
 	pb "balsamsail/internal/declarations/declarationspb"
 )
 
-// The rows of the table: the head names the newest revision, the log holds one delta a revision, and an object its
-// newest declaration. An edit writes all three in one transaction whose condition is the head's row.
+// Keys of the table's rows: the head row names the newest revision, the log has one delta per revision, and each object
+// row holds the object's newest declaration. An edit writes all three in one transaction that is conditional on the
+// head row.
 const (
 	tablePrefix  = "decl/"
 	headKey      = tablePrefix + "head"
@@ -24,12 +25,12 @@
 
 func objectKey(key *pb.ObjectKey) string { return objectPrefix + key.GetKind() + "/" + key.GetName() }
 
-// ErrRow says that a row of the table can't be read.
-var ErrRow = errors.New("declarations: malformed row")
+// ErrMalformedRow reports that a row of the table can't be decoded.
+var ErrMalformedRow = errors.New("declarations: malformed row")
 
 func decodeRow(row backing.Row, message proto.Message) error {
 	if err := proto.Unmarshal(row.Value, message); err != nil {
-		return errors.Wrapf(ErrRow, "%s: %v", row.Key, err)
+		return errors.Wrapf(ErrMalformedRow, "%s: %v", row.Key, err)
 	}
 	return nil
 }
@@ -42,10 +43,10 @@
 	return backing.Put{Key: key, Value: value}, nil
 }
 
-// transaction returns the writes of an edit that is made on the head's row revision. The log's row that is keep revisions
-// old is trimmed along.
-func transaction(headRow uint64, delta *pb.Delta, keep uint64) (backing.Txn, error) {
-	txn := backing.Txn{Conditions: []backing.Condition{{Key: headKey, Revision: headRow}}}
+// editTxn returns the transaction of an edit, which is conditional on the head row's revision. It also deletes the log
+// row that is logKeep revisions old.
+func editTxn(headRowRevision uint64, delta *pb.Delta, logKeep uint64) (backing.Txn, error) {
+	txn := backing.Txn{Conditions: []backing.Condition{{Key: headKey, Revision: headRowRevision}}}
 	head := &pb.Head{Revision: delta.GetRevision(), OperationId: delta.GetOperationId(), Author: delta.GetAuthor()}
 	if err := addPut(&txn, headKey, head); err != nil {
 		return txn, err
@@ -61,8 +62,8 @@
 	for _, key := range delta.GetDeleted() {
 		txn.Deletes = append(txn.Deletes, objectKey(key))
 	}
-	if delta.GetRevision() > keep {
-		txn.Deletes = append(txn.Deletes, logKey(delta.GetRevision()-keep))
+	if delta.GetRevision() > logKeep {
+		txn.Deletes = append(txn.Deletes, logKey(delta.GetRevision()-logKeep))
 	}
 	return txn, nil
 }
@@ -73,16 +74,15 @@
 	return err
 }
 
-// tableContent is all rows of the declarations as of one table revision.
+// tableContent holds all declaration rows as of one table revision.
 type tableContent struct {
-	headRow uint64
-	head    *pb.Head
-	objects []*pb.Object
-	log     []*pb.Delta
+	headRowRevision uint64
+	head            *pb.Head
+	objects         []*pb.Object
+	log             []*pb.Delta
 }
 
-// decodeContent sorts rows by what they hold. The rows are in the order of their keys, so that the log is in the order of
-// its revisions.
+// decodeContent decodes rows, which must be sorted by key, so that the log is sorted by revision.
 func decodeContent(rows []backing.Row) (*tableContent, error) {
 	content := &tableContent{head: &pb.Head{}}
 	for _, row := range rows {
@@ -96,7 +96,7 @@
 func (c *tableContent) add(row backing.Row) error {
 	switch {
 	case row.Key == headKey:
-		c.headRow = row.Revision
+		c.headRowRevision = row.Revision
 		return decodeRow(row, c.head)
 	case strings.HasPrefix(row.Key, logPrefix):
 		delta := &pb.Delta{}
--- a/internal/declarations/table_test.go
+++ b/internal/declarations/table_test.go
@@ -9,15 +9,15 @@
 	"balsamsail/internal/backing"
 )
 
-// memTable is a table in memory. Its hooks run before a call and may fail it.
+// memTable is an in-memory table. Its hooks run before a call and may make it fail.
 type memTable struct {
 	mu       sync.Mutex
 	revision uint64
 	rows     map[string]backing.Row
 
-	// beforeRead fails a read with the error that it returns.
+	// beforeRead makes a read fail if it returns an error.
 	beforeRead func(ctx context.Context) error
-	// beforeCommit answers a commit itself when it returns true.
+	// beforeCommit determines the result of a commit itself if it returns true.
 	beforeCommit func(ctx context.Context, txn backing.Txn) (bool, error)
 
 	reads, lists, commits int
@@ -71,14 +71,14 @@
 	before := t.beforeCommit
 	t.mu.Unlock()
 	if before != nil {
-		if answered, err := before(ctx, txn); answered {
+		if handled, err := before(ctx, txn); handled {
 			return 0, err
 		}
 	}
 	return t.apply(txn)
 }
 
-// apply runs a transaction past the hooks.
+// apply executes a transaction without the hooks.
 func (t *memTable) apply(txn backing.Txn) (uint64, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,7 +97,7 @@
 	return t.revision, nil
 }
 
-// content decodes what the table holds.
+// content decodes the table's rows.
 func (t *memTable) content() *tableContent {
 	listing, _ := t.List(context.Background(), tablePrefix, 0)
 	content, err := decodeContent(listing.Rows)
--- a/internal/selector/labels.go
+++ b/internal/selector/labels.go
@@ -12,18 +12,18 @@
 	maxValueLength = 63
 )
 
-// What a label's key and value may be, in words for error messages.
+// Descriptions of valid label keys and values, for error messages.
 const (
 	KeyAllowed = `letters, digits, ".", "_", "-" and "/", beginning and ending with a letter or digit, at most 253 long, ` +
 		`not "in" or "notin"`
 	ValueAllowed = `letters, digits, ".", "_" and "-", beginning and ending with a letter or digit, at most 63 long`
 )
 
-// ErrInvalidLabel says that a label's key or value is not allowed.
+// ErrInvalidLabel reports that a label's key or value is invalid.
 var ErrInvalidLabel = errors.New("selector: invalid label")
 
-// CheckLabel returns an error that wraps ErrInvalidLabel and names what is allowed when the key or the value is not a
-// label's.
+// CheckLabel returns an error that wraps ErrInvalidLabel and describes what is allowed if the key or the value is
+// invalid.
 func CheckLabel(key, value string) error {
 	if !validKey(key) {
 		return errors.Wrap(ErrInvalidLabel, fmt.Sprintf("key %q is not allowed: %s", key, KeyAllowed))
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// validKey refuses the two operator words, which would make "in in (a)" ambiguous.
+// validKey rejects the operators "in" and "notin", because a requirement such as "in in (a)" would be ambiguous.
 func validKey(key string) bool {
 	return key != string(In) && key != string(NotIn) && validWord(key, maxKeyLength)
 }
--- a/internal/selector/lex.go
+++ b/internal/selector/lex.go
@@ -16,7 +16,7 @@
 	equals
 	notEquals
 	not
-	other
+	invalid
 )
 
 type token struct {
@@ -29,7 +29,7 @@
 	return t.kind == word && t.text == string(operator)
 }
 
-// symbols lists the tokens that are not words; a symbol that begins with another one stands before it.
+// symbols lists the tokens that are not words; a symbol comes before any symbol that is a prefix of it.
 var symbols = []struct {
 	text string
 	kind tokenKind
@@ -75,5 +75,5 @@
 		return token{kind: word, text: rest[:n]}
 	}
 	_, size := utf8.DecodeRuneInString(rest)
-	return token{kind: other, text: rest[:size]}
+	return token{kind: invalid, text: rest[:size]}
 }
--- a/internal/selector/parse.go
+++ b/internal/selector/parse.go
@@ -6,13 +6,13 @@
 	"unicode/utf8"
 )
 
-// SyntaxError says where a selector is wrong.
+// SyntaxError describes a syntax error in a selector.
 type SyntaxError struct {
-	// Column is the place in characters, the first being 1.
+	// Column is the position of the error in characters, starting at 1.
 	Column int
-	// Found is the text at that place, empty at the end of the selector.
+	// Found is the text at that position, empty at the end of the selector.
 	Found string
-	// Allowed names what may stand there.
+	// Allowed describes what is expected at that position.
 	Allowed string
 }
 
@@ -21,10 +21,10 @@
 	if e.Found != "" {
 		found = fmt.Sprintf("%q", e.Found)
 	}
-	return fmt.Sprintf("selector: column %d: found %s, allowed is %s", e.Column, found, e.Allowed)
+	return fmt.Sprintf("selector: column %d: found %s, expected %s", e.Column, found, e.Allowed)
 }
 
-// Parse reads a selector. Its error is a *SyntaxError.
+// Parse parses a selector. Its error is a *SyntaxError.
 func Parse(text string) (Selector, error) {
 	p := parser{lexer: lexer{text: text}}
 	p.advance()
@@ -47,7 +47,7 @@
 	}
 }
 
-// MustParse is Parse for selectors that are written in code; it panics on an error.
+// MustParse is like Parse but panics on an error; it is for selectors that are written in code.
 func MustParse(text string) Selector {
 	s, err := Parse(text)
 	if err != nil {
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -33,7 +33,8 @@
 type Requirement struct {
 	Key      string
 	Operator Operator
-	// Values has one element for Equals and NotEquals, none for Exists and DoesNotExist; sorted and without repeats.
+	// Values has one element for Equals and NotEquals and none for Exists and DoesNotExist; it is sorted and without
+	// duplicates.
 	Values []string
 }
 
@@ -48,7 +49,7 @@
 // Empty reports whether the selector matches everything.
 func (s Selector) Empty() bool { return len(s.requirements) == 0 }
 
-// Matches reports whether labels meet all requirements.
+// Matches reports whether the labels meet all requirements.
 func (s Selector) Matches(labels map[string]string) bool {
 	for _, r := range s.requirements {
 		if !r.matches(labels) {
--- a/internal/selector/selector_test.go
+++ b/internal/selector/selector_test.go
@@ -72,7 +72,7 @@
 		{"empty set", "gpu in ()", 9, ")", "a value"},
 		{"open set", "gpu in (a", 10, "", `")"`},
 		{"text after set", "gpu in (a) b", 12, "b", `","`},
-		{"wrong character", "gpu=ü", 5, "ü", "a value"},
+		{"invalid character", "gpu=ü", 5, "ü", "a value"},
 		{"column counts characters", "é", 1, "é", "a key"},
 		{"key ends in dash", "gpu- = a", 1, "gpu-", "ending with"},
 		{"slash in value", "gpu=a/b", 5, "a/b", "a value"},
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -12,7 +12,7 @@
 	KindService = "service"
 )
 
-// Agent is the settings of an agent.
+// Agent holds the settings of an agent.
 type Agent struct {
 	Agent    AgentProcess `section:"agent" doc:"The process itself."`
 	Endpoint Endpoint     `section:"endpoint" doc:"The endpoint beside which the agent runs."`
@@ -31,7 +31,7 @@
 	Credentials Secret
 }
 
-// AgentProcess names an agent and its addresses.
+// AgentProcess holds an agent's host and addresses.
 type AgentProcess struct {
 	Host          string          `ini:"host" doc:"Identifier of the agent's host, as the platform's host list names it."`
 	FailureDomain string          `ini:"failure_domain" doc:"Failure domain of the host."`
@@ -41,7 +41,7 @@
 
 // Check implements inifile.Checker.
 func (a *AgentProcess) Check(r *inifile.Reporter) {
-	reportEqualAddresses(r, []string{"listen", "metrics_listen"}, []inifile.Address{a.Listen, a.MetricsListen})
+	reportDuplicateAddresses(r, []string{"listen", "metrics_listen"}, []inifile.Address{a.Listen, a.MetricsListen})
 }
 
 // Endpoint describes the endpoint beside which an agent runs.
@@ -61,7 +61,7 @@
 	ProbeInterval    time.Duration  `ini:"probe_interval" default:"2s" min:"10ms" max:"5m" doc:"Time between checks that a plain service answers."`
 }
 
-// engineKeys make sense for engines only.
+// engineKeys lists the keys that apply only to engines.
 var engineKeys = []string{"memory", "checks_fencing", "credentials_file"}
 
 // Check implements inifile.Checker.
@@ -76,7 +76,7 @@
 	}
 }
 
-// Order sets the orders to an engine.
+// Order configures the orders sent to an engine.
 type Order struct {
 	Timeout        time.Duration `ini:"timeout" default:"2m" min:"100ms" max:"1h" doc:"Bound of the wait for an order's answer."`
 	MaxLife        time.Duration `ini:"max_life" default:"5m" min:"100ms" max:"24h" doc:"Longest time for which a sent order may still take effect; a restarted agent waits it out where the engine ignores fencing numbers."`
@@ -86,10 +86,10 @@
 
 // Check implements inifile.Checker.
 func (o *Order) Check(r *inifile.Reporter) {
-	order[time.Duration]{"timeout", "max_life", o.Timeout, o.MaxLife}.report(r)
+	orderedPair[time.Duration]{"timeout", "max_life", o.Timeout, o.MaxLife}.report(r)
 }
 
-// Queue bounds the requests that wait.
+// Queue limits the requests that wait.
 type Queue struct {
 	MaxWaiting    int           `ini:"max_waiting" default:"1024" min:"1" max:"1000000" doc:"Requests that wait, over all models."`
 	MaxPerTarget  int           `ini:"max_per_target" default:"512" min:"1" max:"1000000" doc:"Requests that wait for one model version and adapter."`
@@ -100,17 +100,17 @@
 
 // Check implements inifile.Checker.
 func (q *Queue) Check(r *inifile.Reporter) {
-	order[int]{"max_per_target", "max_waiting", q.MaxPerTarget, q.MaxWaiting}.report(r)
-	order[int]{"max_per_caller", "max_waiting", q.MaxPerCaller, q.MaxWaiting}.report(r)
+	orderedPair[int]{"max_per_target", "max_waiting", q.MaxPerTarget, q.MaxWaiting}.report(r)
+	orderedPair[int]{"max_per_caller", "max_waiting", q.MaxPerCaller, q.MaxWaiting}.report(r)
 }
 
-// Requests bounds the requests that run.
+// Requests limits the requests that run.
 type Requests struct {
 	CommitTimeout time.Duration `ini:"commit_timeout" default:"5s" min:"10ms" max:"5m" doc:"Bound of the wait for an entry's commit of a call that may run only once."`
 	MaxAnswer     time.Duration `ini:"max_answer" default:"1h" min:"1s" max:"24h" doc:"Longest time of one answer once begun."`
 }
 
-// Idle bounds the time that idle models stay loaded. The weights that choose it are declared by operators.
+// Idle bounds the time that idle models stay loaded. Operators declare the weights from which the time is computed.
 type Idle struct {
 	Min time.Duration `ini:"min" default:"10s" min:"0s" max:"24h" doc:"Least time that an idle model stays loaded."`
 	Max time.Duration `ini:"max" default:"24h" min:"0s" max:"168h" doc:"Longest time that an idle model stays loaded."`
@@ -120,10 +120,10 @@
 
 // Check implements inifile.Checker.
 func (i *Idle) Check(r *inifile.Reporter) {
-	order[time.Duration]{"min", "max", i.Min, i.Max}.report(r)
+	orderedPair[time.Duration]{"min", "max", i.Min, i.Max}.report(r)
 }
 
-// Control sets the control streams.
+// Control configures the control streams and the reads of the table.
 type Control struct {
 	HeartbeatInterval time.Duration `ini:"heartbeat_interval" default:"1s" min:"10ms" max:"1m" doc:"Longest time between batches on a control stream; at most half the entries' silence_limit."`
 	BatchDelay        time.Duration `ini:"batch_delay" default:"20ms" min:"0s" max:"5s" doc:"Time for which changes are gathered before a batch is sent."`
@@ -132,15 +132,15 @@
 
 // Check implements inifile.Checker.
 func (c *Control) Check(r *inifile.Reporter) {
-	order[time.Duration]{"batch_delay", "heartbeat_interval", c.BatchDelay, c.HeartbeatInterval}.report(r)
+	orderedPair[time.Duration]{"batch_delay", "heartbeat_interval", c.BatchDelay, c.HeartbeatInterval}.report(r)
 }
 
-// AgentDrain sets the planned stop of an agent.
+// AgentDrain configures the graceful shutdown of an agent.
 type AgentDrain struct {
 	Timeout time.Duration `ini:"timeout" default:"2m" min:"1s" max:"24h" doc:"Longest wait for running requests."`
 }
 
-// Check implements inifile.Checker. It reads the credentials.
+// Check implements inifile.Checker. It also reads the credentials.
 func (a *Agent) Check(r *inifile.Reporter) {
 	a.Credentials = readCredentials(r.Section("endpoint", ""), a.Endpoint.CredentialsFile)
 }
--- a/internal/settings/changed.go
+++ b/internal/settings/changed.go
@@ -2,7 +2,7 @@
 
 import "reflect"
 
-// ChangedSections names the sections in which two settings of one kind differ, in their order in the file.
+// ChangedSections returns the sections in which two settings of the same type differ, in file order.
 func ChangedSections(before, after any) []string {
 	b, a := reflect.ValueOf(before).Elem(), reflect.ValueOf(after).Elem()
 	var changed []string
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -4,7 +4,7 @@
 	"balsamsail/internal/settings/inifile"
 )
 
-// Role names what a settings file is for.
+// Role is the kind of process that a settings file configures.
 type Role string
 
 // The roles.
@@ -18,7 +18,7 @@
 	RoleStandinService  Role = "standin service"
 )
 
-// Describe returns a commented file of all settings of a role, with what is allowed and the defaults; empty for an
+// Describe returns a commented file of all settings of a role, with allowed values and defaults; it is empty for an
 // unknown role.
 func Describe(role Role) string {
 	switch role {
@@ -41,8 +41,8 @@
 	}
 }
 
-// CheckFile reads a settings file as the process would that it is for, and returns that process's role, which shows in
-// the file's sections.
+// CheckFile reads a settings file as the process that it configures would, and returns that process's role, which it
+// derives from the file's sections.
 func CheckFile(path string, sets ...string) (Role, error) {
 	source, err := ReadSource(path, sets...)
 	if err != nil {
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,7 +1,7 @@
-// Package settings reads the INI settings of the system's processes, checked strictly: an unknown section or key, a value
-// without its unit or out of range, a missing key or a contradictory pair is refused with its file, line, section, key
-// and what is allowed.
+// Package settings reads the INI settings of the system's processes. Validation is strict: an unknown section or key, a
+// value out of range or without its unit, a missing key and a contradictory pair of keys are errors that give the file,
+// line, section, key and allowed values.
 //
-// A key's value is taken from an override "section.key=value" if there is one, else from the environment variable
-// BALSAMSAIL__SECTION__KEY, else from the file, else it is the default.
+// The value of a key comes from, in order of precedence, an override "section.key=value", the environment variable
+// BALSAMSAIL__SECTION__KEY, the file, and the default.
 package settings
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -6,7 +6,7 @@
 	"balsamsail/internal/settings/inifile"
 )
 
-// Entry is the settings of an entry.
+// Entry holds the settings of an entry.
 type Entry struct {
 	Entry        EntryProcess `section:"entry" doc:"The process itself."`
 	Platform     Platform     `section:"platform" doc:"The platform's services."`
@@ -23,7 +23,7 @@
 	Log          Log          `section:"log" doc:"Logs."`
 }
 
-// EntryProcess names an entry and its addresses.
+// EntryProcess holds an entry's identifier and addresses.
 type EntryProcess struct {
 	ID             string          `ini:"id" doc:"Identifier of the entry's host, as the platform's host list names it."`
 	FailureDomain  string          `ini:"failure_domain" doc:"Failure domain of the entry."`
@@ -34,11 +34,11 @@
 
 // Check implements inifile.Checker.
 func (e *EntryProcess) Check(r *inifile.Reporter) {
-	reportEqualAddresses(r, []string{"listen", "operator_listen", "metrics_listen"},
+	reportDuplicateAddresses(r, []string{"listen", "operator_listen", "metrics_listen"},
 		[]inifile.Address{e.Listen, e.OperatorListen, e.MetricsListen})
 }
 
-// EntryLimits bounds callers' requests.
+// EntryLimits limits callers' requests.
 type EntryLimits struct {
 	MaxInFlight       int           `ini:"max_in_flight" default:"10000" min:"1" max:"1000000" doc:"Requests in flight in this entry; others are refused at once."`
 	MaxBatch          int           `ini:"max_batch" default:"5000" min:"0" max:"1000000" doc:"Requests of class batch among them; 0 sets no bound of its own."`
@@ -52,17 +52,17 @@
 
 // Check implements inifile.Checker.
 func (l *EntryLimits) Check(r *inifile.Reporter) {
-	order[int]{"max_batch", "max_in_flight", l.MaxBatch, l.MaxInFlight}.report(r)
+	orderedPair[int]{"max_batch", "max_in_flight", l.MaxBatch, l.MaxInFlight}.report(r)
 }
 
-// Retries sets the retry budget.
+// Retries configures the retry budget.
 type Retries struct {
 	Share          float64 `ini:"share" default:"0.2" min:"0" max:"1" doc:"Repeated attempts that each success allows."`
 	FloorPerSecond float64 `ini:"floor_per_second" default:"1" min:"0" max:"1000" doc:"Repeated attempts a second that are allowed without any success."`
 	Burst          float64 `ini:"burst" default:"20" min:"0" max:"10000" doc:"Repeated attempts that may be saved up."`
 }
 
-// Declarations sets the reading and editing of declarations.
+// Declarations configures the reading and editing of declarations.
 type Declarations struct {
 	PollInterval time.Duration `ini:"poll_interval" default:"500ms" min:"10ms" max:"1m" doc:"Time between reads of the newest revision."`
 	MaxBackoff   time.Duration `ini:"max_backoff" default:"2s" min:"10ms" max:"5m" doc:"Longest time between such reads while the table does not answer."`
@@ -72,10 +72,10 @@
 
 // Check implements inifile.Checker.
 func (d *Declarations) Check(r *inifile.Reporter) {
-	order[time.Duration]{"poll_interval", "max_backoff", d.PollInterval, d.MaxBackoff}.report(r)
+	orderedPair[time.Duration]{"poll_interval", "max_backoff", d.PollInterval, d.MaxBackoff}.report(r)
 }
 
-// Membership sets the watch over hosts and agents.
+// Membership configures the tracking of hosts and agents.
 type Membership struct {
 	ListInterval      time.Duration `ini:"list_interval" default:"1s" min:"10ms" max:"1m" doc:"Time between reads of the host list."`
 	RedialDelay       time.Duration `ini:"redial_delay" default:"500ms" min:"10ms" max:"1m" doc:"Time between tries to reach an agent; jittered."`
@@ -89,10 +89,10 @@
 	if r.Valid("heartbeat_interval", "silence_limit") && m.SilenceLimit < 2*m.HeartbeatInterval {
 		r.Report("silence_limit", "one late heartbeat would count as a loss", "at least twice heartbeat_interval")
 	}
-	order[time.Duration]{"batch_delay", "heartbeat_interval", m.BatchDelay, m.HeartbeatInterval}.report(r)
+	orderedPair[time.Duration]{"batch_delay", "heartbeat_interval", m.BatchDelay, m.HeartbeatInterval}.report(r)
 }
 
-// Replicas sets the decisions on replicas.
+// Replicas configures the decisions on the number and placement of replicas.
 type Replicas struct {
 	Interval        time.Duration `ini:"interval" default:"500ms" min:"10ms" max:"1m" doc:"Time between reads of the changed grants."`
 	FullInterval    time.Duration `ini:"full_interval" default:"5m" min:"100ms" max:"1h" doc:"Time between reads of all grants."`
@@ -110,11 +110,11 @@
 
 // Check implements inifile.Checker.
 func (p *Replicas) Check(r *inifile.Reporter) {
-	order[time.Duration]{"interval", "full_interval", p.Interval, p.FullInterval}.report(r)
-	order[time.Duration]{"min_backoff", "max_backoff", p.MinBackoff, p.MaxBackoff}.report(r)
+	orderedPair[time.Duration]{"interval", "full_interval", p.Interval, p.FullInterval}.report(r)
+	orderedPair[time.Duration]{"min_backoff", "max_backoff", p.MinBackoff, p.MaxBackoff}.report(r)
 }
 
-// Permits sets the permits of loads. The limits that they keep to are declared by operators.
+// Permits configures the permits of loads. Operators declare the limits that the permits enforce.
 type Permits struct {
 	Lease       time.Duration `ini:"lease" default:"15s" min:"100ms" max:"10m" doc:"Time for which a permit counts without a sign of life from its agent."`
 	StartWithin time.Duration `ini:"start_within" default:"2s" min:"10ms" max:"10m" doc:"Time in which a permit must be used."`
@@ -125,18 +125,18 @@
 
 // Check implements inifile.Checker.
 func (p *Permits) Check(r *inifile.Reporter) {
-	order[time.Duration]{"start_within", "lease", p.StartWithin, p.Lease}.report(r)
-	order[time.Duration]{"min_retry", "max_retry", p.MinRetry, p.MaxRetry}.report(r)
+	orderedPair[time.Duration]{"start_within", "lease", p.StartWithin, p.Lease}.report(r)
+	orderedPair[time.Duration]{"min_retry", "max_retry", p.MinRetry, p.MaxRetry}.report(r)
 }
 
-// Claims sets the claims of idempotency keys.
+// Claims configures the claims of idempotency keys.
 type Claims struct {
 	Patience  time.Duration `ini:"patience" default:"1s" min:"10ms" max:"1m" doc:"Bound of one step of a claim."`
 	Retention time.Duration `ini:"retention" default:"24h" min:"1m" max:"720h" doc:"Time for which a key stays claimed."`
 	MaxBody   inifile.Bytes `ini:"max_body" default:"16KiB" min:"0B" max:"1MiB" doc:"Longest body of an answer that is recorded with its key."`
 }
 
-// EntryDrain sets the planned stop of an entry.
+// EntryDrain configures the graceful shutdown of an entry.
 type EntryDrain struct {
 	ReadinessDelay time.Duration `ini:"readiness_delay" default:"5s" min:"0s" max:"10m" doc:"Time for which the entry goes on accepting after its readiness has failed, for the balancer to notice."`
 	Timeout        time.Duration `ini:"timeout" default:"2m" min:"1s" max:"24h" doc:"Longest wait for requests in flight."`
--- a/internal/settings/experiment.go
+++ b/internal/settings/experiment.go
@@ -14,7 +14,7 @@
 	Requests []ExperimentRequests `section:"requests" doc:"A kind of request."`
 }
 
-// ExperimentRun says what is compared.
+// ExperimentRun configures the comparison.
 type ExperimentRun struct {
 	Policies []string      `ini:"policies" doc:"Policies, separated by commas: current, none, demand, pipe, foresight."`
 	Seeds    int           `ini:"seeds" default:"5" min:"1" max:"1000" doc:"Days that each policy plays."`
@@ -24,7 +24,7 @@
 	Length   time.Duration `ini:"length" default:"40s" min:"1s" max:"24h" doc:"Time with requests."`
 }
 
-// ExperimentEngines describe the engines of a site, which are all alike.
+// ExperimentEngines describes the engines of a site, which are all identical.
 type ExperimentEngines struct {
 	Count        int           `ini:"count" min:"1" max:"10000" doc:"Engines."`
 	Models       int           `ini:"models" min:"1" max:"100000" doc:"Models."`
@@ -38,7 +38,7 @@
 	Spread       int           `ini:"spread" default:"3" min:"1" max:"10000" doc:"Engines that hold the busiest model at the start; all others have one."`
 }
 
-// ExperimentWeights describe loads.
+// ExperimentWeights describes weight loads.
 type ExperimentWeights struct {
 	StoreTime    time.Duration `ini:"store_time" min:"1ms" max:"1h" doc:"Load from the weight store at full speed."`
 	DiskTime     time.Duration `ini:"disk_time" min:"1ms" max:"1h" doc:"Load from the host's disk."`
@@ -50,7 +50,7 @@
 	MemoryCopies int           `ini:"memory_copies" min:"0" max:"100000" doc:"Models whose weights the host's memory keeps."`
 }
 
-// ExperimentRequests describe one kind of request.
+// ExperimentRequests describes one kind of request.
 type ExperimentRequests struct {
 	Name      string        `name:"Name in reports."`
 	PerSecond float64       `ini:"per_second" min:"0" max:"1000000" doc:"Requests in a second, over all models."`
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -6,7 +6,7 @@
 	"balsamsail/internal/settings/inifile"
 )
 
-// Gateway is the settings of a gateway.
+// Gateway holds the settings of a gateway.
 type Gateway struct {
 	Gateway GatewayProcess `section:"gateway" doc:"The process itself."`
 	Store   Store          `section:"store" doc:"The platform's store."`
@@ -15,13 +15,13 @@
 	Drain   GatewayDrain   `section:"drain" doc:"The planned stop."`
 	Log     Log            `section:"log" doc:"Logs."`
 
-	again func() (*Gateway, error)
+	reload func() (*Gateway, error)
 }
 
-// Again reads the settings anew from where they came from.
-func (g *Gateway) Again() (*Gateway, error) { return g.again() }
+// Again reloads the settings from their source.
+func (g *Gateway) Again() (*Gateway, error) { return g.reload() }
 
-// GatewayProcess names a gateway and its addresses.
+// GatewayProcess holds a gateway's host name and addresses.
 type GatewayProcess struct {
 	Host            string          `ini:"host" doc:"Name of the host."`
 	FailureDomain   string          `ini:"failure_domain" doc:"Failure domain of the host."`
@@ -32,11 +32,11 @@
 
 // Check implements inifile.Checker.
 func (g *GatewayProcess) Check(r *inifile.Reporter) {
-	reportEqualAddresses(r, []string{"listen", "readiness_listen", "metrics_listen"},
+	reportDuplicateAddresses(r, []string{"listen", "readiness_listen", "metrics_listen"},
 		[]inifile.Address{g.Listen, g.ReadinessListen, g.MetricsListen})
 }
 
-// Store sets the watches of the platform's store.
+// Store configures the watches on the platform's store.
 type Store struct {
 	Address    inifile.Address `ini:"address" doc:"Address of the store."`
 	Wait       time.Duration   `ini:"wait" default:"5s" min:"100ms" max:"30s" doc:"How long one call waits for changes. Each call has a price; a connection that fell silent shows by the kernel's probes within 3 s."`
@@ -47,10 +47,10 @@
 
 // Check implements inifile.Checker.
 func (s *Store) Check(r *inifile.Reporter) {
-	order[time.Duration]{"min_backoff", "max_backoff", s.MinBackoff, s.MaxBackoff}.report(r)
+	orderedPair[time.Duration]{"min_backoff", "max_backoff", s.MinBackoff, s.MaxBackoff}.report(r)
 }
 
-// ControlLinks sets the links between gateways and the agents beside engines.
+// ControlLinks configures the links between gateways and the agents beside engines.
 type ControlLinks struct {
 	Listen       inifile.Address `ini:"listen" doc:"Address for the control links of others."`
 	AgentPort    int             `ini:"agent_port" min:"1" max:"65535" doc:"Port at which agents listen, the same on all hosts."`
@@ -64,17 +64,17 @@
 	if r.Valid("heartbeat", "silence_limit") && c.SilenceLimit < 2*c.Heartbeat {
 		r.Report("silence_limit", "one late heartbeat would count as a loss", "at least twice heartbeat")
 	}
-	order[time.Duration]{"interval", "heartbeat", c.Interval, c.Heartbeat}.report(r)
+	orderedPair[time.Duration]{"interval", "heartbeat", c.Interval, c.Heartbeat}.report(r)
 }
 
-// SharedRetries sets the budget of repeated attempts, which all gateways share.
+// SharedRetries configures the retry budget, which all gateways share.
 type SharedRetries struct {
 	Share  float64       `ini:"share" min:"0" max:"1" doc:"Repeated sendings to a service that each request for it allows."`
 	Extra  float64       `ini:"extra" min:"0" max:"100000" doc:"Further ones in each window, over all gateways."`
 	Window time.Duration `ini:"window" min:"1s" max:"10m" doc:"Length of that window."`
 }
 
-// GatewayDrain sets the planned stop of a gateway.
+// GatewayDrain configures the graceful shutdown of a gateway.
 type GatewayDrain struct {
 	Grace    time.Duration `ini:"grace" min:"1s" max:"1h" doc:"Time after which the platform kills a process that was told to stop."`
 	LameDuck time.Duration `ini:"lame_duck" default:"2500ms" min:"0s" max:"10m" doc:"Time for which the gateway goes on accepting after its readiness has failed: the balancer asks once a second and believes the second answer."`
@@ -88,20 +88,20 @@
 	}
 }
 
-// EngineAgent is the settings of an agent beside an engine.
+// EngineAgent holds the settings of an agent beside an engine.
 type EngineAgent struct {
 	Agent   EngineAgentProcess `section:"engine_agent" doc:"The process itself."`
 	Control ControlLinks       `section:"control" doc:"Links between gateways and the agents beside engines."`
 	Orders  EngineOrders       `section:"orders" doc:"Reports and orders of the engine."`
 	Log     Log                `section:"log" doc:"Logs."`
 
-	again func() (*EngineAgent, error)
+	reload func() (*EngineAgent, error)
 }
 
-// Again reads the settings anew from where they came from.
-func (a *EngineAgent) Again() (*EngineAgent, error) { return a.again() }
+// Again reloads the settings from their source.
+func (a *EngineAgent) Again() (*EngineAgent, error) { return a.reload() }
 
-// EngineAgentProcess names an agent and its engine.
+// EngineAgentProcess identifies an agent and its engine.
 type EngineAgentProcess struct {
 	Host          string          `ini:"host" doc:"Name of the host; the engine knows the agent by it."`
 	FailureDomain string          `ini:"failure_domain" doc:"Failure domain of the host."`
@@ -109,7 +109,7 @@
 	MetricsListen inifile.Address `ini:"metrics_listen" optional:"true" doc:"Address for health and metrics; not served where left out."`
 }
 
-// EngineOrders sets the reading of reports and the giving of orders.
+// EngineOrders configures the reads of the engine's report and the orders sent to the engine.
 type EngineOrders struct {
 	ReportInterval time.Duration `ini:"report_interval" default:"100ms" min:"10ms" max:"10s" doc:"Time between two reads of the engine's report."`
 	Timeout        time.Duration `ini:"timeout" default:"200ms" min:"10ms" max:"1m" doc:"Bound of one call of the engine, which answers within a few milliseconds on its own host."`
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.again = func() (*Gateway, error) { return LoadGateway(path, sets...) }
+	g.reload = func() (*Gateway, error) { return LoadGateway(path, sets...) }
 	return g, nil
 }
 
@@ -131,6 +131,6 @@
 	if err != nil {
 		return nil, err
 	}
-	a.again = func() (*EngineAgent, error) { return LoadEngineAgent(path, sets...) }
+	a.reload = func() (*EngineAgent, error) { return LoadEngineAgent(path, sets...) }
 	return a, nil
 }
--- a/internal/settings/inifile/decode.go
+++ b/internal/settings/inifile/decode.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Checker is a section or a target that checks what its fields' tags can't say, such as pairs that contradict each
+// Checker is a section or a target that checks what its fields' tags can't express, such as pairs that contradict each
 // other.
 type Checker interface {
 	Check(r *Reporter)
 }
 
-// Decode fills the target, a pointer to a struct as the package comment describes, from a document. The error is a
-// Problems with all faults of the document, those of its syntax included; the target is only to be used without error.
+// Decode decodes a document into the target, a pointer to a struct as described in the package comment. The error is a
+// Problems with all problems of the document, including its syntax errors; the target must not be used if there is one.
 func Decode(d *Document, target any) error {
 	v := reflect.ValueOf(target).Elem()
 	dec := &decoder{document: d, problems: append(Problems(nil), d.Problems...)}
@@ -34,14 +34,14 @@
 func (d *decoder) rejectUnknownSections(specs []sectionSpec) {
 	for i := range d.document.Sections {
 		section := &d.document.Sections[i]
-		text, allowed := judgeSection(section, specs)
+		text, allowed := checkSection(section, specs)
 		if text != "" {
 			d.report(section, nil, "", text, allowed)
 		}
 	}
 }
 
-func judgeSection(section *Section, specs []sectionSpec) (text, allowed string) {
+func checkSection(section *Section, specs []sectionSpec) (text, allowed string) {
 	var titles []string
 	for _, spec := range specs {
 		titles = append(titles, "["+spec.title()+"]")
@@ -58,7 +58,7 @@
 
 func (d *decoder) section(spec *sectionSpec, field reflect.Value) {
 	if spec.form == namedSections {
-		d.named(spec, field)
+		d.namedSections(spec, field)
 		return
 	}
 	section := d.document.Find(spec.kind, "")
@@ -75,7 +75,7 @@
 	d.fill(spec, section, field)
 }
 
-func (d *decoder) named(spec *sectionSpec, field reflect.Value) {
+func (d *decoder) namedSections(spec *sectionSpec, field reflect.Value) {
 	for i := range d.document.Sections {
 		section := &d.document.Sections[i]
 		if section.Kind != spec.kind || section.Name == "" {
@@ -103,7 +103,7 @@
 func (d *decoder) key(spec *keySpec, section *Section, field reflect.Value) {
 	key := section.find(spec.name)
 	if key == nil {
-		d.absent(spec, section, field)
+		d.missingKey(spec, section, field)
 		return
 	}
 	err := setValue(field, key.Value)
@@ -115,7 +115,7 @@
 	}
 }
 
-func (d *decoder) absent(spec *keySpec, section *Section, field reflect.Value) {
+func (d *decoder) missingKey(spec *keySpec, section *Section, field reflect.Value) {
 	if spec.hasDefault {
 		if err := setValue(field, spec.defaultValue); err != nil {
 			panic(fmt.Sprintf("inifile: default of %s: %v", spec.name, err))
@@ -127,7 +127,7 @@
 	}
 }
 
-// valueText drops the sentinel from an error, for the message says which key it concerns.
+// valueText strips the sentinel from an error, because the message already names the key.
 func valueText(err error) string {
 	return strings.TrimSuffix(err.Error(), ": "+ErrValue.Error())
 }
@@ -138,7 +138,7 @@
 		p.Line, p.Section = section.Line, section.Title()
 	}
 	if key != nil {
-		p.File, p.Line = key.Place.File, key.Place.Line
+		p.File, p.Line = key.Position.File, key.Position.Line
 	}
 	d.problems = append(d.problems, p)
 }
@@ -149,13 +149,14 @@
 	}
 }
 
-// Reporter collects the problems that a Checker finds.
+// Reporter collects the problems found by a Checker.
 type Reporter struct {
 	decoder *decoder
 	section *Section
 }
 
-// Report adds a problem with a key of the section; a key that the file lacks is placed at the section's title.
+// Report adds a problem with a key of the section; if the file lacks the key, the problem is located at the section's
+// title.
 func (r *Reporter) Report(key, text, allowed string) {
 	var found *Key
 	if r.section != nil {
@@ -164,7 +165,7 @@
 	r.decoder.report(r.section, found, key, text, allowed)
 }
 
-// Section returns the reporter of a section, for problems that concern several sections.
+// Section returns the reporter of a section, for problems that involve several sections.
 func (r *Reporter) Section(kind, name string) *Reporter {
 	section := r.decoder.document.Find(kind, name)
 	if section == nil {
@@ -173,8 +174,8 @@
 	return &Reporter{decoder: r.decoder, section: section}
 }
 
-// Valid reports whether no problem with any of the keys is known yet, so that a check of a pair isn't misled by a value
-// that could not be read.
+// Valid reports whether no problem with any of the keys has been found so far, so that a check of a pair does not use a
+// value that could not be read.
 func (r *Reporter) Valid(keys ...string) bool {
 	for _, p := range r.decoder.problems {
 		for _, key := range keys {
@@ -186,7 +187,7 @@
 	return true
 }
 
-// Clean reports whether no problem with the section is known yet.
+// Clean reports whether no problem with the section has been found so far.
 func (r *Reporter) Clean() bool {
 	for _, p := range r.decoder.problems {
 		if r.section != nil && p.Section == r.section.Title() {
@@ -196,7 +197,7 @@
 	return true
 }
 
-// Value returns the key's text in the file and whether the file has it.
+// Value returns the key's text in the file and whether the file sets the key.
 func (r *Reporter) Value(key string) (string, bool) {
 	if r.section == nil {
 		return "", false
--- a/internal/settings/inifile/doc.go
+++ b/internal/settings/inifile/doc.go
@@ -17,10 +17,10 @@
 //		Labels  Labels        `ini:"labels" optional:"true" doc:"Labels of the host."`
 //	}
 //
-// A key without a default is required unless it is optional. Sections and keys that the target doesn't have, values
-// without their unit, values out of range and repeated sections and keys are problems; all problems of a file are
-// reported together, each with its file, line, section, key and what is allowed.
+// A key without a default is required unless it is optional. Unknown sections and keys, values without
+// their unit, values out of range and duplicate sections and keys are errors. All problems of a file are reported
+// together, each with its file, line, section, key and allowed values.
 //
-// gopkg.in/ini.v1 does the parsing. Its own mapping to structs is not used since it passes over unknown keys and values
-// that it can't read, and since it gives no lines.
+// gopkg.in/ini.v1 does the parsing. Its own struct mapping is not used because it ignores unknown keys and values
+// that it can't parse, and because it reports no line numbers.
 package inifile
--- a/internal/settings/inifile/document.go
+++ b/internal/settings/inifile/document.go
@@ -9,8 +9,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Place is where a key's value comes from.
-type Place struct {
+// Position is the source of a key's value.
+type Position struct {
 	File string
 	Line int
 }
@@ -18,7 +18,7 @@
 // Key is one setting of a section.
 type Key struct {
 	Name, Value string
-	Place       Place
+	Position    Position
 }
 
 // Section is one section of a file; `[model "x"]` has the kind "model" and the name "x".
@@ -42,10 +42,10 @@
 type Document struct {
 	Name     string
 	Sections []Section
-	// Problems are the faults of syntax; what could be parsed is in Sections nevertheless.
+	// Problems are the syntax errors; Sections holds whatever could be parsed.
 	Problems Problems
 
-	// index holds the place in Sections of the first section of each kind and name.
+	// index maps a section's kind and name to the index in Sections of the first such section.
 	index map[sectionID]int
 }
 
@@ -62,26 +62,26 @@
 	KeyValueDelimiters:         "=",
 }
 
-const sectionForm = `[kind] or [kind "name"]`
+const sectionSyntax = `[kind] or [kind "name"]`
 
-// Parse reads the sections and keys of a file; name is for messages.
+// Parse parses the sections and keys of a file; name is for messages.
 func Parse(name string, data []byte) *Document {
 	d := &Document{Name: name, index: map[sectionID]int{}}
-	places := scanLines(data)
-	for _, line := range places.unrecognized {
+	lines := scanLines(data)
+	for _, line := range lines.unrecognized {
 		d.report(Problem{Line: line, Text: "the line is neither a section, a key nor a comment", Allowed: "key = value"})
 	}
 	file, err := ini.LoadSources(loadOptions, data)
 	if err != nil {
-		d.report(Problem{Line: firstBrokenLine(data), Text: err.Error(), Allowed: sectionForm + " and key = value"})
+		d.report(Problem{Line: firstInvalidLine(data), Text: err.Error(), Allowed: sectionSyntax + " and key = value"})
 		return d
 	}
 	for i, section := range file.Sections() {
 		if i == 0 {
-			d.rejectKeysBeforeSections(section, places.at(0))
+			d.rejectKeysBeforeSections(section, lines.at(0))
 			continue
 		}
-		d.add(section, places.at(i))
+		d.add(section, lines.at(i))
 	}
 	return d
 }
@@ -93,43 +93,43 @@
 	d.Problems = append(d.Problems, p)
 }
 
-func (d *Document) rejectKeysBeforeSections(section *ini.Section, places sectionPlace) {
+func (d *Document) rejectKeysBeforeSections(section *ini.Section, lines sectionLines) {
 	for _, key := range section.Keys() {
 		d.report(Problem{
-			Line: places.line(key.Name(), 0), Key: key.Name(), Text: "the key stands before the first section",
-			Allowed: sectionForm,
+			Line: lines.line(key.Name(), 0), Key: key.Name(), Text: "the key stands before the first section",
+			Allowed: sectionSyntax,
 		})
 	}
 }
 
-func (d *Document) add(parsed *ini.Section, places sectionPlace) {
+func (d *Document) add(parsed *ini.Section, lines sectionLines) {
 	kind, name, ok := splitTitle(parsed.Name())
 	if !ok {
-		d.report(Problem{Line: places.header, Section: parsed.Name(), Text: "the section's title is malformed", Allowed: sectionForm})
+		d.report(Problem{Line: lines.header, Section: parsed.Name(), Text: "the section's title is malformed", Allowed: sectionSyntax})
 		return
 	}
-	section := Section{Kind: kind, Name: name, Line: places.header}
+	section := Section{Kind: kind, Name: name, Line: lines.header}
 	for _, key := range parsed.Keys() {
 		for n, value := range key.ValueWithShadows() {
-			place := Place{File: d.Name, Line: places.line(key.Name(), n)}
-			d.checkKey(&section, key.Name(), value, n, place)
-			section.Keys = append(section.Keys, Key{Name: key.Name(), Value: value, Place: place})
+			position := Position{File: d.Name, Line: lines.line(key.Name(), n)}
+			d.checkKey(&section, key.Name(), value, n, position)
+			section.Keys = append(section.Keys, Key{Name: key.Name(), Value: value, Position: position})
 		}
 	}
-	d.checkRepeated(&section)
+	d.checkDuplicate(&section)
 	d.append(section)
 }
 
 func (d *Document) append(section Section) {
 	id := sectionID{section.Kind, section.Name}
-	if _, known := d.index[id]; !known {
+	if _, exists := d.index[id]; !exists {
 		d.index[id] = len(d.Sections)
 	}
 	d.Sections = append(d.Sections, section)
 }
 
-func (d *Document) checkKey(section *Section, name, value string, n int, place Place) {
-	p := Problem{File: place.File, Line: place.Line, Section: section.Title(), Key: name}
+func (d *Document) checkKey(section *Section, name, value string, n int, position Position) {
+	p := Problem{File: position.File, Line: position.Line, Section: section.Title(), Key: name}
 	if n > 0 {
 		p.Text, p.Allowed = "the key stands twice in the section", "once"
 		d.report(p)
@@ -140,7 +140,7 @@
 	}
 }
 
-func (d *Document) checkRepeated(section *Section) {
+func (d *Document) checkDuplicate(section *Section) {
 	if first := d.Find(section.Kind, section.Name); first != nil {
 		d.report(Problem{
 			Line: section.Line, Section: section.Title(), Allowed: "once",
@@ -157,11 +157,12 @@
 	return nil
 }
 
-// Override sets a key of a section, which is made when the file lacks it. Origin names the flag or variable for messages.
+// Override sets a key of a section, which is added if the file does not have it. Origin is the flag or variable, for
+// messages.
 func (d *Document) Override(origin, sectionTitle, key, value string) {
 	kind, name, ok := splitTitle(sectionTitle)
 	if !ok {
-		d.report(Problem{File: origin, Section: sectionTitle, Key: key, Text: "the section's title is malformed", Allowed: sectionForm})
+		d.report(Problem{File: origin, Section: sectionTitle, Key: key, Text: "the section's title is malformed", Allowed: sectionSyntax})
 		return
 	}
 	section := d.Find(kind, name)
@@ -169,7 +170,7 @@
 		d.append(Section{Kind: kind, Name: name})
 		section = d.Find(kind, name)
 	}
-	section.set(Key{Name: key, Value: value, Place: Place{File: origin}})
+	section.set(Key{Name: key, Value: value, Position: Position{File: origin}})
 }
 
 func (s *Section) find(name string) *Key {
@@ -189,7 +190,7 @@
 	s.Keys = append(s.Keys, key)
 }
 
-// splitTitle takes a title apart into kind and name.
+// splitTitle splits a title into kind and name.
 func splitTitle(text string) (kind, name string, ok bool) {
 	kind, quoted, named := strings.Cut(strings.TrimSpace(text), " ")
 	if kind == "" || strings.ContainsAny(kind, `"[]`) {
@@ -206,12 +207,13 @@
 	return kind, name, !strings.ContainsAny(name, "\"[]\\")
 }
 
-// firstBrokenLine finds the line at which a file that can't be parsed goes wrong: the shortest beginning that fails.
-func firstBrokenLine(data []byte) int {
+// firstInvalidLine returns the line at which the parsing of an invalid file fails: the last line of the shortest prefix
+// that can't be parsed.
+func firstInvalidLine(data []byte) int {
 	lines := bytes.SplitAfter(data, []byte("\n"))
-	broken := func(i int) bool {
+	invalid := func(i int) bool {
 		_, err := ini.LoadSources(loadOptions, bytes.Join(lines[:i+1], nil))
 		return err != nil
 	}
-	return min(sort.Search(len(lines), broken)+1, len(lines))
+	return min(sort.Search(len(lines), invalid)+1, len(lines))
 }
--- a/internal/settings/inifile/format.go
+++ b/internal/settings/inifile/format.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Format writes a target, a struct or a pointer to one, as a file that Decode reads back. Optional keys that are zero
-// are left out.
+// Format formats a target, a struct or a pointer to one, as a file that Decode reads back. Optional keys that are zero
+// are omitted.
 func Format(target any) []byte {
 	v := reflect.Indirect(reflect.ValueOf(target))
 	var b strings.Builder
@@ -19,7 +19,7 @@
 	return []byte(b.String())
 }
 
-// sectionsOf returns the section values that a field holds.
+// sectionsOf returns the section values that a field contains.
 func sectionsOf(spec *sectionSpec, field reflect.Value) []reflect.Value {
 	switch {
 	case spec.form == singleSection:
@@ -54,7 +54,8 @@
 	}
 }
 
-// quote wraps a value that would otherwise lose a part that looks like a comment, its own quotes or blanks.
+// quote quotes a value from which the parser would otherwise strip quotes, surrounding white space or a part that looks
+// like a comment.
 func quote(text string) string {
 	switch {
 	case !strings.ContainsAny(text, "#;`'\"") && strings.TrimSpace(text) == text:
@@ -73,8 +74,8 @@
 	return v.IsZero()
 }
 
-// Describe writes all sections and keys of a target's type with what is allowed, their defaults and meaning, in the form
-// of a commented file.
+// Describe returns a commented file of all sections and keys of a target's type, with their meaning, allowed values and
+// defaults.
 func Describe(target any) string {
 	var b strings.Builder
 	for _, spec := range schemaOf(reflect.Indirect(reflect.ValueOf(target)).Type()) {
@@ -100,7 +101,7 @@
 	}
 }
 
-// assignment is the key's line in a description: its default, or what its user must or may write.
+// assignment returns the key's line in a description: its default, or whether it is required or optional.
 func (k *keySpec) assignment() string {
 	switch {
 	case k.hasDefault && k.defaultValue == "":
--- a/internal/settings/inifile/problem.go
+++ b/internal/settings/inifile/problem.go
@@ -6,19 +6,20 @@
 	"strings"
 )
 
-// Problem is one fault of a file.
+// Problem is one error in a file.
 type Problem struct {
-	// File is the file's name, or the flag or variable that gave the value.
+	// File is the file's name, or the flag or variable that set the value.
 	File string
-	// Line begins at 1; 0 means that the fault has no line, as with a missing section.
+	// Line starts at 1; 0 means that the problem has no line, such as a missing section.
 	Line int
-	// Section is the section's title, such as `model "x"`, and Key the key; empty where the fault concerns none.
+	// Section is the section's title, such as `model "x"`, and Key the key; they are empty if the problem concerns
+	// none.
 	Section, Key string
-	// Text says what is wrong and Allowed what may stand there.
+	// Text describes the problem and Allowed the allowed values.
 	Text, Allowed string
 }
 
-// String writes the problem on one line.
+// String formats the problem on one line.
 func (p Problem) String() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -39,10 +40,10 @@
 	return b.String()
 }
 
-// Problems is the error that holds all faults of a file.
+// Problems is an error that lists all problems of a file.
 type Problems []Problem
 
-// Error writes one problem a line.
+// Error formats the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -51,7 +52,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the problems in the order of their lines, or nil when there are none.
+// Err returns the problems sorted by line, or nil if there are none.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
--- a/internal/settings/inifile/schema.go
+++ b/internal/settings/inifile/schema.go
@@ -9,17 +9,17 @@
 type sectionSpec struct {
 	kind, doc string
 	field     int
-	form      sectionForms
+	form      sectionForm
 	typ       reflect.Type
 	nameField int
 	nameDoc   string
 	keys      []keySpec
 }
 
-type sectionForms int
+type sectionForm int
 
 const (
-	singleSection sectionForms = iota
+	singleSection sectionForm = iota
 	optionalSection
 	namedSections
 )
@@ -34,13 +34,13 @@
 	optional         bool
 	minimum, maximum string
 	oneOf            string
-	// step, where not empty, divides the value.
+	// step, if not empty, must divide the value.
 	step string
 }
 
 const noField = -1
 
-// schemaOf reads the tags of a target's type. A malformed target is a fault of the program, so it panics.
+// schemaOf reads the tags of a target's type. It panics on a malformed type, which is a programming error.
 func schemaOf(target reflect.Type) []sectionSpec {
 	var specs []sectionSpec
 	for i := range target.NumField() {
@@ -102,7 +102,7 @@
 	return names
 }
 
-// title is the section's title as it is written in a file.
+// title returns the section's title as it is written in a file.
 func (s *sectionSpec) title() string {
 	if s.form == namedSections {
 		return s.kind + ` "..."`
--- a/internal/settings/inifile/units.go
+++ b/internal/settings/inifile/units.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// ErrValue says that a value can't be read as its type.
+// ErrValue reports that a value is not valid for its key.
 var ErrValue = errors.New("inifile: value not allowed")
 
 // Bytes is a size in bytes. In a file it is written with its unit.
@@ -28,13 +28,13 @@
 	{"B", 1},
 }
 
-// UnmarshalText reads a size such as "24GiB" or "1.5 MB".
+// UnmarshalText parses a size such as "24GiB" or "1.5 MB".
 func (b *Bytes) UnmarshalText(text []byte) error {
 	number, size, ok := cutByteUnit(string(text))
 	if !ok {
 		return errors.Wrapf(ErrValue, "%q has no unit of size", text)
 	}
-	// big.Rat takes fractions and exponents; the first character excludes the forms that are no plain decimal.
+	// big.Rat also accepts fractions and exponents; isPlainDecimal excludes these forms.
 	value, ok := new(big.Rat).SetString(number)
 	if !ok || !isPlainDecimal(number) {
 		return errors.Wrapf(ErrValue, "%q is not a size", text)
@@ -58,12 +58,12 @@
 
 const maxDecimalLength = 30
 
-// isPlainDecimal also bounds the length, so that no value makes the arithmetic costly.
+// isPlainDecimal also limits the length, to bound the cost of the arithmetic.
 func isPlainDecimal(text string) bool {
 	return text != "" && len(text) <= maxDecimalLength && strings.Trim(text, "0123456789.") == ""
 }
 
-// MarshalText writes the size with the largest unit that divides it.
+// MarshalText formats the size with the largest unit that divides it.
 func (b Bytes) MarshalText() ([]byte, error) {
 	for _, unit := range byteUnits {
 		if b != 0 && int64(b)%unit.size == 0 {
@@ -73,10 +73,10 @@
 	return []byte("0B"), nil
 }
 
-// Allowed says how a size is written.
+// Allowed describes how a size is written.
 func (Bytes) Allowed() string { return bytesAllowed }
 
-// String writes the size with its unit.
+// String formats the size with its unit.
 func (b Bytes) String() string {
 	text, _ := b.MarshalText()
 	return string(text)
@@ -92,7 +92,7 @@
 	return d, nil
 }
 
-// formatDuration writes a duration without the trailing zero units of time.Duration's own form.
+// formatDuration formats a duration without the trailing zero units of time.Duration.String.
 func formatDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
--- a/internal/settings/inifile/values.go
+++ b/internal/settings/inifile/values.go
@@ -15,10 +15,10 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// describer says in words how values of a type are written.
-type describer interface{ Allowed() string }
+// allowedDescriber describes how values of a type are written.
+type allowedDescriber interface{ Allowed() string }
 
-// setValue reads text into v by its type.
+// setValue parses text into v according to v's type.
 func setValue(v reflect.Value, text string) error {
 	if reader, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		return reader.UnmarshalText([]byte(text))
@@ -52,7 +52,7 @@
 	case reflect.Slice:
 		v.Set(reflect.ValueOf(splitList(text)))
 	default:
-		panic(fmt.Sprintf("inifile: no way to read a %s", v.Type()))
+		panic(fmt.Sprintf("inifile: unsupported type %s", v.Type()))
 	}
 	if err != nil {
 		return errors.Wrapf(ErrValue, "%q can't be read", text)
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// formatValue writes v so that setValue reads an equal one.
+// formatValue formats v so that setValue parses it back to an equal value.
 func formatValue(v reflect.Value) string {
 	if writer, ok := v.Interface().(encoding.TextMarshaler); ok {
 		text, err := writer.MarshalText()
@@ -87,10 +87,10 @@
 	}
 }
 
-// check returns what is wrong with a value that could be read: out of range or none of the words.
+// check returns an error if a parsed value is empty, out of range, between steps or not one of the allowed words.
 func (k *keySpec) check(v reflect.Value, text string) error {
 	if k.oneOf != "" && !slices.Contains(strings.Fields(k.oneOf), v.String()) {
-		return errors.Wrapf(ErrValue, "%q is not among the words", text)
+		return errors.Wrapf(ErrValue, "%q is not an allowed value", text)
 	}
 	if v.Kind() == reflect.String && !k.optional && text == "" {
 		return errors.Wrap(ErrValue, "the value is empty")
@@ -101,12 +101,12 @@
 		return errors.Wrapf(ErrValue, "%s is out of range", text)
 	}
 	if k.step != "" && v.Int()%k.parse(k.step).Int() != 0 {
-		return errors.Wrapf(ErrValue, "%s is no multiple of %s", text, k.step)
+		return errors.Wrapf(ErrValue, "%s is not a multiple of %s", text, k.step)
 	}
 	return nil
 }
 
-// parse reads a bound or a step, which is written as the value is.
+// parse parses a bound or a step, which is written like a value.
 func (k *keySpec) parse(text string) reflect.Value {
 	v := reflect.New(k.typ).Elem()
 	if err := setValue(v, text); err != nil {
@@ -134,7 +134,7 @@
 	return float64(v.Int())
 }
 
-// allowed says in words what the key may be.
+// allowed describes the values that the key accepts.
 func (k *keySpec) allowed() string {
 	text := k.typeAllowed()
 	switch {
@@ -155,7 +155,7 @@
 	if k.oneOf != "" {
 		return "one of " + strings.Join(strings.Fields(k.oneOf), ", ")
 	}
-	if d, ok := reflect.Zero(k.typ).Interface().(describer); ok {
+	if d, ok := reflect.Zero(k.typ).Interface().(allowedDescriber); ok {
 		return d.Allowed()
 	}
 	if k.typ == durationType {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -10,12 +10,12 @@
 	"balsamsail/internal/settings/inifile"
 )
 
-// ErrRead says that a settings file, or a file that it names, can't be read.
+// ErrRead reports that a settings file, or a file that it names, can't be read.
 var ErrRead = errors.New("settings: cannot read file")
 
-// Source is where settings come from.
+// Source is the input that settings are read from.
 type Source struct {
-	// File names the file in messages, and Data is its text.
+	// File is the file name for messages, and Data is the file's content.
 	File string
 	Data []byte
 	// Sets are overrides of the form "section.key=value", or `kind "name".key=value` for a named section.
@@ -24,7 +24,7 @@
 	Environment []string
 }
 
-// ReadSource reads a file and takes the process's environment along.
+// ReadSource reads a file and adds the process's environment.
 func ReadSource(path string, sets ...string) (Source, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return Source{File: path, Data: data, Sets: sets, Environment: os.Environ()}, nil
 }
 
-// decode fills the target from the source. The error is an inifile.Problems.
+// decode decodes the source into the target. The error is an inifile.Problems.
 func (s Source) decode(target any) error {
 	document := inifile.Parse(s.File, s.Data)
 	for _, pair := range s.Environment {
@@ -52,8 +52,8 @@
 
 func overrideFromEnvironment(document *inifile.Document, pair string) {
 	name, value, _ := strings.Cut(pair, "=")
-	rest, ours := strings.CutPrefix(name, environmentPrefix)
-	if !ours {
+	rest, matched := strings.CutPrefix(name, environmentPrefix)
+	if !matched {
 		return
 	}
 	section, key, _ := strings.Cut(strings.ToLower(rest), environmentSeparator)
@@ -61,16 +61,16 @@
 }
 
 func overrideFromSet(document *inifile.Document, set string) {
-	place, value, assigned := strings.Cut(set, "=")
-	dot := strings.LastIndex(place, ".")
+	target, value, assigned := strings.Cut(set, "=")
+	dot := strings.LastIndex(target, ".")
 	if !assigned || dot < 0 {
 		document.Problems = append(document.Problems, inifile.Problem{
 			File: "-set", Text: fmt.Sprintf("%q is malformed", set), Allowed: "section.key=value",
 		})
 		return
 	}
-	section, key := strings.TrimSpace(place[:dot]), strings.TrimSpace(place[dot+1:])
-	document.Override(fmt.Sprintf("-set %s", place), section, key, strings.TrimSpace(value))
+	section, key := strings.TrimSpace(target[:dot]), strings.TrimSpace(target[dot+1:])
+	document.Override(fmt.Sprintf("-set %s", target), section, key, strings.TrimSpace(value))
 }
 
 func load[T any](path string, sets []string) (*T, error) {
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -1,6 +1,6 @@
 package settings
 
-// Parse reads settings of a role's type from a source that need not be a file.
+// Parse reads the settings of type T from a source, which need not be a file.
 func Parse[T any](source Source) (*T, error) {
 	target := new(T)
 	if err := source.decode(target); err != nil {
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -12,7 +12,7 @@
 
 const redacted = "[redacted]"
 
-// Secret holds credentials. It prints, logs and marshals as a fixed text; only Reveal returns it.
+// Secret holds credentials. It is formatted, logged and marshaled as a fixed text; only Reveal returns its value.
 type Secret struct{ value string }
 
 // NewSecret wraps credentials.
@@ -20,7 +20,8 @@
 
 const maxSecretBytes = 64 << 10
 
-// ReadSecret reads credentials from a file, without the blanks around them. An empty file is an error.
+// ReadSecret reads credentials from a file and trims the surrounding white space. A file that is empty, too long or has
+// several lines is an error.
 func ReadSecret(path string) (Secret, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -36,7 +37,7 @@
 // Reveal returns the credentials.
 func (s Secret) Reveal() string { return s.value }
 
-// Empty reports whether there are no credentials.
+// Empty reports whether the secret is empty.
 func (s Secret) Empty() bool { return s.value == "" }
 
 // String implements fmt.Stringer.
@@ -51,7 +52,8 @@
 // MarshalText implements encoding.TextMarshaler, which encoding/json uses too.
 func (s Secret) MarshalText() ([]byte, error) { return []byte(redacted), nil }
 
-// readCredentials reads the file that a section's credentials_file names, if any, and reports one that can't be read.
+// readCredentials reads the file that a section's credentials_file names, if any, and reports a problem if it can't be
+// read.
 func readCredentials(r *inifile.Reporter, path string) Secret {
 	if path == "" {
 		return Secret{}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -113,12 +113,12 @@
 		{"entry: backoff", RoleEntry, entryText + "[replicas]\nmin_backoff = 5s\n", "x.ini:11: [replicas] min_backoff: the value is above max_backoff"},
 		{"entry: heartbeat", RoleEntry, entryText + "[membership]\nheartbeat_interval = 3s\n", "x.ini:10: [membership] silence_limit: one late heartbeat would count as a loss; allowed: at least twice heartbeat_interval"},
 		{"entry: contradiction over sections", RoleEntry, entryText + "timeout = 5s\n[declarations]\nedit_timeout = 1s\n", "x.ini:12: [declarations] edit_timeout: an edit would end before one call of the table may; allowed: at least timeout of [platform]"},
-		{"entry: log level", RoleEntry, entryText + "[log]\nlevel = trace\n", `x.ini:11: [log] level: "trace" is not among the words; allowed: one of debug, info, warn, error`},
-		{"agent: kind", RoleAgent, strings.Replace(agentText, "kind = engine", "kind = gpu", 1), `x.ini:6: [endpoint] kind: "gpu" is not among the words; allowed: one of engine, service`},
+		{"entry: log level", RoleEntry, entryText + "[log]\nlevel = trace\n", `x.ini:11: [log] level: "trace" is not an allowed value; allowed: one of debug, info, warn, error`},
+		{"agent: kind", RoleAgent, strings.Replace(agentText, "kind = engine", "kind = gpu", 1), `x.ini:6: [endpoint] kind: "gpu" is not an allowed value; allowed: one of engine, service`},
 		{"agent: memory of a service", RoleAgent, strings.Replace(agentText, "kind = engine", "kind = service\nmemory = 1GiB", 1), "x.ini:7: [endpoint] memory: a plain service takes no orders; allowed: only with kind = engine"},
-		{"agent: truth value", RoleAgent, strings.Replace(agentText, "kind = engine", "kind = engine\nchecks_fencing = 1", 1), `x.ini:7: [endpoint] checks_fencing: "1" can't be read; allowed: true or false`},
+		{"agent: boolean", RoleAgent, strings.Replace(agentText, "kind = engine", "kind = engine\nchecks_fencing = 1", 1), `x.ini:7: [endpoint] checks_fencing: "1" can't be read; allowed: true or false`},
 		{"agent: no credentials", RoleAgent, strings.Replace(agentText, "kind = engine", "kind = engine\ncredentials_file = /nonexistent/token", 1), "x.ini:7: [endpoint] credentials_file: open /nonexistent/token: no such file or directory"},
-		{"agent: order life", RoleAgent, agentText + "[order]\nmax_life = 1s\n", "x.ini:13: [order] timeout: the value is above max_life"},
+		{"agent: order timeout", RoleAgent, agentText + "[order]\nmax_life = 1s\n", "x.ini:13: [order] timeout: the value is above max_life"},
 		{"agent: queue", RoleAgent, agentText + "[queue]\nmax_per_target = 2000\n", "x.ini:14: [queue] max_per_target: the value is above max_waiting"},
 		{"agent: labels", RoleAgent, strings.Replace(agentText, "kind = engine", "kind = engine\nlabels = gpu:h100", 1), `x.ini:7: [endpoint] labels: "gpu:h100" is not a label; allowed: labels such as gpu=h100, pool=day`},
 		{"agent: entry's section", RoleAgent, agentText + "[replicas]\n", "x.ini:13: [replicas] unknown section; allowed: [agent], [endpoint]"},
@@ -126,7 +126,7 @@
 		{"platform: host twice", RoleStandinPlatform, hostText + "[host \"entry-1\"]\n", `x.ini:7: [host "entry-1"] the section stands twice, first on line 3`},
 		{"platform: host without name", RoleStandinPlatform, hostText + "[host]\n", "x.ini:7: [host] the section's title has or lacks a name; allowed: [host \"...\"]"},
 		{"engine: cache above memory", RoleStandinEngine, standinText + "[engine]\nmemory = 4GiB\n", "x.ini:3: [engine] kv: the value is above memory"},
-		{"engine: fencing", RoleStandinEngine, standinText + "[engine]\nfencing = maybe\n", `x.ini:4: [engine] fencing: "maybe" is not among the words; allowed: one of checks, ignores`},
+		{"engine: fencing", RoleStandinEngine, standinText + "[engine]\nfencing = maybe\n", `x.ini:4: [engine] fencing: "maybe" is not an allowed value; allowed: one of checks, ignores`},
 		{"service: key twice", RoleStandinService, standinText + "[service]\nconcurrency = 1\nconcurrency = 2\n", "x.ini:5: [service] concurrency: the key stands twice in the section"},
 		{"service: no key", RoleStandinService, standinText + "[service]\nconcurrency\n", "x.ini:4: the line is neither a section, a key nor a comment; allowed: key = value"},
 	}
@@ -216,13 +216,13 @@
 	}
 }
 
-// Every role's description must be a file that reads as the role's defaults, and explain each key.
+// The description of every role must parse as the role's defaults and document each key.
 func TestDescriptionsReadAsDefaults(t *testing.T) {
 	for _, role := range []Role{RoleEntry, RoleAgent, RoleStandinPlatform, RoleStandinEngine, RoleStandinService} {
 		t.Run(string(role), func(t *testing.T) {
 			text := Describe(role)
 			if strings.Contains(text, "\n# \n") {
-				t.Error("a key is not explained")
+				t.Error("a key is not documented")
 			}
 			err := decodeRole(role, text)
 			var problems inifile.Problems
--- a/internal/settings/standin.go
+++ b/internal/settings/standin.go
@@ -6,7 +6,7 @@
 	"balsamsail/internal/settings/inifile"
 )
 
-// StandinPlatform is the settings of the platform's stand-in.
+// StandinPlatform holds the settings of the platform's stand-in.
 type StandinPlatform struct {
 	Standin Standin       `section:"standin" doc:"The process itself."`
 	Table   StoreLimits   `section:"table" doc:"Limits of the transactional table."`
@@ -17,14 +17,14 @@
 	Log     Log           `section:"log" doc:"Logs."`
 }
 
-// Standin names a stand-in and its address.
+// Standin holds a stand-in's name and address.
 type Standin struct {
 	Name   string          `ini:"name" default:"standin" doc:"Name of the stand-in."`
 	Listen inifile.Address `ini:"listen" doc:"Address for HTTP."`
 	Seed   int64           `ini:"seed" default:"1" doc:"Seed of the chances of faults."`
 }
 
-// StoreLimits limits a store's calls.
+// StoreLimits limits the rate of a store's calls.
 type StoreLimits struct {
 	ReadsPerSecond  float64 `ini:"reads_per_second" default:"2000" min:"0.1" max:"1000000" doc:"Reads a second."`
 	WritesPerSecond float64 `ini:"writes_per_second" default:"400" min:"0.1" max:"1000000" doc:"Writes a second."`
@@ -37,7 +37,7 @@
 	Adapters       int     `ini:"adapters" default:"30" min:"1" max:"100000" doc:"Adapters in transit."`
 }
 
-// HostList sets the host list.
+// HostList configures the host list.
 type HostList struct {
 	Lag        time.Duration `ini:"lag" default:"0s" min:"0s" max:"1h" doc:"Time by which the list runs behind."`
 	GoneListed time.Duration `ini:"gone_listed" default:"1m" min:"0s" max:"24h" doc:"Time for which a host that is gone stays listed."`
@@ -66,7 +66,7 @@
 	}
 }
 
-// StandinEngine is the settings of an engine's stand-in.
+// StandinEngine holds the settings of an engine's stand-in.
 type StandinEngine struct {
 	Standin Standin        `section:"standin" doc:"The process itself."`
 	Engine  EngineBehavior `section:"engine" doc:"How the engine behaves."`
@@ -76,12 +76,12 @@
 	Credentials Secret
 }
 
-// Check implements inifile.Checker. It reads the credentials.
+// Check implements inifile.Checker. It also reads the credentials.
 func (s *StandinEngine) Check(r *inifile.Reporter) {
 	s.Credentials = readCredentials(r.Section("engine", ""), s.Engine.CredentialsFile)
 }
 
-// EngineBehavior says how a stand-in engine behaves.
+// EngineBehavior configures the behavior of a stand-in engine.
 type EngineBehavior struct {
 	Memory          inifile.Bytes `ini:"memory" default:"80GiB" min:"1B" max:"1024TiB" doc:"Accelerator memory."`
 	KV              inifile.Bytes `ini:"kv" default:"8GiB" min:"0B" max:"1024TiB" doc:"Part of the memory that is set aside for the KV cache."`
@@ -109,18 +109,18 @@
 
 // Check implements inifile.Checker.
 func (e *EngineBehavior) Check(r *inifile.Reporter) {
-	order[int64]{"kv", "memory", int64(e.KV), int64(e.Memory)}.report(r)
-	order[int]{"max_batch", "max_running", e.MaxBatch, e.MaxRunning}.report(r)
+	orderedPair[int64]{"kv", "memory", int64(e.KV), int64(e.Memory)}.report(r)
+	orderedPair[int]{"max_batch", "max_running", e.MaxBatch, e.MaxRunning}.report(r)
 }
 
-// StandinService is the settings of a plain service's stand-in.
+// StandinService holds the settings of a plain service's stand-in.
 type StandinService struct {
 	Standin Standin         `section:"standin" doc:"The process itself."`
 	Service ServiceBehavior `section:"service" doc:"How the service behaves."`
 	Log     Log             `section:"log" doc:"Logs."`
 }
 
-// ServiceBehavior says how a stand-in service behaves.
+// ServiceBehavior configures the behavior of a stand-in service.
 type ServiceBehavior struct {
 	ServiceTime    time.Duration `ini:"service_time" default:"0s" min:"0s" max:"10m" doc:"Time of a call."`
 	Concurrency    int           `ini:"concurrency" default:"64" min:"1" max:"100000" doc:"Calls that run at once; others wait."`
