--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -13,26 +13,27 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// holdBytes is how much of an answer that is not streamed is held back until it is known to be whole, so that an attempt
-// that breaks can still be repeated.
-const holdBytes = 256 << 10
+// maxHeldBytes is how much of a response that is not streamed is held back until it is known to be complete, so that a
+// failed attempt can still be retried.
+const maxHeldBytes = 256 << 10
 
-// maxStatus is the highest status that an answer may have.
+// maxStatus is the highest valid HTTP status of a response.
 const maxStatus = 999
 
-// errAnswerMismatch says that an answer's length or checksum is not what its trailer says.
-var errAnswerMismatch = errors.New("entry: answer does not match its trailer")
+// errResponseMismatch means that a response's length or checksum differs from its trailer.
+var errResponseMismatch = errors.New("entry: response does not match its trailer")
 
-// errCallerGone says that the caller's connection does not take the answer.
-var errCallerGone = errors.New("entry: caller gone")
+// errCallerGone means that the response could not be written to the caller's connection.
+var errCallerGone = errors.New("entry: caller disconnected")
 
-// answer passes one answer to the caller. The caller's body is ended cleanly only after the trailer has matched; in
-// every other case the connection is cut, so that a caller never takes a part of an answer for the whole.
-type answer struct {
+// response forwards one response to the caller. The caller's body is ended cleanly only after the trailer has been
+// verified; in every other case the connection is aborted, so that a caller never takes a truncated response for a
+// complete one.
+type response struct {
 	w         http.ResponseWriter
 	control   *http.ResponseController
 	requestID string
-	begun     bool
+	headSent  bool
 	streamed  bool
 	head      *wirepb.Head
 	held      []byte
@@ -40,21 +41,21 @@
 	checksum  *xxhash.Digest
 }
 
-func newAnswer(w http.ResponseWriter, requestID string) *answer {
-	return &answer{w: w, control: http.NewResponseController(w), requestID: requestID, checksum: xxhash.New()}
+func newResponse(w http.ResponseWriter, requestID string) *response {
+	return &response{w: w, control: http.NewResponseController(w), requestID: requestID, checksum: xxhash.New()}
 }
 
-// reset forgets an attempt's answer of which nothing was sent.
-func (a *answer) reset() {
+// reset discards a response of which nothing has been sent, before the next attempt.
+func (a *response) reset() {
 	a.head = nil
 	a.held = a.held[:0]
 	a.length = 0
 	a.checksum.Reset()
 }
 
-// setHead takes the head of the endpoint's answer. One whose status is that of no answer is not taken, so that what
-// follows does not match.
-func (a *answer) setHead(head *wirepb.Head) {
+// setHead sets the head of the endpoint's response. A head with an invalid status is ignored, so that the frames after
+// it fail verification.
+func (a *response) setHead(head *wirepb.Head) {
 	if head.Status < http.StatusOK || head.Status > maxStatus {
 		return
 	}
@@ -67,26 +68,26 @@
 	}
 }
 
-// add takes a part of the body.
-func (a *answer) add(data []byte) error {
+// addBody adds a part of the body.
+func (a *response) addBody(data []byte) error {
 	if a.head == nil {
-		return errAnswerMismatch
+		return errResponseMismatch
 	}
 	a.length += uint64(len(data))
 	_, _ = a.checksum.Write(data)
-	if !a.begun && !a.streamed && len(a.held)+len(data) <= holdBytes {
+	if !a.headSent && !a.streamed && len(a.held)+len(data) <= maxHeldBytes {
 		a.held = append(a.held, data...)
 		return nil
 	}
-	if !a.begun {
-		a.begin(-1)
+	if !a.headSent {
+		a.sendHead(-1)
 	}
 	return a.send(data)
 }
 
-// begin sends the head and what was held back. length is the body's length in bytes, -1 when it is not known.
-func (a *answer) begin(length int) {
-	a.begun = true
+// sendHead sends the status and headers. length is the body's length in bytes, -1 when it is not known.
+func (a *response) sendHead(length int) {
+	a.headSent = true
 	h := a.w.Header()
 	for _, header := range a.head.Headers {
 		if !hopByHop[http.CanonicalHeaderKey(header.Name)] {
@@ -101,12 +102,12 @@
 	a.w.WriteHeader(int(a.head.Status))
 }
 
-// stallTimeout bounds how long a caller may take no byte of an answer that is there. A caller that has stopped reading
-// would otherwise hold a place at the engine for as long as an answer may last.
+// stallTimeout bounds each write to a caller that has stopped reading. Without it such a caller would hold a place at
+// the engine for up to MaxAnswer.
 const stallTimeout = 30 * time.Second
 
-// send writes to the caller, first what was held back.
-func (a *answer) send(data []byte) error {
+// send writes data to the caller, after any held bytes.
+func (a *response) send(data []byte) error {
 	_ = a.control.SetWriteDeadline(time.Now().Add(stallTimeout))
 	if len(a.held) > 0 {
 		held := a.held
@@ -124,20 +125,20 @@
 	return nil
 }
 
-// verify checks the answer against its trailer.
-func (a *answer) verify(t *wirepb.Trailer) error {
+// verify checks the response against its trailer.
+func (a *response) verify(t *wirepb.Trailer) error {
 	if a.head == nil || a.length != t.Length || a.checksum.Sum64() != t.Checksum {
-		return errAnswerMismatch
+		return errResponseMismatch
 	}
 	return nil
 }
 
-// finish ends a whole answer.
-func (a *answer) finish() error {
-	if a.begun {
+// finish sends a complete response that has been held back.
+func (a *response) finish() error {
+	if a.headSent {
 		return nil
 	}
-	a.begin(len(a.held))
+	a.sendHead(len(a.held))
 	_ = a.control.SetWriteDeadline(time.Now().Add(stallTimeout))
 	if _, err := a.w.Write(a.held); err != nil {
 		return errors.Wrap(errCallerGone, err.Error())
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// hopByHop are the header fields that concern one connection only (RFC 9110, section 7.6.1).
+// hopByHop are the header fields that apply to a single connection (RFC 9110, section 7.6.1).
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -158,8 +159,8 @@
 	"Upgrade":             true,
 }
 
-// recorded is the answer as a claim records it: the body only when it was held whole.
-func (a *answer) recorded() atmostonce.Answer {
+// claimAnswer returns the response as a claim records it; the body is included only when all of it was held back.
+func (a *response) claimAnswer() atmostonce.Answer {
 	if a.head == nil {
 		return atmostonce.Answer{}
 	}
--- a/internal/entry/apierror.go
+++ b/internal/entry/apierror.go
@@ -9,10 +9,10 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// Code is the stable code of an error answer; docs/ERRORS.md lists what each means to a caller.
+// Code is the stable code of an error response; docs/ERRORS.md documents each code for callers.
 type Code string
 
-// The codes.
+// Error codes.
 const (
 	CodeBadRequest       Code = "bad_request"
 	CodeModelNotFound    Code = "model_not_found"
@@ -32,17 +32,17 @@
 	CodeCallerGone       Code = "caller_gone"
 )
 
-// OutcomeWord says whether the request had an effect.
-type OutcomeWord string
+// Outcome states whether the request had an effect.
+type Outcome string
 
-// The outcomes of a request that was not served.
+// Outcomes of a request that was not served.
 const (
-	// OutcomeNotRun: the request certainly had no effect.
-	OutcomeNotRun OutcomeWord = "not_run"
-	// OutcomeUnknown: the request may have had its effect.
-	OutcomeUnknown OutcomeWord = "outcome_unknown"
-	// OutcomeRan: the request ran once before; its answer is not at hand.
-	OutcomeRan OutcomeWord = "ran"
+	// OutcomeNotRun means that the request certainly had no effect.
+	OutcomeNotRun Outcome = "not_run"
+	// OutcomeUnknown means that the request may have had its effect.
+	OutcomeUnknown Outcome = "outcome_unknown"
+	// OutcomeRan means that the request ran before and its response is not available.
+	OutcomeRan Outcome = "ran"
 )
 
 const (
@@ -54,23 +54,23 @@
 	headerRetry     = "Retry-After"
 )
 
-// apiError is an error answer to a caller.
+// apiError is an error response to a caller.
 type apiError struct {
 	status  int
 	code    Code
-	outcome OutcomeWord
+	outcome Outcome
 	message string
-	// retryAfter is when the request may be tried again; 0 when trying again will not help.
+	// retryAfter is the delay before the request may be retried; 0 when a retry will not help.
 	retryAfter time.Duration
 }
 
-// notRun returns the error answer to a request that certainly did not run.
+// notRun returns the error response to a request that certainly did not run.
 func notRun(status int, code Code, message string, retryAfter time.Duration) *apiError {
 	return &apiError{status: status, code: code, outcome: OutcomeNotRun, message: message, retryAfter: retryAfter}
 }
 
-// unknown returns the error answer to a request that may have run.
-func unknown(message string) *apiError {
+// outcomeUnknown returns the error response to a request that may have run.
+func outcomeUnknown(message string) *apiError {
 	return &apiError{
 		status:  http.StatusBadGateway,
 		code:    CodeOutcomeUnknown,
@@ -79,18 +79,18 @@
 	}
 }
 
-// errorDocument is the body of an error answer, in the form that clients of chat completions know.
+// errorDocument is the body of an error response, in the format of chat completion APIs.
 type errorDocument struct {
 	Error errorDetail `json:"error"`
 }
 
 type errorDetail struct {
-	Message      string      `json:"message"`
-	Type         string      `json:"type"`
-	Code         Code        `json:"code"`
-	Outcome      OutcomeWord `json:"outcome"`
-	RequestID    string      `json:"request_id"`
-	RetryAfterMS int64       `json:"retry_after_ms,omitempty"`
+	Message      string  `json:"message"`
+	Type         string  `json:"type"`
+	Code         Code    `json:"code"`
+	Outcome      Outcome `json:"outcome"`
+	RequestID    string  `json:"request_id"`
+	RetryAfterMS int64   `json:"retry_after_ms,omitempty"`
 }
 
 func (e *apiError) document(requestID string) []byte {
@@ -109,33 +109,33 @@
 	return append(body, '\n')
 }
 
-// write sends the error answer.
+// write sends the error response.
 func (e *apiError) write(w http.ResponseWriter, requestID string) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(headerRequestID, requestID)
 	h.Set(headerOutcome, string(e.outcome))
 	if e.retryAfter > 0 {
-		h.Set(headerRetry, strconv.FormatInt(wholeSeconds(e.retryAfter), 10))
+		h.Set(headerRetry, strconv.FormatInt(ceilSeconds(e.retryAfter), 10))
 	}
 	w.WriteHeader(e.status)
 	_, _ = w.Write(e.document(requestID))
 }
 
-// wholeSeconds rounds up, since Retry-After counts whole seconds and must not be too early.
-func wholeSeconds(d time.Duration) int64 {
+// ceilSeconds rounds up to whole seconds, because Retry-After has that unit and must not be too early.
+func ceilSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
 
-// refusalAnswer is how a refusal by reason is told to the caller.
-type refusalAnswer struct {
+// refusalResponse is the error response for a refusal reason.
+type refusalResponse struct {
 	status  int
 	code    Code
 	message string
 }
 
-// refusalAnswers maps reasons to answers. All of them are "not run" and may be tried again.
-var refusalAnswers = map[wirepb.RefusalReason]refusalAnswer{
+// refusalResponses maps refusal reasons to error responses. In all of them the request did not run and may be retried.
+var refusalResponses = map[wirepb.RefusalReason]refusalResponse{
 	wirepb.RefusalReason_QUEUE_FULL:           {http.StatusTooManyRequests, CodeOverloaded, "the queue is full"},
 	wirepb.RefusalReason_DEADLINE:             {http.StatusServiceUnavailable, CodeDeadline, "cannot be served by the deadline"},
 	wirepb.RefusalReason_LEAVING:              {http.StatusServiceUnavailable, CodeNoCapacity, "the endpoint is leaving"},
@@ -149,14 +149,14 @@
 	wirepb.RefusalReason_UNKNOWN_TARGET:       {http.StatusServiceUnavailable, CodeNoCapacity, "no endpoint serves the target"},
 }
 
-// minRetryAfter is the least time to come back that a refusal names.
+// minRetryAfter is the minimum Retry-After of a refusal.
 const minRetryAfter = time.Second
 
-// refused returns the error answer to a refusal.
-func refused(reason wirepb.RefusalReason, retryAfter time.Duration) *apiError {
-	a, ok := refusalAnswers[reason]
+// refusalError returns the error response to a refusal.
+func refusalError(reason wirepb.RefusalReason, retryAfter time.Duration) *apiError {
+	a, ok := refusalResponses[reason]
 	if !ok {
-		a = refusalAnswers[wirepb.RefusalReason_NOT_READY]
+		a = refusalResponses[wirepb.RefusalReason_NOT_READY]
 	}
 	return notRun(a.status, a.code, a.message, max(retryAfter, minRetryAfter))
 }
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -14,110 +14,110 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// attempt is one offer of a request to one endpoint.
+// attempt is one try to serve a request at one endpoint.
 type attempt struct {
-	entry     *Entry
-	rq        *request
-	candidate routing.Candidate
-	out       *answer
-	stream    *wire.Stream
-	exchange  *atmostonce.Exchange
-	began     time.Time
-	firstByte time.Duration
-	cold      bool
-	expected  time.Duration
-	stage     routing.Stage
-	running   bool
-	refusal   *wirepb.Refused
-	lastWord  atmostonce.ExchangeAction
-	gone      bool
-	bodyBegun bool
-	answered  int
-	fate      chan fate
-	// last is set when there is no other endpoint to move on to; hasOther looks for one again.
-	last     bool
-	hasOther func() bool
+	entry       *Entry
+	rq          *request
+	candidate   routing.Candidate
+	out         *response
+	stream      *wire.Stream
+	exchange    *atmostonce.Exchange
+	startedAt   time.Time
+	firstByte   time.Duration
+	cold        bool
+	expected    time.Duration
+	stage       routing.Stage
+	running     bool
+	refusal     *wirepb.Refused
+	endAction   atmostonce.ExchangeAction
+	callerGone  bool
+	bodyStarted bool
+	statusCode  int
+	pending     chan execution
+	// noAlternative is set when no other endpoint can take the request; hasAlternative checks again.
+	noAlternative  bool
+	hasAlternative func() bool
 
-	writing sync.Mutex
+	writeMu sync.Mutex
 }
 
-// attemptEnd is the report of an attempt.
-type attemptEnd struct {
-	attempt     routing.Attempt
-	observation routing.Observation
-	answerBegun bool
-	bodyUsed    bool
-	callerGone  bool
+// attemptResult is the result of an attempt.
+type attemptResult struct {
+	attempt         routing.Attempt
+	observation     routing.Observation
+	responseStarted bool
+	bodyConsumed    bool
+	callerGone      bool
 }
 
-func newAttempt(e *Entry, rq *request, c routing.Candidate, out *answer) *attempt {
+func newAttempt(e *Entry, rq *request, c routing.Candidate, out *response) *attempt {
 	return &attempt{
 		entry:     e,
 		rq:        rq,
 		candidate: c,
 		out:       out,
 		exchange:  atmostonce.NewExchange(!rq.idempotent),
-		began:     e.clock.Now(),
-		lastWord:  atmostonce.EndNotRun,
+		startedAt: e.clock.Now(),
+		endAction: atmostonce.EndNotRun,
 	}
 }
 
-func (t *attempt) status() int { return t.answered }
+func (t *attempt) status() int { return t.statusCode }
 
-// run makes the offer and follows the exchange to its end.
-func (t *attempt) run(ctx context.Context) attemptEnd {
+// run offers the request to the endpoint and follows the exchange to its end.
+func (t *attempt) run(ctx context.Context) attemptResult {
 	e := t.entry
-	e.sent.add(t.candidate.Endpoint, 1)
-	defer e.sent.add(t.candidate.Endpoint, -1)
+	e.inFlight.add(t.candidate.Endpoint, 1)
+	defer e.inFlight.add(t.candidate.Endpoint, -1)
 	e.record(timeline.RequestOffered, t.rq, t.candidate.Endpoint, "")
 	stream, err := e.members.Open(t.candidate.Endpoint)
 	if err != nil {
 		return t.end(routing.OutcomeNotSent)
 	}
 	t.stream = stream
-	stopWaking := wakeAtEnd(ctx, stream)
-	defer stopWaking()
+	stopInterrupt := interruptOnDone(ctx, stream)
+	defer stopInterrupt()
 	if err := t.offer(); err != nil {
 		_ = stream.Close()
-		return t.end(t.notTaken())
+		return t.end(t.offerFailedOutcome())
 	}
-	t.follow(ctx)
-	stopWaking()
-	t.confirmWithdrawal()
+	t.readFrames(ctx)
+	stopInterrupt()
+	t.confirmCancel()
 	if t.exchange.Open() {
-		t.fate = make(chan fate, 1)
-		go t.awaitFate()
+		t.pending = make(chan execution, 1)
+		go t.awaitExecution()
 	} else {
 		_ = stream.Close()
 	}
 	return t.end(t.outcome())
 }
 
-// wakeAtEnd wakes the stream's reader when ctx ends. After the function that it returns no wake comes any more: a late one
-// would end the wait for the agent's last word.
-func wakeAtEnd(ctx context.Context, stream *wire.Stream) func() {
-	woken := make(chan struct{})
+// interruptOnDone interrupts a blocked read of the stream when ctx ends. Once the returned function has returned, no
+// interrupt can occur: a late one would end the wait for the agent's confirmation of a cancel.
+func interruptOnDone(ctx context.Context, stream *wire.Stream) func() {
+	interrupted := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		_ = stream.SetReadDeadline(time.Unix(1, 0))
-		close(woken)
+		close(interrupted)
 	})
 	return sync.OnceFunc(func() {
 		if !stop() {
-			<-woken
+			<-interrupted
 		}
 	})
 }
 
-// withdrawalPatience bounds the wait for the agent's word on a withdrawn request.
-const withdrawalPatience = 100 * time.Millisecond
+// cancelConfirmTimeout bounds the wait for the agent's reply to a cancel.
+const cancelConfirmTimeout = 100 * time.Millisecond
 
-// confirmWithdrawal waits a moment for the agent's word that a withdrawn request, which was not known to run, did not.
-// Without it the caller would be told that the outcome is unknown.
-func (t *attempt) confirmWithdrawal() {
-	if t.lastWord != atmostonce.EndUnknown || t.running || t.gone || t.exchange.Open() {
+// confirmCancel waits briefly for the agent to confirm that a cancelled request, which was not known to be running, did
+// not run. Without the confirmation the caller would get "outcome unknown".
+func (t *attempt) confirmCancel() {
+	if t.endAction != atmostonce.EndUnknown || t.running || t.callerGone || t.exchange.Open() {
 		return
 	}
-	_ = t.stream.SetReadDeadline(t.entry.clock.Now().Add(withdrawalPatience))
+	_ = t.stream.SetReadDeadline(t.entry.clock.Now().Add(cancelConfirmTimeout))
 	for {
 		frame := &wirepb.FromAgent{}
 		if err := t.stream.Read(frame); err != nil || frame.RequestId != t.rq.id || frame.GetHead() != nil {
@@ -125,15 +125,15 @@
 		}
 		if refused := frame.GetRefused(); refused != nil {
 			t.refusal = refused
-			t.lastWord = atmostonce.EndNotRun
+			t.endAction = atmostonce.EndNotRun
 			return
 		}
 	}
 }
 
-// notTaken is the outcome of an offer that could not be written whole. A two-step request can't have begun without its
-// commit; another one might have, if the frame did arrive.
-func (t *attempt) notTaken() routing.Outcome {
+// offerFailedOutcome returns the outcome when the offer could not be written completely. A two-step request cannot have
+// started without its commit; any other request may have, if the frame arrived after all.
+func (t *attempt) offerFailedOutcome() routing.Outcome {
 	if t.rq.idempotent {
 		return routing.OutcomeBroken
 	}
@@ -154,22 +154,22 @@
 		Headers:        rq.headers,
 		BodyLength:     rq.length,
 		Body:           rq.body,
-		BodyDone:       rq.isWhole(),
+		BodyDone:       rq.hasFullBody(),
 		Caller:         rq.caller,
 		Stream:         rq.stream,
 	}}})
 }
 
-// follow reads frames until the attempt has ended.
-func (t *attempt) follow(ctx context.Context) {
+// readFrames reads frames until the attempt has ended.
+func (t *attempt) readFrames(ctx context.Context) {
 	for {
-		t.setPatience(ctx)
+		t.setReadDeadline(ctx)
 		frame := &wirepb.FromAgent{}
 		err := t.stream.Read(frame)
-		if t.staysForWantOfOther(ctx, err) {
+		if t.keepsWaiting(ctx, err) {
 			continue
 		}
-		event := t.eventOf(ctx, frame, err)
+		event := t.handleFrame(ctx, frame, err)
 		for _, action := range t.exchange.Step(event) {
 			if t.act(action) {
 				return
@@ -178,69 +178,70 @@
 	}
 }
 
-// staysForWantOfOther reports whether the patience with a waiting request has ended while no other endpoint can take it.
+// keepsWaiting reports whether a waiting request stays at its endpoint after a read timeout because no other endpoint
+// can take it.
 //
-// The other endpoint that was there when the request was offered may have left since, as in a restart of all agents in
-// turn. A request withdrawn then has nowhere to go, and where the agent's word on the withdrawal is late, its caller is
-// told that the outcome is unknown although there was time to be served. So the request stays until its deadline.
-func (t *attempt) staysForWantOfOther(ctx context.Context, err error) bool {
-	if !errors.Is(err, wire.ErrTimeout) || ctx.Err() != nil || t.running || t.last || t.hasOther() {
+// The alternative that existed when the request was offered may have left since, for example in a rolling restart of
+// all agents. A cancelled request would then have nowhere to go, and if the agent's confirmation is late, the caller
+// gets "outcome unknown" although there was still time to serve the request. So the request stays until its deadline.
+func (t *attempt) keepsWaiting(ctx context.Context, err error) bool {
+	if !errors.Is(err, wire.ErrTimeout) || ctx.Err() != nil || t.running || t.noAlternative || t.hasAlternative() {
 		return false
 	}
-	t.last = true
+	t.noAlternative = true
 	return true
 }
 
-// setPatience bounds the wait for the next frame.
-func (t *attempt) setPatience(ctx context.Context) {
+// setReadDeadline bounds the wait for the next frame.
+func (t *attempt) setReadDeadline(ctx context.Context) {
 	now := t.entry.clock.Now()
-	_ = t.stream.SetReadDeadline(now.Add(max(t.frameWait(t.rq.deadline.Sub(now)), time.Millisecond)))
+	_ = t.stream.SetReadDeadline(now.Add(max(t.frameTimeout(t.rq.deadline.Sub(now)), time.Millisecond)))
 	if ctx.Err() != nil {
 		_ = t.stream.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// frameWait is how long to wait for the next frame. Before the request runs a silent endpoint is given up early, in time
-// to try another one; once it runs only the deadline counts, and a streamed answer whose first bytes came is bounded by
-// MaxAnswer. Its head alone is no such answer: the link may break before the first bytes, and the caller would hear
-// nothing until that is noticed, long after its deadline.
-func (t *attempt) frameWait(left time.Duration) time.Duration {
+// frameTimeout returns how long to wait for the next frame. Before the request runs, the wait for a silent endpoint is
+// short enough to leave time for another one. Once it runs only the deadline counts, and a streamed response whose
+// first bytes have arrived is bounded by MaxAnswer. A head alone does not count as first bytes: the link may break
+// right after it, and the caller would then get nothing until the broken link is detected, long after its deadline.
+func (t *attempt) frameTimeout(left time.Duration) time.Duration {
 	switch {
 	case t.firstByte > 0 && t.rq.stream:
 		return t.entry.options.MaxAnswer
-	case !t.running && !t.last:
-		return min(left, t.patience(left))
+	case !t.running && !t.noAlternative:
+		return min(left, t.acceptTimeout(left))
 	default:
 		return left + deadlineGrace
 	}
 }
 
 const (
-	// deadlineGrace leaves the agent's own refusal at the deadline time to arrive: it says that the request did not run,
-	// which the entry cannot know by itself.
+	// deadlineGrace allows time for the agent's own refusal at the deadline to arrive. The refusal shows that the
+	// request did not run, which the entry cannot determine by itself.
 	deadlineGrace = 50 * time.Millisecond
-	// coldPatience is how many times the expected load is waited for before another engine is asked to load as well. It
-	// is large, because a slow store makes every load slow and further loads make it slower.
-	coldPatience = 4
+	// coldLoadFactor is the number of expected load times to wait before another engine is asked to load the model as
+	// well. It is large because a slow weight store makes every load slow, and further loads make it slower still.
+	coldLoadFactor = 4
 )
 
-// patience is how long a waiting request stays with its endpoint while another one could be tried.
+// acceptTimeout returns how long a waiting request stays with its endpoint while another one could be tried.
 //
-// A load that is about to end leaves next to nothing to expect. The floor of PatienceFor keeps such a request from being
-// withdrawn in the moment in which it starts, which its caller would see as an unknown outcome with seconds to spare.
-func (t *attempt) patience(left time.Duration) time.Duration {
+// When a load is about to finish, the expected wait is close to zero. The minimum that PatienceFor applies prevents the
+// request from being cancelled just as it starts, which would give the caller an unknown outcome with seconds left.
+func (t *attempt) acceptTimeout(left time.Duration) time.Duration {
 	if !t.cold {
 		return routing.PatienceFor(t.stage, left, t.expected)
 	}
-	wait := max(coldPatience*t.expected, routing.PatienceFor(t.stage, left, t.expected))
+	wait := max(coldLoadFactor*t.expected, routing.PatienceFor(t.stage, left, t.expected))
 	if t.expected == 0 || left-wait <= t.expected {
-		// Another engine could not load in what would be left.
+		// Another engine could not load the model in the remaining time.
 		return left
 	}
 	return wait
 }
 
-// act carries out one action of the exchange and reports whether the attempt has ended.
+// act performs one action of the exchange and reports whether the attempt has ended.
 func (t *attempt) act(action atmostonce.ExchangeAction) bool {
 	switch action {
 	case atmostonce.SendCommit:
@@ -249,24 +250,24 @@
 		t.startBody()
 		return false
 	case atmostonce.SendCancel:
-		// A part of the body may wait for an endpoint that takes none, and would hold the withdrawal up.
+		// A write of the body may be blocked on an endpoint that does not read, and would delay the cancel.
 		t.stream.StopWriting()
 		_ = t.write(&wirepb.ToAgent{Frame: &wirepb.ToAgent_Cancel{Cancel: &wirepb.Cancel{}}})
 		return false
 	}
-	t.lastWord = action
+	t.endAction = action
 	return true
 }
 
-// outcome is the attempt's outcome for routing.
+// outcome returns the attempt's outcome for the routing decision.
 func (t *attempt) outcome() routing.Outcome {
-	switch t.lastWord {
+	switch t.endAction {
 	case atmostonce.EndServed:
 		return routing.OutcomeServed
 	case atmostonce.EndUnknown:
 		return routing.OutcomeBroken
 	case atmostonce.EndCut:
-		if !t.out.begun {
+		if !t.out.headSent {
 			return routing.OutcomeBroken
 		}
 		return routing.OutcomeCut
@@ -280,13 +281,13 @@
 	return routing.OutcomeNotSent
 }
 
-func (t *attempt) end(outcome routing.Outcome) attemptEnd {
+func (t *attempt) end(outcome routing.Outcome) attemptResult {
 	if outcome == routing.OutcomeServed {
 		if err := t.out.finish(); err != nil {
-			t.gone = true
+			t.callerGone = true
 		}
 	}
-	return attemptEnd{
+	return attemptResult{
 		attempt: routing.Attempt{
 			Endpoint:   t.candidate.Endpoint,
 			Outcome:    outcome,
@@ -302,8 +303,8 @@
 			FirstByte: t.firstByte,
 			Cold:      t.cold,
 		},
-		answerBegun: t.out.begun,
-		bodyUsed:    t.bodyBegun && t.rq.rest != nil,
-		callerGone:  t.gone,
+		responseStarted: t.out.headSent,
+		bodyConsumed:    t.bodyStarted && t.rq.rest != nil,
+		callerGone:      t.callerGone,
 	}
 }
--- a/internal/entry/attempt_wake_test.go
+++ b/internal/entry/attempt_wake_test.go
@@ -12,16 +12,17 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// A caller goes away in the moment in which its attempt ends. The entry then waits for the agent's last word, which tells
-// whether the call ran; a wake that came late ended that wait, and a call that had not run counted as unknown for good.
+// A caller disconnects just as its attempt ends, and the entry then waits for the agent's final frame, which shows
+// whether the call ran. A late read interrupt used to end that wait, so that a call that had not run was recorded as
+// unknown.
 func TestNoWakeComesLate(t *testing.T) {
-	agent := newExchangeAgent(t, "ledger-1", "")
-	agent.answers(func(x *exchangeStream) {
+	agent := newFakeAgent(t, "ledger-1", "")
+	agent.setScript(func(x *fakeStream) {
 		for x.next() != nil {
 			x.accepted()
 		}
 	})
-	session, err := wire.Dial(t.Context(), agent.address, wire.DefaultOptions(), discard)
+	session, err := wire.Dial(t.Context(), agent.address, wire.DefaultOptions(), discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,32 +37,32 @@
 	}
 	for range 300 {
 		ctx, leave := context.WithCancel(t.Context())
-		stopWaking := wakeAtEnd(ctx, stream)
+		stopWaking := interruptOnDone(ctx, stream)
 		leave()
 		stopWaking()
-		_ = stream.SetReadDeadline(time.Now().Add(patience))
+		_ = stream.SetReadDeadline(time.Now().Add(testTimeout))
 		if err := stream.Write(&wirepb.ToAgent{RequestId: "r", Frame: &wirepb.ToAgent_Cancel{}}); err != nil {
 			t.Fatal(err)
 		}
 		if err := stream.Read(&wirepb.FromAgent{}); err != nil {
-			t.Fatalf("the agent's word: %v", err)
+			t.Fatalf("no frame from the agent: %v", err)
 		}
 	}
 
-	// The wake may also come before the attempt sets how long it waits, which must not take the wake back.
+	// The interrupt may also come before the attempt sets its read deadline, which must not undo it.
 	ended, leave := context.WithCancel(t.Context())
 	leave()
 	waiting := &attempt{
-		entry:  &Entry{clock: clock.Real{}},
-		rq:     &request{deadline: time.Now().Add(time.Hour)},
-		out:    &answer{},
-		stream: stream,
-		last:   true,
+		entry:         &Entry{clock: clock.Real{}},
+		rq:            &request{deadline: time.Now().Add(time.Hour)},
+		out:           &response{},
+		stream:        stream,
+		noAlternative: true,
 	}
-	waiting.setPatience(ended)
-	woken := make(chan error, 1)
-	go func() { woken <- stream.Read(&wirepb.FromAgent{}) }()
-	if err := within(t, woken, "the attempt of a caller that is gone waits on"); !errors.Is(err, wire.ErrTimeout) {
+	waiting.setReadDeadline(ended)
+	interrupted := make(chan error, 1)
+	go func() { interrupted <- stream.Read(&wirepb.FromAgent{}) }()
+	if err := receive(t, interrupted, "the attempt still waits after its caller disconnected"); !errors.Is(err, wire.ErrTimeout) {
 		t.Errorf("got %v, want ErrTimeout", err)
 	}
 }
--- a/internal/entry/behind.go
+++ b/internal/entry/behind.go
@@ -7,51 +7,52 @@
 )
 
 const (
-	// behindPatience is how long the table is given to show a revision that an agent already holds, and behindAgain the time
-	// between two questions to agents.
-	behindPatience = time.Second
-	behindAgain    = time.Second
+	// lagTolerance is how long the table may take to show a revision that an agent already holds. lagRetryInterval is
+	// the time between two requests to agents.
+	lagTolerance     = time.Second
+	lagRetryInterval = time.Second
 )
 
-// behind tells when to ask an agent for the declarations that it holds.
+// revisionLag decides when to request the declarations from an agent.
 //
-// The failure is a table that goes down right after another entry has had an edit accepted, or this entry being cut off
-// from it: the agents hold the new revision from the other entry, the operator was told that it is accepted, and this
-// entry would go on with the older one for as long as the outage lasts. Agents hold only accepted revisions, so what one
-// of them reports may be adopted. Most of the time the table shows the revision within a poll, so it is given that time
-// first: otherwise each edit would make each entry ask for a whole snapshot.
-type behind struct {
-	since, asked time.Time
+// It covers a table outage right after another entry had an edit accepted, or this entry losing its connection to the
+// table. The agents have the new revision from the other entry and the operator was told that it is accepted, but this
+// entry would use the older one until the outage ends. Agents hold only accepted revisions, so a revision that an agent
+// reports may be adopted. Normally the table shows the revision within one poll; waiting for that first prevents every
+// entry from requesting a whole snapshot after every edit.
+type revisionLag struct {
+	since, lastRequest time.Time
 }
 
-// ask takes in that an agent told its revision and reports whether it is to be asked for what it holds.
-func (b *behind) ask(now time.Time, held, told uint64) bool {
-	if told <= held {
+// shouldRequest processes the revision that an agent reported and reports whether to request its declarations.
+func (b *revisionLag) shouldRequest(now time.Time, held, reported uint64) bool {
+	if reported <= held {
 		return false
 	}
 	if b.since.IsZero() {
 		b.since = now
 	}
-	if now.Sub(b.since) < behindPatience || now.Sub(b.asked) < behindAgain {
+	if now.Sub(b.since) < lagTolerance || now.Sub(b.lastRequest) < lagRetryInterval {
 		return false
 	}
-	b.asked = now
+	b.lastRequest = now
 	return true
 }
 
-// caughtUp forgets that the entry was behind.
-func (b *behind) caughtUp() { b.since = time.Time{} }
+// reset marks the entry as up to date.
+func (b *revisionLag) reset() { b.since = time.Time{} }
 
-// catchUp asks an agent for the declarations when it holds higher ones and the table does not show them.
-func (c *coordinator) catchUp(now time.Time, endpoint string, status *wirepb.Status) {
+// requestNewerDeclarations requests the declarations from an agent that holds a higher revision when the table does not
+// show it in time.
+func (c *coordinator) requestNewerDeclarations(now time.Time, endpoint string, status *wirepb.Status) {
 	if status == nil {
 		return
 	}
 	held := c.entry.store.Current().Revision()
 	c.mu.Lock()
-	ask := c.behind.ask(now, held, status.DeclarationsRevision)
+	request := c.lag.shouldRequest(now, held, status.DeclarationsRevision)
 	c.mu.Unlock()
-	if ask {
+	if request {
 		c.entry.members.Send(endpoint, &wirepb.ControlDown{WantState: true})
 	}
 }
--- a/internal/entry/behind_test.go
+++ b/internal/entry/behind_test.go
@@ -11,13 +11,14 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// The table goes down right after another entry has had an edit accepted and has told the agents. This entry cannot read
-// the revision, and the operator was told that it is in force everywhere within seconds: the entry gets it from an agent.
+// The table goes down right after another entry had an edit accepted and pushed it to the agents. This entry cannot
+// read the new revision from the table and must get it from an agent, because the operator was told that it is
+// accepted.
 func TestEntryCatchesUpFromAnAgent(t *testing.T) {
 	agent := newScriptedAgent(t)
 	e, site := startEntryAt(t, agent.address)
 	control := <-agent.stream
-	until(t, control, func(*wirepb.ControlDown) bool { return true })
+	readUntil(t, control, func(*wirepb.ControlDown) bool { return true })
 	site.Faults().Update(func(f *standin.Faults) { f.Table.Outage = true })
 
 	const revision = 7
@@ -43,7 +44,7 @@
 			}
 		}
 	})
-	until(t, control, func(down *wirepb.ControlDown) bool { return down.WantState })
+	readUntil(t, control, func(down *wirepb.ControlDown) bool { return down.WantState })
 	close(stop)
 	heartbeats.Wait()
 	changed := e.store.Changed()
@@ -56,7 +57,7 @@
 	select {
 	case <-changed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the entry did not take the agent's declarations")
+		t.Fatal("the entry did not apply the agent's declarations")
 	}
 	if got := e.store.Current().Revision(); got != revision {
 		t.Errorf("revision %d in force, want %d", got, revision)
@@ -66,22 +67,22 @@
 func TestBehindAsksOnlyWhenTheTableDoesNotShowIt(t *testing.T) {
 	start := time.Unix(1000, 0)
 	cases := []struct {
-		name       string
-		after      []time.Duration
-		held, told uint64
-		want       []bool
+		name           string
+		after          []time.Duration
+		held, reported uint64
+		want           []bool
 	}{
 		{"not behind", []time.Duration{0, 5 * time.Second}, 4, 4, []bool{false, false}},
-		{"the table is given its time", []time.Duration{0, behindPatience - 1}, 4, 5, []bool{false, false}},
-		{"then one agent is asked", []time.Duration{0, behindPatience, behindPatience + 1}, 4, 5, []bool{false, true, false}},
-		{"and again when nothing came", []time.Duration{0, behindPatience, behindPatience + behindAgain}, 4, 5, []bool{false, true, true}},
+		{"waits for the table first", []time.Duration{0, lagTolerance - 1}, 4, 5, []bool{false, false}},
+		{"then requests once", []time.Duration{0, lagTolerance, lagTolerance + 1}, 4, 5, []bool{false, true, false}},
+		{"requests again without a reply", []time.Duration{0, lagTolerance, lagTolerance + lagRetryInterval}, 4, 5, []bool{false, true, true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var b behind
+			var b revisionLag
 			for i, d := range c.after {
-				if got := b.ask(start.Add(d), c.held, c.told); got != c.want[i] {
-					t.Errorf("after %v: ask %v, want %v", d, got, c.want[i])
+				if got := b.shouldRequest(start.Add(d), c.held, c.reported); got != c.want[i] {
+					t.Errorf("after %v: request %v, want %v", d, got, c.want[i])
 				}
 			}
 		})
--- a/internal/entry/bounds_test.go
+++ b/internal/entry/bounds_test.go
@@ -22,28 +22,29 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// The link to an engine's agent breaks half-open between the head of a streamed answer and its first bytes. The entry
-// waited for the rest of an answer that had not begun, and the caller heard nothing until the connection was given up.
+// The link to an engine's agent breaks half-open between the head of a streamed response and its first bytes. The entry
+// used to wait up to MaxAnswer for a body that had not started, and the caller got nothing until the connection was
+// found dead.
 func TestFrameWait(t *testing.T) {
-	const left, longest = 2 * time.Second, time.Hour
+	const left, maxAnswer = 2 * time.Second, time.Hour
 	cases := []struct {
-		name                  string
-		streamed, head, first bool
-		running, last         bool
-		want                  time.Duration
+		name                   string
+		streamed, head, first  bool
+		running, noAlternative bool
+		want                   time.Duration
 	}{
-		{"waiting, another endpoint is there", true, false, false, false, false, 200 * time.Millisecond},
-		{"waiting, no other endpoint", true, false, false, false, true, left + deadlineGrace},
+		{"waiting, with an alternative", true, false, false, false, false, 200 * time.Millisecond},
+		{"waiting, no alternative", true, false, false, false, true, left + deadlineGrace},
 		{"running", true, false, false, true, false, left + deadlineGrace},
 		{"streamed, head without bytes", true, true, false, true, false, left + deadlineGrace},
-		{"streamed, first bytes", true, true, true, true, false, longest},
-		{"whole answer under way", false, true, true, true, false, left + deadlineGrace},
+		{"streamed, first bytes", true, true, true, true, false, maxAnswer},
+		{"not streamed, first bytes", false, true, true, true, false, left + deadlineGrace},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			a := &attempt{
-				entry: &Entry{options: Options{MaxAnswer: longest}}, rq: &request{stream: c.streamed},
-				out: newAnswer(httptest.NewRecorder(), "r"), running: c.running, last: c.last,
+				entry: &Entry{options: Options{MaxAnswer: maxAnswer}}, rq: &request{stream: c.streamed},
+				out: newResponse(httptest.NewRecorder(), "r"), running: c.running, noAlternative: c.noAlternative,
 			}
 			if c.head {
 				a.out.setHead(&wirepb.Head{Status: 200})
@@ -51,14 +52,14 @@
 			if c.first {
 				a.firstByte = time.Millisecond
 			}
-			if got := a.frameWait(left); got != c.want {
-				t.Errorf("waits %v, want %v", got, c.want)
+			if got := a.frameTimeout(left); got != c.want {
+				t.Errorf("timeout %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// outageTable takes one commit and is down from then on.
+// outageTable accepts one commit and is unavailable afterwards.
 type outageTable struct {
 	backing.Table
 	commits atomic.Int32
@@ -75,8 +76,8 @@
 	return backing.Row{}, backing.ErrUnavailable
 }
 
-// A call with an idempotency key is claimed, then the table goes down, and no endpoint takes the call. The caller was told
-// so only after the entry had tried for a second to give the key back.
+// A call with an idempotency key is claimed, then the table goes down, and no endpoint takes the call. The caller used
+// to get the response only after the entry had tried for a second to release the claim.
 func TestFinalAnswerDoesNotWaitForTheClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &outageTable{}
@@ -99,12 +100,12 @@
 		rq := &request{
 			id: "r", target: admission.Target{Service: "ledger"}, method: "POST", deadline: began.Add(time.Minute),
 		}
-		ended := e.serveClaimed(r, rq, newAnswer(httptest.NewRecorder(), "r"))
+		ended := e.forwardWithClaim(r, rq, newResponse(httptest.NewRecorder(), "r"))
 		if ended.err == nil || ended.err.outcome != OutcomeNotRun {
 			t.Fatalf("ended %+v", ended)
 		}
 		if took := time.Since(began); took > 0 {
-			t.Errorf("the answer was held back for %v", took)
+			t.Errorf("the response was delayed by %v", took)
 		}
 		e.settling.Wait()
 	})
--- a/internal/entry/callerbody.go
+++ b/internal/entry/callerbody.go
@@ -12,60 +12,61 @@
 	"balsamsail/internal/wire"
 )
 
-// restPatience bounds how long the server reads on in a body whose request is answered, so that the caller can read the
-// answer before the connection is closed.
-const restPatience = 500 * time.Millisecond
+// unreadBodyTimeout bounds how long the server reads the remaining body of a request that has been answered, so that
+// the caller can read the response before the connection is closed.
+const unreadBodyTimeout = 500 * time.Millisecond
 
-// callerBody is a caller's body, bounded in length and time.
+// callerBody is a caller's request body, limited in length and time.
 //
-// The HTTP server reads what is left of a body before it sends an answer's head, unless the connection ends with the
-// answer. That would take parts of a body that is still passed on away from the endpoint, which would get the rest as if it
-// were whole, and would keep a caller that sends slowly from hearing why it is refused. So the connection ends with an
-// answer that begins before its body has come whole.
+// Before it sends the response headers, the HTTP server reads the remaining request body, unless the connection closes
+// with the response. That would discard parts of a body that is still being forwarded, so that the endpoint would take
+// the remainder for the whole, and it would delay the refusal of a caller that sends slowly. A response that starts
+// before its request body has arrived completely therefore closes the connection.
 type callerBody struct {
 	source  io.Reader
 	control *http.ResponseController
 	limit   int64
-	// length is what the caller says, -1 when it does not.
+	// length is the Content-Length, -1 when the caller sends none.
 	length int64
-	ended  atomic.Bool
+	atEOF  atomic.Bool
 }
 
-// newCallerBody returns a request's body, and the writer of its answer. bound must be called before the body is read, and
-// end when the request is answered.
+// newCallerBody returns the body of a request and the writer for its response. setLimits must be called before the body
+// is read, and finish after the response.
 func newCallerBody(w http.ResponseWriter, r *http.Request) (*callerBody, http.ResponseWriter) {
 	b := &callerBody{source: r.Body, control: http.NewResponseController(w), length: r.ContentLength}
 	if r.ContentLength == 0 {
-		b.ended.Store(true)
+		b.atEOF.Store(true)
 		return b, w
 	}
-	return b, besideBody{ResponseWriter: w, body: b}
+	return b, earlyResponseWriter{ResponseWriter: w, body: b}
 }
 
-// besideBody writes an answer that may begin before the body has come whole, and then ends the connection with it.
-type besideBody struct {
+// earlyResponseWriter writes a response that may start before the request body has arrived completely; in that case it
+// closes the connection after the response.
+type earlyResponseWriter struct {
 	http.ResponseWriter
 	body *callerBody
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (w besideBody) WriteHeader(status int) {
-	if !w.body.ended.Load() {
+func (w earlyResponseWriter) WriteHeader(status int) {
+	if !w.body.atEOF.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap is for http.ResponseController.
-func (w besideBody) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap supports http.ResponseController.
+func (w earlyResponseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// bound sets how many bytes the body may have and by when it must have come: a caller that sends slowly must not hold a
-// connection for ever. The server takes the deadline back at the body's end.
-func (b *callerBody) bound(limit int64, deadline time.Time) {
+// setLimits sets the body's maximum size in bytes and its read deadline, so that a slow caller cannot hold a connection
+// forever. The server clears the deadline at the end of the body.
+func (b *callerBody) setLimits(limit int64, deadline time.Time) {
 	b.limit = limit
-	// The reader is not told of the answer's writer, which it would change from the goroutine that passes the body on.
+	// MaxBytesReader gets no ResponseWriter, because it would modify it from the goroutine that forwards the body.
 	b.source = http.MaxBytesReader(nil, io.NopCloser(b.source), limit)
-	if !b.ended.Load() {
+	if !b.atEOF.Load() {
 		_ = b.control.SetReadDeadline(deadline)
 	}
 }
@@ -74,28 +75,28 @@
 func (b *callerBody) Read(p []byte) (int, error) {
 	n, err := b.source.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.ended.Store(true)
+		b.atEOF.Store(true)
 	}
 	return n, err
 }
 
-// end bounds the server's reading of what is left.
-func (b *callerBody) end() {
-	if !b.ended.Load() {
-		_ = b.control.SetReadDeadline(time.Now().Add(restPatience))
+// finish bounds how long the server reads the remaining body.
+func (b *callerBody) finish() {
+	if !b.atEOF.Load() {
+		_ = b.control.SetReadDeadline(time.Now().Add(unreadBodyTimeout))
 	}
 }
 
-// tooLong refuses a body that is declared too large before any of it is read.
-func (b *callerBody) tooLong() *apiError {
+// checkLength refuses a body whose Content-Length is over the limit, before reading any of it.
+func (b *callerBody) checkLength() *apiError {
 	if b.length > b.limit {
-		return b.refusal(&http.MaxBytesError{Limit: b.limit})
+		return b.readError(&http.MaxBytesError{Limit: b.limit})
 	}
 	return nil
 }
 
-// refusal is the answer to a request whose body could not be read.
-func (b *callerBody) refusal(err error) *apiError {
+// readError returns the error response for a body that could not be read.
+func (b *callerBody) readError(err error) *apiError {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		message := "the body is over " + strconv.FormatInt(b.limit, 10) + " bytes"
@@ -104,29 +105,29 @@
 	return badRequest("the body ended early")
 }
 
-// readAll reads the body whole.
+// readAll reads the whole body.
 func (b *callerBody) readAll() ([]byte, *apiError) {
-	if refusal := b.tooLong(); refusal != nil {
+	if refusal := b.checkLength(); refusal != nil {
 		return nil, refusal
 	}
 	body, err := io.ReadAll(b)
 	if err != nil {
-		return nil, b.refusal(err)
+		return nil, b.readError(err)
 	}
 	return body, nil
 }
 
-// split takes the first part of the body; rest is nil when that was all.
-func (b *callerBody) split() (first []byte, rest io.Reader, refusal *apiError) {
-	if refusal := b.tooLong(); refusal != nil {
+// readFirst reads the first part of the body; rest is nil when there is no more.
+func (b *callerBody) readFirst() (first []byte, rest io.Reader, refusal *apiError) {
+	if refusal := b.checkLength(); refusal != nil {
 		return nil, nil, refusal
 	}
-	// One byte more than a part tells whether that was all.
+	// One extra byte shows whether the body continues.
 	part := make([]byte, wire.ChunkBytes+1)
-	n, last, err := readPart(b, part)
+	n, last, err := readChunk(b, part)
 	switch {
 	case err != nil:
-		return nil, nil, b.refusal(err)
+		return nil, nil, b.readError(err)
 	case last:
 		return part[:n], nil, nil
 	default:
@@ -134,11 +135,12 @@
 	}
 }
 
-// readPart fills a buffer, or reads up to the body's end, which last tells.
+// readChunk fills the buffer or reads up to the end of the body; last reports whether the end was reached.
 //
-// io.ReadFull would not do: it tells a body's end within the buffer with the error that the HTTP server has for a caller
-// whose connection breaks within its body, and half a body would pass for the whole.
-func readPart(r io.Reader, buffer []byte) (n int, last bool, err error) {
+// It does not use io.ReadFull, which returns io.ErrUnexpectedEOF when the body ends within the buffer. The HTTP server
+// returns the same error when the caller's connection breaks within its body, so a truncated body would pass for a
+// complete one.
+func readChunk(r io.Reader, buffer []byte) (n int, last bool, err error) {
 	for n < len(buffer) && err == nil {
 		var read int
 		read, err = r.Read(buffer[n:])
--- a/internal/entry/callers_test.go
+++ b/internal/entry/callers_test.go
@@ -18,18 +18,17 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// inFlight is how many requests hold a place at the entry.
+// inFlight returns how many requests are in flight at the entry.
 func (s *site) inFlight() int {
 	s.entry.mu.Lock()
 	defer s.entry.mu.Unlock()
 	return s.entry.limiter.InFlight()
 }
 
-// What a caller asks for reaches the endpoint as it was asked, and nothing of what concerns this system or one connection
-// only does.
+// A call reaches the endpoint unchanged, without the header fields that are reserved or apply to a single connection.
 func TestOfferOfACall(t *testing.T) {
 	s := newSite(t, siteOptions{agents: 1})
-	s.agents[0].answers(func(x *exchangeStream) { x.whole("") })
+	s.agents[0].setScript(func(x *fakeStream) { x.respond("") })
 	cases := []struct {
 		name string
 		call call
@@ -38,8 +37,8 @@
 		{"path and query", call{path: "/ledger/a%2Fb//c?d=%20"}, func(o *wirepb.Offer) bool { return o.Path == "/a%2Fb//c?d=%20" }},
 		{"two slashes", call{path: "/ledger//n"}, func(o *wirepb.Offer) bool { return o.Path == "//n" }},
 		{"an escaped prefix", call{path: "/led%67er/n%20m"}, func(o *wirepb.Offer) bool { return o.Path == "/n%20m" }},
-		{"a call that may be repeated", call{method: "PUT"}, func(o *wirepb.Offer) bool { return !o.TwoStep && o.Method == "PUT" }},
-		{"one that may not", call{method: post}, func(o *wirepb.Offer) bool { return o.TwoStep }},
+		{"an idempotent call", call{method: "PUT"}, func(o *wirepb.Offer) bool { return !o.TwoStep && o.Method == "PUT" }},
+		{"a call that is not idempotent", call{method: post}, func(o *wirepb.Offer) bool { return o.TwoStep }},
 		{"any method", call{method: "PROPFIND"}, func(o *wirepb.Offer) bool { return o.TwoStep && o.Method == "PROPFIND" }},
 		{"a body", call{method: post, body: "notice"}, func(o *wirepb.Offer) bool { return string(o.Body) == "notice" && o.BodyLength == 6 && o.BodyDone }},
 		{"no body", call{}, func(o *wirepb.Offer) bool { return len(o.Body) == 0 && o.BodyLength == 0 && o.BodyDone }},
@@ -48,11 +47,11 @@
 		{"interactive", call{}, func(o *wirepb.Offer) bool { return o.Class == wirepb.Class_INTERACTIVE }},
 		{"batch", call{header: http.Header{headerClass: {"batch"}}}, func(o *wirepb.Offer) bool { return o.Class == wirepb.Class_BATCH }},
 		{"header fields", call{header: http.Header{"X-Token": {"a", "b"}, "Te": {"x"}, headerRequestID: {"mine"}, headerDeadline: {"1000"}, "Connection": {"X-Drop"}}}, func(o *wirepb.Offer) bool {
-			var kept []string
+			var names []string
 			for _, h := range o.Headers {
-				kept = append(kept, h.Name)
+				names = append(names, h.Name)
 			}
-			text := strings.Join(kept, " ")
+			text := strings.Join(names, " ")
 			return strings.Count(text, "X-Token") == 2 && !strings.Contains(text, "Te ") && !strings.Contains(text, headerRequestID) && !strings.Contains(text, headerDeadline)
 		}},
 	}
@@ -71,7 +70,7 @@
 
 func leftOf(o *wirepb.Offer) time.Duration { return time.Duration(o.TimeLeftMicros) * time.Microsecond }
 
-// What can't be served is refused as not run before it reaches an endpoint.
+// Requests that cannot be served are refused as not run before they reach an endpoint.
 func TestRefusedAtTheEntry(t *testing.T) {
 	s := newSite(t, siteOptions{agents: 1})
 	chat := func(body string) call { return call{method: post, path: pathChat, body: body} }
@@ -81,11 +80,11 @@
 		want string
 	}{
 		{"no service", call{path: "/nowhere"}, "404 not_found not_run"},
-		{"a deadline that is no number", call{header: http.Header{headerDeadline: {"soon"}}}, "400 bad_request not_run"},
+		{"a deadline that is not a number", call{header: http.Header{headerDeadline: {"soon"}}}, "400 bad_request not_run"},
 		{"a deadline that has passed", call{header: http.Header{headerDeadline: {"0"}}}, "400 bad_request not_run"},
-		{"a deadline beyond all bounds", call{header: http.Header{headerDeadline: {"3600001"}}}, "400 bad_request not_run"},
+		{"a deadline over the maximum", call{header: http.Header{headerDeadline: {"3600001"}}}, "400 bad_request not_run"},
 		{"an unknown class", call{header: http.Header{headerClass: {"urgent"}}}, "400 bad_request not_run"},
-		{"a chat that is none", chat("{"), "400 bad_request not_run"},
+		{"an invalid chat", chat("{"), "400 bad_request not_run"},
 		{"a chat without a model", chat("{}"), "400 bad_request not_run"},
 		{"a model that is not declared", chat(`{"model":"nobody"}`), "404 model_not_found not_run"},
 	}
@@ -103,86 +102,86 @@
 	}
 }
 
-// More requests come than the entry may have in flight. Those beyond are refused at once, with a time to come back; batch
-// requests leave the interactive ones their part, and a place is free again after each request however it ended.
+// More requests arrive than the entry may have in flight. The excess is refused at once with Retry-After, batch
+// requests leave room for interactive ones, and each request frees its place however it ends.
 func TestOverload(t *testing.T) {
-	s := newSite(t, siteOptions{agents: 1, change: func(o *Options) { o.Limiter = admission.LimiterOptions{MaxInFlight: 2, MaxBatch: 1} }})
+	s := newSite(t, siteOptions{agents: 1, configure: func(o *Options) { o.Limiter = admission.LimiterOptions{MaxInFlight: 2, MaxBatch: 1} }})
 	end := make(chan struct{})
-	s.agents[0].answers(func(x *exchangeStream) {
+	s.agents[0].setScript(func(x *fakeStream) {
 		<-end
-		x.whole("answer")
+		x.respond("answer")
 	})
 	batch := call{header: http.Header{headerClass: {"batch"}}}
 	first := s.sending(t.Context(), batch)
-	eventually(t, "not in flight", func() bool { return s.inFlight() == 1 })
+	eventually(t, "the request is not in flight", func() bool { return s.inFlight() == 1 })
 	if got := s.send(t.Context(), batch); got.text() != "429 overloaded not_run" {
 		t.Errorf("a second batch request: %s", got.text())
 	}
 	ctx, leave := context.WithCancel(t.Context())
 	second := s.sending(ctx, call{})
-	eventually(t, "not in flight", func() bool { return s.inFlight() == 2 })
+	eventually(t, "the request is not in flight", func() bool { return s.inFlight() == 2 })
 	got := s.send(t.Context(), call{})
 	if got.text() != "429 overloaded not_run" {
 		t.Errorf("a third request: %s", got.text())
 	}
 	checkReply(t, got)
 	leave()
-	within(t, second, "the caller waits on")
-	eventually(t, "the place of a caller that left is held", func() bool { return s.inFlight() == 1 })
+	receive(t, second, "the caller's request did not end")
+	eventually(t, "the request of a disconnected caller is still in flight", func() bool { return s.inFlight() == 1 })
 	close(end)
-	within(t, first, "no answer")
+	receive(t, first, "no response")
 	if got := s.send(t.Context(), batch); got.text() != "200 answer" {
 		t.Errorf("afterwards: %s", got.text())
 	}
 }
 
-// A caller goes away at one of the stages of its request. The endpoint must be told, unless the call was committed and may
-// run only once; nothing of the request may stay behind, and no other endpoint may begin it.
+// A caller disconnects at one of the stages of its request. The endpoint must get a cancel, unless the call was
+// committed and may run only once. The request must leave no state behind and must not be offered to another endpoint.
 func TestCallerLeaves(t *testing.T) {
 	cases := []struct {
 		name, method string
-		before       func(x *exchangeStream)
-		// cancelled is set when the agent must hear that the request is withdrawn.
+		before       func(x *fakeStream)
+		// cancelled is set when the agent must receive a cancel.
 		cancelled bool
 	}{
-		{"in the queue", get, (*exchangeStream).accepted, true},
-		{"before it was accepted", get, func(*exchangeStream) {}, true},
-		{"while it runs", get, func(x *exchangeStream) { x.accepted(); x.ready() }, true},
-		{"after the head", get, func(x *exchangeStream) { x.head(200) }, true},
-		{"within a streamed answer", get, func(x *exchangeStream) { x.head(200, eventStream); x.body("data") }, true},
-		{"two steps, in the queue", post, (*exchangeStream).accepted, true},
-		{"two steps, after the commit", post, func(x *exchangeStream) { x.committed() }, false},
+		{"in the queue", get, (*fakeStream).accepted, true},
+		{"before it was accepted", get, func(*fakeStream) {}, true},
+		{"while it runs", get, func(x *fakeStream) { x.accepted(); x.ready() }, true},
+		{"after the head", get, func(x *fakeStream) { x.head(200) }, true},
+		{"within a streamed response", get, func(x *fakeStream) { x.head(200, eventStream); x.body("data") }, true},
+		{"two-step, in the queue", post, (*fakeStream).accepted, true},
+		{"two-step, after the commit", post, func(x *fakeStream) { x.committed() }, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t, siteOptions{agents: 2})
-			there, told := make(chan struct{}, 2), make(chan *wirepb.ToAgent, 2)
+			offered, received := make(chan struct{}, 2), make(chan *wirepb.ToAgent, 2)
 			for _, a := range s.agents {
-				a.answers(func(x *exchangeStream) {
+				a.setScript(func(x *fakeStream) {
 					c.before(x)
-					there <- struct{}{}
+					offered <- struct{}{}
 					frame := x.next()
 					if frame.GetCommit() != nil {
 						frame = x.next()
 					}
-					told <- frame
+					received <- frame
 					x.failed(false)
 				})
 			}
 			ctx, leave := context.WithCancel(t.Context())
 			got := s.sending(ctx, call{method: c.method})
-			within(t, there, "no offer")
+			receive(t, offered, "no offer")
 			leave()
-			within(t, got, "the caller waits on")
-			eventually(t, "a place is held", func() bool { return s.inFlight() == 0 })
+			receive(t, got, "the caller's request did not end")
+			eventually(t, "the request is still in flight", func() bool { return s.inFlight() == 0 })
 			if c.cancelled {
-				if frame := within(t, told, "the agent hears nothing"); frame.GetCancel() == nil {
+				if frame := receive(t, received, "the agent got no frame"); frame.GetCancel() == nil {
 					t.Errorf("the agent got %v", frame)
 				}
 			} else {
 				select {
-				case frame := <-told:
+				case frame := <-received:
 					t.Errorf("the agent got %v", frame)
 				case <-time.After(50 * time.Millisecond):
 				}
@@ -194,12 +193,13 @@
 	}
 }
 
-// A caller stops reading a long answer. Its request ends after the stall limit in place of holding the endpoint's place for
-// the longest time of an answer; a caller that reads on gets the rest of its answer, however late.
+// A caller reads a long response slowly. A caller that stops reading is disconnected after stallTimeout, so that it does
+// not hold its place at the endpoint for up to MaxAnswer; one that reads on must get the complete response, however
+// late, and other callers must not be delayed.
 func TestSlowReader(t *testing.T) {
 	s := newSite(t, siteOptions{agents: 1})
 	const parts = 2000
-	s.agents[0].answers(func(x *exchangeStream) {
+	s.agents[0].setScript(func(x *fakeStream) {
 		x.head(200, eventStream)
 		for range parts {
 			x.body(strings.Repeat("x", 10<<10))
@@ -207,26 +207,27 @@
 		x.trailer()
 	})
 	conn := s.raw("GET /ledger/n" + lengthHeader(0))
-	eventually(t, "not in flight", func() bool { return s.inFlight() == 1 })
+	eventually(t, "the request is not in flight", func() bool { return s.inFlight() == 1 })
 	time.Sleep(50 * time.Millisecond)
 	if s.inFlight() != 1 {
-		t.Error("a slow caller was cut at once")
+		t.Error("a slow caller was disconnected too early")
 	}
-	// The other callers' answers do not wait for it.
-	s.agents[0].answers(func(x *exchangeStream) { x.whole("beside") })
-	if got := s.send(t.Context(), call{}); got.text() != "200 beside" {
-		t.Errorf("beside: %s", got.text())
+	// Responses to other callers do not wait for the slow one.
+	s.agents[0].setScript(func(x *fakeStream) { x.respond("other") })
+	if got := s.send(t.Context(), call{}); got.text() != "200 other" {
+		t.Errorf("other caller: %s", got.text())
 	}
-	if got := rawReply(t, conn); got.cut || len(got.body) != parts*(10<<10) {
-		t.Errorf("cut %v, %d bytes", got.cut, len(got.body))
+	if got := rawReply(t, conn); got.truncated || len(got.body) != parts*(10<<10) {
+		t.Errorf("truncated %v, %d bytes", got.truncated, len(got.body))
 	}
 }
 
-// An entry is stopped by plan. Its readiness fails first, while it still takes requests; what is in flight is finished.
+// An entry is shut down gracefully. Its readiness check fails first, while it still accepts requests, and requests in
+// flight are completed.
 func TestEntryDrains(t *testing.T) {
 	s := newSite(t, siteOptions{agents: 1})
 	end := make(chan struct{})
-	s.agents[0].answers(func(x *exchangeStream) {
+	s.agents[0].setScript(func(x *fakeStream) {
 		x.head(200, eventStream)
 		x.body("begun ")
 		<-end
@@ -241,7 +242,7 @@
 	ended := make(chan error, 1)
 	go func() {
 		ended <- process.Serve(ctx, listener, s.entry.Handler(), process.ServeOptions{
-			LameDuck: 300 * time.Millisecond, DrainTimeout: patience, OnStop: s.entry.StartDrain,
+			LameDuck: 300 * time.Millisecond, DrainTimeout: testTimeout, OnStop: s.entry.StartDrain,
 		})
 	}()
 	ask := func(body string) <-chan reply {
@@ -249,7 +250,7 @@
 		go func() {
 			response, err := http.Post("http://"+listener.Addr().String()+"/ledger/n", "text/plain", strings.NewReader(body))
 			if err != nil {
-				got <- reply{cut: true}
+				got <- reply{truncated: true}
 				return
 			}
 			got <- readReply(response)
@@ -258,11 +259,11 @@
 	}
 	defer http.DefaultClient.CloseIdleConnections()
 	first := ask("first")
-	eventually(t, "not in flight", func() bool { return s.inFlight() == 1 })
+	eventually(t, "the request is not in flight", func() bool { return s.inFlight() == 1 })
 	stop()
-	eventually(t, "its readiness does not fail", func() bool { return len(s.entry.Ready()) > 0 })
+	eventually(t, "the readiness check does not fail", func() bool { return len(s.entry.Ready()) > 0 })
 	second := ask("second")
-	eventually(t, "a request in the lame-duck time is not taken", func() bool { return s.inFlight() == 2 })
+	eventually(t, "a request during the lame-duck period was not accepted", func() bool { return s.inFlight() == 2 })
 	select {
 	case err := <-ended:
 		t.Fatalf("ended with requests in flight: %v", err)
@@ -270,16 +271,16 @@
 	}
 	close(end)
 	for i, got := range []<-chan reply{first, second} {
-		if r := within(t, got, "no answer"); r.text() != "200 begun ended" {
+		if r := receive(t, got, "no response"); r.text() != "200 begun ended" {
 			t.Errorf("request %d: %s", i, r.text())
 		}
 	}
-	if err := within(t, ended, "the entry does not end"); err != nil {
+	if err := receive(t, ended, "the entry does not end"); err != nil {
 		t.Error(err)
 	}
 }
 
-// chatSite has two engines that both may hold the model "narrator".
+// chatSite returns a site with two engines that both may hold the model "narrator".
 func chatSite(t *testing.T) *site {
 	t.Helper()
 	model := &pb.Model{Name: "narrator", Versions: []string{"1"}, DefaultVersion: "1", EngineSelector: "kind=engine", MemoryBytes: 40,
@@ -292,20 +293,20 @@
 	return s
 }
 
-// An inspector's photograph goes along with a chat, and the engine that got it breaks, or is busy. The entry holds the
-// whole body and must ask the other engine; it took the body for one that can be sent once only, as a streamed one is.
+// The engine that got a chat with a large body fails or is busy. The entry holds the whole body and must try the other
+// engine. It used to treat the body as one that can be sent only once, like a streamed one.
 func TestLargeChatIsTriedAgain(t *testing.T) {
 	const size = 1 << 20
 	chat := call{method: post, path: pathChat, body: fmt.Sprintf(`{"model":"narrator","photo":%q}`, strings.Repeat("x", size))}
 	cases := []struct {
 		name  string
-		first func(x *exchangeStream)
+		first func(x *fakeStream)
 	}{
-		{"broken after the upload", func(x *exchangeStream) { x.ready(); x.upload() }},
-		{"broken within the upload", func(x *exchangeStream) { x.ready(); x.next() }},
-		{"busy", func(x *exchangeStream) {
+		{"broken after the upload", func(x *fakeStream) { x.ready(); x.readBody() }},
+		{"broken within the upload", func(x *fakeStream) { x.ready(); x.next() }},
+		{"busy", func(x *fakeStream) {
 			x.ready()
-			x.upload()
+			x.readBody()
 			f := &wirepb.Failed{Reason: wirepb.FailureReason_ENDPOINT_REFUSED}
 			x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Failed{Failed: f}})
 		}},
@@ -317,7 +318,7 @@
 			turn := make(chan struct{}, 1)
 			turn <- struct{}{}
 			for _, a := range s.agents {
-				a.answers(func(x *exchangeStream) {
+				a.setScript(func(x *fakeStream) {
 					select {
 					case <-turn:
 						c.first(x)
@@ -325,7 +326,7 @@
 					default:
 					}
 					x.ready()
-					body, whole := x.upload()
+					body, whole := x.readBody()
 					x.head(200)
 					x.body(fmt.Sprint(whole, " ", strings.Count(body, "x") >= size, " ", strings.Contains(body, `"model":"narrator@1"`)))
 					x.trailer()
@@ -338,13 +339,13 @@
 	}
 }
 
-// A streamed chat passes on each part as it comes, goes on past the deadline that its first part met, and ends cleanly only
-// with its trailer.
+// A streamed chat forwards each part as it arrives, continues past the deadline that its first part met, and ends
+// cleanly only after its trailer.
 func TestStreamedChat(t *testing.T) {
 	s := chatSite(t)
 	proceed := make(chan struct{})
 	for _, a := range s.agents {
-		a.answers(func(x *exchangeStream) {
+		a.setScript(func(x *fakeStream) {
 			if !x.offer.Stream || x.offer.Model != "narrator@1" {
 				return
 			}
@@ -379,8 +380,9 @@
 	}
 }
 
-// A host is listed as leaving between its agent's connection and its first report. The agent was told that it is live, the
-// list's change found it not connected yet, and the list does not change again: it must be told with its report.
+// A host is listed as leaving between its agent's connection and its first report. The agent was sent the state "live"
+// when it connected, the changed list was not sent to it because it did not count as connected yet, and the list does
+// not change again. The entry must send the new state in response to the report.
 func TestLeavingIsToldWithTheReport(t *testing.T) {
 	agent := newScriptedAgent(t)
 	e, server := startEntryAt(t, agent.address)
@@ -390,12 +392,12 @@
 		t.Fatalf("%v, %v", first, err)
 	}
 	server.PutHost(backing.Host{ID: "host-1", Role: backing.RoleEndpoint, State: backing.HostLeaving, Address: agent.address, Endpoint: "engine-1"})
-	eventually(t, "the list is not read", func() bool {
+	eventually(t, "the host list was not read", func() bool {
 		ep := e.members.Endpoint("engine-1")
 		return ep != nil && ep.Leaving
 	})
 	if err := control.Write(&wirepb.ControlUp{Status: &wirepb.Status{Full: true, Kind: kindEngine, Ready: true}}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, control, func(down *wirepb.ControlDown) bool { return down.HostState == wirepb.HostState_HOST_LEAVING })
+	readUntil(t, control, func(down *wirepb.ControlDown) bool { return down.HostState == wirepb.HostState_HOST_LEAVING })
 }
--- a/internal/entry/candidates.go
+++ b/internal/entry/candidates.go
@@ -11,7 +11,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// candidates returns the endpoints that may serve a target.
+// candidates returns the endpoints that can serve a target.
 func (e *Entry) candidates(t admission.Target) []routing.Candidate {
 	if t.Service != "" {
 		return e.serviceCandidates(t.Service)
@@ -19,8 +19,8 @@
 	return e.modelCandidates(t)
 }
 
-// modelCandidates are the engines with a slot. The row that the table holds gives their order; in an outage of the table
-// at the start of this entry there is none, and the agents' own word of what they were granted serves.
+// modelCandidates returns the engines that hold a slot of the target's model, in the order of the table's row. If the
+// table has been down since this entry started there is no row, and the slots that the agents report are used.
 func (e *Entry) modelCandidates(t admission.Target) []routing.Candidate {
 	endpoints := e.members.Endpoints()
 	row := e.grants.Row(t.Model)
@@ -34,7 +34,7 @@
 			continue
 		}
 		if ep.Replicas[t.Model].GetRevision() == 0 {
-			// The agent has not been told of its slot yet and would refuse: the request waits for it instead.
+			// The agent has not received its slot yet and would refuse: the request waits for it instead.
 			continue
 		}
 		list = append(list, e.candidate(ep, t, i))
@@ -42,7 +42,8 @@
 	return list
 }
 
-// reportedCandidates are the engines that say they hold a slot.
+// reportedCandidates returns the engines whose agents report a slot. It returns none once the grants have been read
+// from the table.
 func (e *Entry) reportedCandidates(endpoints map[string]*membership.Endpoint, t admission.Target) []routing.Candidate {
 	var list []routing.Candidate
 	if e.grants.Complete() {
@@ -64,7 +65,7 @@
 		SlotIndex:     index,
 		HasAdapter:    t.Adapter == "",
 		ReportedAt:    ep.ReportedAt,
-		Sent:          e.sent.get(ep.Name),
+		Sent:          e.inFlight.get(ep.Name),
 		Leaving:       ep.Leaving || e.drained(ep.Name),
 		Reachable:     ep.Connected && ep.Status.GetReady(),
 		Wait:          time.Duration(ep.Status.GetLoad().GetWaitMicros()) * time.Microsecond,
@@ -79,13 +80,13 @@
 	return c
 }
 
-// drained reports whether an operator drains an endpoint.
+// drained reports whether an operator is draining an endpoint.
 func (e *Entry) drained(endpoint string) bool {
 	declared, ok := e.store.Current().Engine(endpoint)
 	return ok && declared.Drain
 }
 
-// serviceCandidates are the endpoints that a plain service's selector matches.
+// serviceCandidates returns the endpoints that match a plain service's selector.
 func (e *Entry) serviceCandidates(service string) []routing.Candidate {
 	set := e.store.Current()
 	declared, ok := set.Service(service)
@@ -111,15 +112,15 @@
 	kindEngine  = "engine"
 )
 
-// The labels that every endpoint has without being declared.
+// Built-in labels of every endpoint.
 const (
 	labelEndpoint      = "endpoint"
 	labelFailureDomain = "failure-domain"
 	labelKind          = "kind"
 )
 
-// labels returns an endpoint's labels: its agent's settings, overridden by the operators' declarations, and the built-in
-// ones.
+// labels returns an endpoint's labels: those from its agent's settings, overridden by the operators' declarations, and
+// the built-in ones.
 func (e *Entry) labels(ep *membership.Endpoint) map[string]string {
 	labels := map[string]string{}
 	for k, v := range ep.Status.GetLabels() {
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -14,16 +14,17 @@
 	"balsamsail/internal/wire"
 )
 
-// settlePatience bounds the recording of a claim's end.
-const settlePatience = 5 * time.Second
+// claimWriteTimeout bounds the write that records the result of a claimed request.
+const claimWriteTimeout = 5 * time.Second
 
-// serveClaimed forwards a request, under a claim when it may run only once and carries an idempotency key.
-func (e *Entry) serveClaimed(r *http.Request, rq *request, out *answer) result {
+// forwardWithClaim forwards a request. It first claims the idempotency key when the request has one and may run only
+// once.
+func (e *Entry) forwardWithClaim(r *http.Request, rq *request, out *response) result {
 	key := r.Header.Get(headerIdempKey)
 	if rq.idempotent || key == "" {
 		return e.forward(r.Context(), rq, out)
 	}
-	if !rq.isWhole() || len(rq.body) > wire.ChunkBytes {
+	if !rq.hasFullBody() || len(rq.body) > wire.ChunkBytes {
 		return result{err: badRequest("a call with an idempotency key must have a body of at most 32 KiB, because it is compared")}
 	}
 	held, res := e.claim(r.Context(), rq, key, out)
@@ -31,24 +32,24 @@
 		return *res
 	}
 	ended := e.forward(r.Context(), rq, out)
-	e.settle(rq, held, ended, out)
+	e.settleClaim(rq, held, ended, out)
 	return ended
 }
 
-// claim takes the key, or returns how the request ends without running.
-func (e *Entry) claim(ctx context.Context, rq *request, key string, out *answer) (atmostonce.Held, *result) {
+// claim claims the idempotency key, or returns the result of a request that must not run.
+func (e *Entry) claim(ctx context.Context, rq *request, key string, out *response) (atmostonce.Held, *result) {
 	held, outcome, err := e.claims.Claim(ctx, atmostonce.ClaimRequest{
 		Service: rq.target.Service,
 		Key:     key,
 		Owner:   rq.id,
-		// Callers are not told apart: their credentials may change between two tries, and a key that then counted as a new
-		// one would let the request run twice.
+		// Callers are not distinguished: credentials may change between two tries, and the same key would then count as
+		// a new one and let the request run twice.
 		Fingerprint: fingerprint(rq),
 		Deadline:    rq.deadline,
 	})
 	if err != nil {
 		e.record(timeline.ClaimRefused, rq, "", err.Error())
-		e.logger.Warn("claim failed", "request", rq.id, "error", err)
+		e.logger.Warn("cannot claim the idempotency key", "request", rq.id, "error", err)
 		refusal := notRun(http.StatusServiceUnavailable, CodeClaimUnavailable, "idempotency keys cannot be claimed now", minRetryAfter)
 		return held, &result{err: refusal}
 	}
@@ -57,11 +58,11 @@
 		return held, nil
 	}
 	e.record(timeline.ClaimRefused, rq, "", "claimed before")
-	return held, e.claimedBefore(outcome, held.Claim, out)
+	return held, e.duplicateResult(outcome, held.Claim, out)
 }
 
-// claimedBefore is the answer to a request whose key was claimed by an earlier one.
-func (e *Entry) claimedBefore(outcome atmostonce.ClaimOutcome, c atmostonce.Claim, out *answer) *result {
+// duplicateResult returns the result of a request whose key was claimed by an earlier one.
+func (e *Entry) duplicateResult(outcome atmostonce.ClaimOutcome, c atmostonce.Claim, out *response) *result {
 	switch outcome {
 	case atmostonce.ClaimAnswered:
 		return e.replay(c, out)
@@ -77,12 +78,12 @@
 			retryAfter: minRetryAfter,
 		}}
 	default:
-		return &result{err: unknown("a request with this idempotency key may have run; it will not be run again")}
+		return &result{err: outcomeUnknown("a request with this idempotency key may have run; it will not be run again")}
 	}
 }
 
-// replay answers with what the first request with the key got.
-func (e *Entry) replay(c atmostonce.Claim, out *answer) *result {
+// replay sends the recorded response of the first request with the key.
+func (e *Entry) replay(c atmostonce.Claim, out *response) *result {
 	if !c.BodyKept {
 		return &result{err: &apiError{
 			status:  http.StatusConflict,
@@ -100,53 +101,54 @@
 	return &result{status: c.Status}
 }
 
-// settle records how a claimed request ended. When the caller was told nothing definite, the endpoint's word is awaited.
+// settleClaim records the result of a claimed request. When the result is not known yet, it waits for the endpoint's
+// final frame.
 //
-// All of it happens in the background. While the table is down the record takes its whole patience, and a caller whose
-// request was served or given up would get the final answer that much later, beyond its deadline.
-func (e *Entry) settle(rq *request, held atmostonce.Held, ended result, out *answer) {
-	if ended.later != nil {
+// All of this runs in the background. While the table is down the write takes its whole timeout, which would delay the
+// caller's final response beyond its deadline.
+func (e *Entry) settleClaim(rq *request, held atmostonce.Held, ended result, out *response) {
+	if ended.pending != nil {
 		go func() {
-			// The answer itself was not kept, so that a request which did run stays without one.
-			f := <-ended.later
-			e.settleFate(rq, held, f == fateNotRun, atmostonce.ClaimUnknown, atmostonce.Answer{})
+			// The response was not kept, so the claim of a request that did run is recorded without one.
+			f := <-ended.pending
+			e.finishClaim(rq, held, f == executionNotRun, atmostonce.ClaimUnknown, atmostonce.Answer{})
 		}()
 		return
 	}
 	state := atmostonce.ClaimUnknown
-	if ended.fate == fateServed {
+	if ended.execution == executionServed {
 		state = atmostonce.ClaimDone
 	}
-	recorded := out.recorded()
-	e.settling.Go(func() { e.settleFate(rq, held, ended.fate == fateNotRun, state, recorded) })
+	recorded := out.claimAnswer()
+	e.settling.Go(func() { e.finishClaim(rq, held, ended.execution == executionNotRun, state, recorded) })
 }
 
-// settleFate frees the claim of a request that did not run and records the end of any other one.
-func (e *Entry) settleFate(rq *request, held atmostonce.Held, notRun bool, state atmostonce.ClaimState, a atmostonce.Answer) {
+// finishClaim releases the claim of a request that did not run and records the result of any other one.
+func (e *Entry) finishClaim(rq *request, held atmostonce.Held, notRun bool, state atmostonce.ClaimState, a atmostonce.Answer) {
 	if notRun {
 		e.freeClaim(rq, held)
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), settlePatience)
+	ctx, cancel := context.WithTimeout(context.Background(), claimWriteTimeout)
 	defer cancel()
-	e.settled(rq, string(state), e.claims.Finish(ctx, held, state, a))
+	e.recordSettled(rq, string(state), e.claims.Finish(ctx, held, state, a))
 }
 
 func (e *Entry) freeClaim(rq *request, held atmostonce.Held) {
-	ctx, cancel := context.WithTimeout(context.Background(), settlePatience)
+	ctx, cancel := context.WithTimeout(context.Background(), claimWriteTimeout)
 	defer cancel()
-	e.settled(rq, string(atmostonce.ClaimFree), e.claims.Free(ctx, held))
+	e.recordSettled(rq, string(atmostonce.ClaimFree), e.claims.Free(ctx, held))
 }
 
-func (e *Entry) settled(rq *request, state string, err error) {
+func (e *Entry) recordSettled(rq *request, state string, err error) {
 	if err != nil {
-		e.logger.Warn("claim not settled", "request", rq.id, "state", state, "error", err)
+		e.logger.Warn("cannot record the result of a claim", "request", rq.id, "state", state, "error", err)
 		state += ": " + errors.Cause(err).Error()
 	}
 	e.record(timeline.ClaimSettled, rq, "", state)
 }
 
-// fingerprint tells one request from another under the same key.
+// fingerprint identifies the content of a request, to detect a different request under the same key.
 func fingerprint(rq *request) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(rq.method + " " + rq.path + "\n")
--- a/internal/entry/coordinator.go
+++ b/internal/entry/coordinator.go
@@ -15,29 +15,30 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// coordinator passes what the entry knows to the agents and what the agents say to the deciding slices. It implements
-// membership.Observer.
+// coordinator sends the entry's state to the agents and passes the agents' reports to the packages that decide grants
+// and permits. It implements membership.Observer.
 type coordinator struct {
 	entry *Entry
-	// version rises with each change of what is known of endpoints that the grants are decided from.
+	// version increases with each change of the endpoint state that the grants are decided from.
 	version atomic.Uint64
-	// engines are the engines as they were last handed to the grants.
+	// engines caches the engine views last passed to the grants manager.
 	engines atomic.Pointer[engineViews]
 
 	mu     sync.Mutex
 	budget *permits.Budget
 	wake   chan struct{}
-	// told is the declarations' revision that each connected agent was last sent, or said that it holds.
-	told map[string]uint64
-	// since is when an endpoint's reachability last changed.
-	since map[string]reachability
-	// listed is each endpoint's state in the host list as last seen.
+	// sentRevision is, for each connected agent, the declarations revision that it was last sent or reported to hold.
+	sentRevision map[string]uint64
+	// reachability is the last observed reachability of each endpoint.
+	reachability map[string]reachability
+	// listed is each endpoint's last seen state in the host list.
 	listed map[string]backing.HostState
-	// behind is what is known of agents that hold a higher revision than this entry.
-	behind behind
+	// lag tracks whether agents hold a higher revision than this entry.
+	lag revisionLag
 }
 
-// reachability is whether an endpoint answers and since when, and what else of its report the grants are decided from.
+// reachability is whether an endpoint is reachable and since when, and the other reported values that the grants are
+// decided from.
 type reachability struct {
 	reachable bool
 	since     time.Time
@@ -47,7 +48,7 @@
 	labels    map[string]string
 }
 
-// sameReport compares all but the time.
+// sameReport compares all fields except since.
 func (r reachability) sameReport(other reachability) bool {
 	return r.reachable == other.reachable && r.leaving == other.leaving && r.memory == other.memory &&
 		r.kind == other.kind && maps.Equal(r.labels, other.labels)
@@ -55,29 +56,29 @@
 
 func newCoordinator(e *Entry) *coordinator {
 	return &coordinator{
-		entry:  e,
-		budget: permits.NewBudget(e.options.Permits),
-		wake:   make(chan struct{}, 1),
-		told:   map[string]uint64{},
-		since:  map[string]reachability{},
-		listed: map[string]backing.HostState{},
+		entry:        e,
+		budget:       permits.NewBudget(e.options.Permits),
+		wake:         make(chan struct{}, 1),
+		sentRevision: map[string]uint64{},
+		reachability: map[string]reachability{},
+		listed:       map[string]backing.HostState{},
 	}
 }
 
-// Connected implements membership.Observer: a new connection starts with the grants and what the entry knows of hosts. The
-// declarations follow the agent's first report, which tells what it holds: most agents hold them already, from another
-// entry or from before a break, and a snapshot to each would make the start of an entry cost the more the larger the
-// fleet is.
+// Connected implements membership.Observer. It sends a new connection the grants and the host state. The declarations
+// are sent after the agent's first report, which contains the revision that it holds: most agents already hold the
+// current one, from another entry or from before a disconnect, and a snapshot to each agent would make the start of an
+// entry more expensive with the size of the fleet.
 func (c *coordinator) Connected(endpoint string) {
 	e := c.entry
 	down := &wirepb.ControlDown{
 		Rows:      e.grants.RowsOf(endpoint),
-		Entries:   c.entries(),
+		Entries:   c.entryIDs(),
 		HostState: c.hostState(endpoint),
 		WantState: !e.store.Ready(),
 	}
 	c.mu.Lock()
-	delete(c.told, endpoint)
+	delete(c.sentRevision, endpoint)
 	c.mu.Unlock()
 	e.members.Send(endpoint, down)
 }
@@ -97,26 +98,27 @@
 	}
 	if up.Snapshot != nil {
 		if err := e.store.Learn(up.Snapshot, nil); err != nil {
-			e.logger.Warn("declarations of a peer not taken", "endpoint", endpoint, "error", err)
+			e.logger.Warn("cannot apply the declarations snapshot from an agent", "endpoint", endpoint, "error", err)
 		}
 	}
 	if up.WantSnapshot {
 		e.members.Send(endpoint, &wirepb.ControlDown{Snapshot: e.store.Current().Snapshot()})
 	}
 	if ep != nil && ep.Connected {
-		// An edit that came between the connection and its first report found the agent not connected yet.
-		c.noteHeld(endpoint, up.Status)
-		c.pushTo(endpoint)
-		c.tellLeaving(endpoint, ep)
+		// An edit made between the connection and the agent's first report was not pushed, because the agent did not
+		// count as connected yet.
+		c.recordHeldRevision(endpoint, up.Status)
+		c.pushDeclarationsTo(endpoint)
+		c.notifyLeaving(endpoint, ep)
 	}
-	c.catchUp(now, endpoint, up.Status)
-	c.permits(now, endpoint, up)
-	c.noteReachability(now, endpoint)
-	e.changes.announce()
+	c.requestNewerDeclarations(now, endpoint, up.Status)
+	c.updatePermits(now, endpoint, up)
+	c.updateReachability(now, endpoint)
+	e.changes.broadcast()
 }
 
-// permits hands the agent's asking and its loads in flight to the budget.
-func (c *coordinator) permits(now time.Time, endpoint string, up *wirepb.ControlUp) {
+// updatePermits passes the agent's permit requests and loads in flight to the permit budget.
+func (c *coordinator) updatePermits(now time.Time, endpoint string, up *wirepb.ControlUp) {
 	c.mu.Lock()
 	for _, id := range up.PermitsDone {
 		c.budget.Done(now, endpoint, id)
@@ -129,7 +131,7 @@
 	}
 	c.mu.Unlock()
 	if len(up.PermitRequests) > 0 || len(up.PermitsDone) > 0 {
-		c.nudge()
+		c.wakePermits()
 	}
 }
 
@@ -138,11 +140,11 @@
 	now := c.entry.clock.Now()
 	c.mu.Lock()
 	c.budget.AgentGone(now, endpoint)
-	delete(c.told, endpoint)
+	delete(c.sentRevision, endpoint)
 	c.mu.Unlock()
-	c.noteReachability(now, endpoint)
-	c.entry.changes.announce()
-	c.nudge()
+	c.updateReachability(now, endpoint)
+	c.entry.changes.broadcast()
+	c.wakePermits()
 }
 
 // Changed implements membership.Observer.
@@ -150,25 +152,26 @@
 	e := c.entry
 	c.version.Add(1)
 	for name, ep := range e.members.Endpoints() {
-		c.noteListed(name, ep.Listed, ep.Gone)
+		c.recordListed(name, ep.Listed, ep.Gone)
 		if ep.Connected {
-			c.tellLeaving(name, ep)
+			c.notifyLeaving(name, ep)
 		}
 	}
 	e.grants.Notify()
-	e.changes.announce()
+	e.changes.broadcast()
 }
 
-// tellLeaving tells an agent that its host leaves, until it says so itself. A list that came between its connection and its
-// first report found it not connected yet, and does not come again.
-func (c *coordinator) tellLeaving(endpoint string, ep *membership.Endpoint) {
+// notifyLeaving tells an agent that its host is leaving, until the agent reports it. A host list that arrived between
+// the agent's connection and its first report was not sent to it, and the list is not sent again unless it changes.
+func (c *coordinator) notifyLeaving(endpoint string, ep *membership.Endpoint) {
 	if ep.Listed == backing.HostLeaving && !ep.Status.GetLeaving() {
 		c.entry.members.Send(endpoint, &wirepb.ControlDown{HostState: wirepb.HostState_HOST_LEAVING})
 	}
 }
 
-// noteListed tells the time line of a host's changed state, and forgets what was observed of one that is gone.
-func (c *coordinator) noteListed(endpoint string, state backing.HostState, gone bool) {
+// recordListed records a change of a host's listed state on the timeline, and discards the routing observations of a
+// host that is gone.
+func (c *coordinator) recordListed(endpoint string, state backing.HostState, gone bool) {
 	if gone {
 		state = backing.HostGone
 	}
@@ -190,15 +193,15 @@
 	}
 }
 
-// forget drops what was observed of an endpoint whose host is gone.
+// forget discards the routing observations of an endpoint whose host is gone.
 func (e *Entry) forget(endpoint string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.router.Forget(endpoint)
 }
 
-// noteReachability keeps since when an endpoint answers or not, and tells the grants of a change.
-func (c *coordinator) noteReachability(now time.Time, endpoint string) {
+// updateReachability updates the reachability of an endpoint and notifies the grants manager of a change.
+func (c *coordinator) updateReachability(now time.Time, endpoint string) {
 	ep := c.entry.members.Endpoint(endpoint)
 	next := reachability{since: now}
 	if ep != nil {
@@ -209,13 +212,13 @@
 		next.labels = ep.Status.GetLabels()
 	}
 	c.mu.Lock()
-	old, known := c.since[endpoint]
+	old, known := c.reachability[endpoint]
 	changed := !known || !old.sameReport(next)
 	if changed {
 		if known && old.reachable == next.reachable {
 			next.since = old.since
 		}
-		c.since[endpoint] = next
+		c.reachability[endpoint] = next
 	}
 	c.mu.Unlock()
 	if changed {
@@ -224,19 +227,19 @@
 	}
 }
 
-func (c *coordinator) nudge() {
+func (c *coordinator) wakePermits() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// want tells the grants that a request found no engine.
-func (c *coordinator) want(model string, reason wirepb.RefusalReason) {
+// requestSlot tells the grants manager that a request found no engine for its model.
+func (c *coordinator) requestSlot(model string, reason wirepb.RefusalReason) {
 	c.entry.grants.Wanted("", model, reason, 1)
 }
 
-// hostState is what an agent is told of its own host.
+// hostState returns the host state to send to an agent.
 func (c *coordinator) hostState(endpoint string) wirepb.HostState {
 	ep := c.entry.members.Endpoint(endpoint)
 	if ep != nil && ep.Listed == backing.HostLeaving {
@@ -245,8 +248,8 @@
 	return wirepb.HostState_LIVE
 }
 
-// entries are the identifiers of the listed entries.
-func (c *coordinator) entries() []string {
+// entryIDs returns the identifiers of the listed entries.
+func (c *coordinator) entryIDs() []string {
 	var ids []string
 	for _, e := range c.entry.members.Entries() {
 		ids = append(ids, e.ID)
@@ -269,16 +272,16 @@
 	for {
 		changed := e.store.Changed()
 		c.mu.Lock()
-		c.behind.caughtUp()
+		c.lag.reset()
 		c.mu.Unlock()
 		c.applyLimits()
 		for name, ep := range e.members.Endpoints() {
 			if ep.Connected {
-				c.pushTo(name)
+				c.pushDeclarationsTo(name)
 			}
 		}
 		e.grants.Notify()
-		e.changes.announce()
+		e.changes.broadcast()
 		e.recorder.Record(timeline.Event{Kind: timeline.DeclarationApplied, Detail: revisionText(e.store.Current().Revision())})
 		select {
 		case <-changed:
@@ -288,38 +291,38 @@
 	}
 }
 
-// noteHeld takes the revision that an agent says it holds for what it was last sent, where that is not higher.
-func (c *coordinator) noteHeld(endpoint string, status *wirepb.Status) {
+// recordHeldRevision raises the sent revision of an agent to the one that it reports to hold.
+func (c *coordinator) recordHeldRevision(endpoint string, status *wirepb.Status) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if status != nil {
-		c.told[endpoint] = max(c.told[endpoint], status.DeclarationsRevision)
+		c.sentRevision[endpoint] = max(c.sentRevision[endpoint], status.DeclarationsRevision)
 	}
 }
 
-// pushTo sends an agent the deltas since what it was last sent, or a snapshot. An agent that has not told what it holds
-// gets nothing yet.
-func (c *coordinator) pushTo(endpoint string) {
+// pushDeclarationsTo sends an agent the deltas since the revision that it holds, or a snapshot. It sends nothing to an
+// agent that has not reported its revision yet.
+func (c *coordinator) pushDeclarationsTo(endpoint string) {
 	e := c.entry
 	set := e.store.Current()
 	c.mu.Lock()
-	told, known := c.told[endpoint]
+	sent, known := c.sentRevision[endpoint]
 	if known {
-		c.told[endpoint] = max(told, set.Revision())
+		c.sentRevision[endpoint] = max(sent, set.Revision())
 	}
 	c.mu.Unlock()
-	if !known || told >= set.Revision() {
+	if !known || sent >= set.Revision() {
 		return
 	}
-	deltas, ok := e.store.DeltasSince(told)
-	if !ok || told == 0 {
+	deltas, ok := e.store.DeltasSince(sent)
+	if !ok || sent == 0 {
 		e.members.Send(endpoint, &wirepb.ControlDown{Snapshot: set.Snapshot()})
 		return
 	}
 	e.members.Send(endpoint, &wirepb.ControlDown{Deltas: deltas})
 }
 
-// applyLimits sets the declared budget of the weight store.
+// applyLimits applies the declared limits of the weight store to the permit budget.
 func (c *coordinator) applyLimits() {
 	limits := c.entry.store.Current().Limits()
 	o := c.entry.options.Permits
--- a/internal/entry/coordinator_push_test.go
+++ b/internal/entry/coordinator_push_test.go
@@ -10,7 +10,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// edit makes one more revision and returns it.
+// edit makes one edit of the declarations and returns its revision.
 func edit(t *testing.T, e *Entry) uint64 {
 	t.Helper()
 	label := map[string]string{"edit": strconv.FormatInt(time.Now().UnixNano(), 10)}
@@ -25,21 +25,21 @@
 	return result.Revision
 }
 
-// An entry starts again beside agents that already hold the declarations from the other entries. What it sends each of
-// them must depend on what the agent says it holds: a snapshot to each took an entry of the size to design for minutes,
-// in which agents were lost for its silence and connected anew, to be sent the snapshot again.
+// An entry restarts while the agents already hold the declarations from other entries. What it sends to each agent must
+// depend on the revision that the agent reports. A snapshot to every agent used to keep an entry of a large fleet busy
+// for minutes; it lost agents to heartbeat timeouts, which reconnected and were sent the snapshot again.
 func TestDeclarationsFollowWhatAnAgentHolds(t *testing.T) {
 	cases := []struct {
 		name string
-		// behind is how many revisions the agent lacks, all of them when it is negative.
+		// behind is how many revisions the agent lacks; negative means all of them.
 		behind int
 		// after is set when another edit is made once the agent has reported.
 		after                   bool
 		wantSnapshot, wantDelta bool
 	}{
-		{name: "nothing", behind: -1, wantSnapshot: true},
-		{name: "one revision less", behind: 1, wantDelta: true},
-		{name: "the newest, before the next edit", behind: 0, after: true, wantDelta: true},
+		{name: "no declarations", behind: -1, wantSnapshot: true},
+		{name: "one revision behind", behind: 1, wantDelta: true},
+		{name: "the newest revision, then another edit", behind: 0, after: true, wantDelta: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 				newest = edit(t, e)
 			}
 			var got *wirepb.ControlDown
-			until(t, control, func(down *wirepb.ControlDown) bool {
+			readUntil(t, control, func(down *wirepb.ControlDown) bool {
 				got = down
 				return down.Snapshot != nil || len(down.Deltas) > 0
 			})
@@ -75,7 +75,7 @@
 	}
 }
 
-// awaitConnected waits until the entry has an agent's report.
+// awaitConnected waits until the entry has processed an agent's report.
 func awaitConnected(t *testing.T, e *Entry, endpoint string) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -83,7 +83,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the agent's report was not taken in")
+			t.Fatal("the agent's report was not processed")
 		}
 	}
 }
--- a/internal/entry/coordinator_test.go
+++ b/internal/entry/coordinator_test.go
@@ -23,14 +23,14 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// scriptedAgent is an agent whose reports the test sends.
+// scriptedAgent is a fake agent whose control stream the test reads and writes.
 type scriptedAgent struct {
 	address string
 	stream  chan *wire.Stream
 	done    chan struct{}
 }
 
-// newScriptedAgent listens as an agent does and hands the control stream to the test.
+// newScriptedAgent listens as an agent does and passes the control stream to the test.
 func newScriptedAgent(t *testing.T) *scriptedAgent {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,14 +57,14 @@
 	return a
 }
 
-// until reads batches until one is as wanted.
-func until(t *testing.T, s *wire.Stream, wanted func(*wirepb.ControlDown) bool) {
+// readUntil reads batches until one matches.
+func readUntil(t *testing.T, s *wire.Stream, wanted func(*wirepb.ControlDown) bool) {
 	t.Helper()
 	_ = s.SetReadDeadline(time.Now().Add(10 * time.Second))
 	for {
 		down := &wirepb.ControlDown{}
 		if err := s.Read(down); err != nil {
-			t.Fatalf("the wanted batch did not come: %v", err)
+			t.Fatalf("the expected batch did not arrive: %v", err)
 		}
 		if wanted(down) {
 			return
@@ -79,7 +79,7 @@
 	return e
 }
 
-// startEntryAt is startEntry with the platform that it runs at.
+// startEntryAt is startEntry that also returns the stand-in platform.
 func startEntryAt(t *testing.T, agentAddress string) (*Entry, *standin.Server) {
 	t.Helper()
 	server := standin.New(standin.Options{Hosts: []backing.Host{
@@ -116,9 +116,9 @@
 	return e, server
 }
 
-// An operator applies an edit just when an agent has connected and not reported yet. The edit's push passes the agent by,
-// because it does not count as connected, and the snapshot sent at the connection was the older one: without a look at
-// each report the agent would stay at the old revision until the next edit.
+// An edit is made after an agent has connected and before its first report. The push of the edit skips the agent,
+// because it does not count as connected yet. Unless the entry checks the agent's revision at each report, the agent
+// would stay at the old revision until the next edit.
 func TestEditBetweenConnectionAndFirstReport(t *testing.T) {
 	agent := newScriptedAgent(t)
 	e := startEntry(t, agent.address)
@@ -141,5 +141,5 @@
 	if err := control.Write(report); err != nil {
 		t.Fatal(err)
 	}
-	until(t, control, func(down *wirepb.ControlDown) bool { return down.Snapshot.GetRevision() >= result.Revision })
+	readUntil(t, control, func(down *wirepb.ControlDown) bool { return down.Snapshot.GetRevision() >= result.Revision })
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry is the process on the entry hosts: it takes callers' requests, chooses an endpoint for each, passes the
-// answer back once and whole, and shares the deciding work (grants, permits) with the other entries.
+// Package entry implements the process that runs on the entry hosts. It accepts callers' requests, chooses an endpoint
+// for each, returns the verified response exactly once, and shares the work of deciding grants and permits with the
+// other entries.
 package entry
 
 import (
@@ -32,21 +33,21 @@
 	Incarnation uint64
 	// MaxDeadline bounds the deadline that a request may ask for.
 	MaxDeadline time.Duration
-	// MaxBody bounds the body of a chat completion in bytes, and of a service call where nothing else is declared.
+	// MaxBody bounds, in bytes, the body of a chat completion, and of a service call whose service declares no limit.
 	MaxBody int64
 	Limiter admission.LimiterOptions
 	Router  routing.Options
 	Budget  routing.BudgetOptions
 	// MaxAttempts bounds the attempts at one request.
 	MaxAttempts int
-	// CandidatePatience is how long a request waits for an endpoint that may take it.
+	// CandidatePatience is how long a request waits for an endpoint that can take it.
 	CandidatePatience time.Duration
-	// MaxAnswer bounds the time of one answer once begun.
+	// MaxAnswer bounds the duration of a response once it has started.
 	MaxAnswer time.Duration
 	Permits   permits.Options
 }
 
-// Dependencies are what an Entry works with.
+// Dependencies are the components that an Entry uses.
 type Dependencies struct {
 	Members    *membership.Manager
 	Store      *declarations.Store
@@ -70,20 +71,21 @@
 	coordinator *coordinator
 	grants      *replicas.Manager
 	changes     *broadcaster
-	sent        *counts
+	inFlight    *counts
 	sequence    atomic.Uint64
 	draining    atomic.Bool
-	// settling are the records of claims under way whose requests have ended.
+	// settling tracks the background writes that record the result of claimed requests.
 	settling sync.WaitGroup
 
-	// mu guards the deciding state below.
+	// mu guards the routing and admission state below.
 	mu      sync.Mutex
 	router  *routing.Router
 	budget  *routing.RetryBudget
 	limiter *admission.Limiter
 }
 
-// New returns an entry. Its grants are wired with SetGrants, because they take the entry's view as input.
+// New returns an entry. SetGrants adds the grants manager afterwards, because that manager takes the entry's
+// GrantInputs.
 func New(o Options, d Dependencies) *Entry {
 	e := &Entry{
 		options:  o,
@@ -95,7 +97,7 @@
 		recorder: d.Recorder,
 		metrics:  newMetrics(d.Registerer),
 		changes:  newBroadcaster(),
-		sent:     newCounts(),
+		inFlight: newCounts(),
 		router:   routing.NewRouter(o.Router),
 		budget:   routing.NewRetryBudget(o.Budget),
 		limiter:  admission.NewLimiter(o.Limiter),
@@ -105,16 +107,16 @@
 	return e
 }
 
-// SetGrants sets the manager of grants; it must be called before Run.
+// SetGrants sets the grants manager; it must be called before Run.
 func (e *Entry) SetGrants(m *replicas.Manager) { e.grants = m }
 
-// Ready returns what is missing before the entry can serve; nothing means that it is ready.
+// Ready returns the reasons why the entry cannot serve yet; an empty list means that it is ready.
 func (e *Entry) Ready() []string {
 	var missing []string
 	if e.draining.Load() {
 		missing = append(missing, "the entry is stopping")
 	}
-	if !e.store.Ready() && !e.learned() {
+	if !e.store.Ready() && !e.hasNewestRevision() {
 		missing = append(missing, "the declarations are not known yet")
 	}
 	select {
@@ -125,9 +127,10 @@
 	return missing
 }
 
-// learned reports whether an entry that cannot read the table holds the highest revision that the agents it reaches hold.
-// Those that it cannot reach may hold a higher one; it is then learned when they are reached, and never given up.
-func (e *Entry) learned() bool {
+// hasNewestRevision reports whether an entry that cannot read the table holds the highest declarations revision among
+// the connected agents. A disconnected agent may hold a higher revision; the entry learns it when that agent connects,
+// and never returns to a lower one.
+func (e *Entry) hasNewestRevision() bool {
 	revision := e.store.Current().Revision()
 	if revision == 0 {
 		return false
@@ -140,8 +143,8 @@
 	return true
 }
 
-// Run does the entry's share of the deciding work until ctx ends, and then waits a bounded time for the claims of ended
-// requests to be recorded. It must outlast the callers' requests.
+// Run runs the entry's background tasks until ctx ends, and then waits for the claims of finished requests to be
+// recorded, which claimWriteTimeout bounds. It must outlast the callers' requests.
 func (e *Entry) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	tasks.Go(func() { _ = e.store.Run(ctx) })
@@ -154,15 +157,16 @@
 	return nil
 }
 
-// StartDrain makes the readiness fail, so that the balancer sends callers elsewhere. The entry goes on serving.
+// StartDrain makes the readiness check fail, so that the load balancer sends callers elsewhere. The entry goes on
+// serving.
 func (e *Entry) StartDrain() {
 	if !e.draining.Swap(true) {
 		e.recorder.Record(timeline.Event{Kind: timeline.DrainStarted})
 	}
 }
 
-// newRequestID returns an identifier that no other request of any entry has: the peers key their state by it, so a
-// caller's own identifier would not do.
+// newRequestID returns an identifier that is unique across all entries. Agents key their state by it, so a caller's own
+// identifier cannot be used.
 func (e *Entry) newRequestID() string {
 	return e.options.ID + "-" + strconv.FormatUint(e.options.Incarnation, 36) + "-" + strconv.FormatUint(e.sequence.Add(1), 36)
 }
--- a/internal/entry/fate.go
+++ b/internal/entry/fate.go
@@ -5,32 +5,33 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// awaitFate follows a committed request whose caller was told nothing definite, so that its claim can be settled.
-func (t *attempt) awaitFate() {
+// awaitExecution reads the rest of the exchange of a committed request whose caller got no definite result, so that its
+// claim can be settled.
+func (t *attempt) awaitExecution() {
 	defer func() { _ = t.stream.Close() }()
 	_ = t.stream.SetReadDeadline(t.entry.clock.Now().Add(t.entry.options.MaxAnswer))
 	for {
 		frame := &wirepb.FromAgent{}
 		err := t.stream.Read(frame)
-		event := fateEvent(frame, err, t.rq.id)
+		event := pendingEvent(frame, err, t.rq.id)
 		for _, action := range t.exchange.Step(event) {
 			switch action {
 			case atmostonce.SettleServed:
-				t.fate <- fateServed
+				t.pending <- executionServed
 				return
 			case atmostonce.SettleNotRun:
-				t.fate <- fateNotRun
+				t.pending <- executionNotRun
 				return
 			case atmostonce.SettleUnknown, atmostonce.EndUnknown, atmostonce.EndCut:
-				t.fate <- fateUnknown
+				t.pending <- executionUnknown
 				return
 			}
 		}
 	}
 }
 
-// fateEvent is eventOf without an answer to pass on.
-func fateEvent(frame *wirepb.FromAgent, err error, id string) atmostonce.ExchangeEvent {
+// pendingEvent is handleFrame for a response that is no longer forwarded.
+func pendingEvent(frame *wirepb.FromAgent, err error, id string) atmostonce.ExchangeEvent {
 	if err != nil || frame.RequestId != id {
 		return atmostonce.StreamBroke
 	}
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -12,31 +12,32 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// result is how a request ended for its caller.
+// result is how a request ended.
 type result struct {
-	// err is the error answer to send, nil when the answer was sent or cut.
+	// err is the error response to send, nil when a response was sent or aborted.
 	err *apiError
-	// cut is set when the caller's connection must be cut, because it is gone or a part of the answer was sent.
-	cut bool
-	// fate is what is known of the request's effect, whatever the caller was told. later is set when the request was
-	// committed and its definite end is still to come.
-	fate  fate
-	later <-chan fate
-	// status is that of a whole answer.
+	// abort is set when the caller's connection must be aborted, because the caller has left or a part of the response
+	// was sent.
+	abort bool
+	// execution is whether the request is known to have run, whatever the caller was told. pending is set when the
+	// request was committed and its definite result is still to come.
+	execution execution
+	pending   <-chan execution
+	// status is the status of a complete response.
 	status int
 }
 
-// fate is whether a request had its effect.
-type fate int
+// execution is whether a request ran at its endpoint.
+type execution int
 
 const (
-	fateUnknown fate = iota
-	fateServed
-	fateNotRun
+	executionUnknown execution = iota
+	executionServed
+	executionNotRun
 )
 
-// forward serves a request through attempts at endpoints until one succeeds or the request is given up.
-func (e *Entry) forward(ctx context.Context, rq *request, out *answer) result {
+// forward serves a request through attempts at endpoints until one succeeds or no further attempt is allowed.
+func (e *Entry) forward(ctx context.Context, rq *request, out *response) result {
 	state := &routing.RequestState{
 		Idempotent:  rq.idempotent,
 		Deadline:    rq.deadline,
@@ -47,82 +48,82 @@
 	for {
 		candidate, refusal := e.pick(ctx, rq, tried)
 		if refusal != nil {
-			return e.afterAttempts(state, refusal)
+			return e.noEndpointResult(state, refusal)
 		}
 		tried = append(tried, candidate.Endpoint)
 		t := newAttempt(e, rq, candidate, out)
-		t.hasOther = func() bool { return e.untried(rq, tried) }
-		t.last = !t.hasOther()
+		t.hasAlternative = func() bool { return e.hasUntried(rq, tried) }
+		t.noAlternative = !t.hasAlternative()
 		ended := t.run(ctx)
 		verdict := e.decide(rq, state, ended, tried)
 		if ended.callerGone {
-			return result{cut: true, fate: fateOf(state, ended), later: t.fate}
+			return result{abort: true, execution: executionOf(state, ended), pending: t.pending}
 		}
 		switch verdict.Kind {
 		case routing.VerdictDone:
-			return result{status: t.status(), fate: fateServed}
+			return result{status: t.status(), execution: executionServed}
 		case routing.VerdictRetry:
 			out.reset()
 			e.record(timeline.RequestRetried, rq, candidate.Endpoint, verdict.Reason.String())
 			e.metrics.retries.Inc()
-			if !e.waitBefore(ctx, verdict.Wait) {
-				return result{cut: true, fate: fateOf(state, ended)}
+			if !e.waitBeforeRetry(ctx, verdict.Wait) {
+				return result{abort: true, execution: executionOf(state, ended)}
 			}
 			if verdict.Wait > 0 {
-				// All have been tried; after the wait they may be tried again.
+				// All endpoints have been tried; after the wait they may be tried again.
 				tried = nil
 			}
 		case routing.VerdictRefuse:
-			return result{err: rq.orBroken(refused(verdict.Reason, verdict.RetryAfter)), fate: fateNotRun}
+			return result{err: rq.bodyErrorOr(refusalError(verdict.Reason, verdict.RetryAfter)), execution: executionNotRun}
 		case routing.VerdictUnknown:
-			return result{err: rq.orBroken(e.unknownAnswer(rq)), later: t.fate}
+			return result{err: rq.bodyErrorOr(e.unknownOutcomeError(rq)), pending: t.pending}
 		case routing.VerdictAbort:
-			return result{cut: true, later: t.fate}
+			return result{abort: true, pending: t.pending}
 		}
 	}
 }
 
-// fateOf is what is known of a request's effect after an attempt.
-func fateOf(state *routing.RequestState, ended attemptEnd) fate {
+// executionOf returns whether a request is known to have run after an attempt.
+func executionOf(state *routing.RequestState, ended attemptResult) execution {
 	switch {
 	case ended.attempt.Outcome == routing.OutcomeServed:
-		return fateServed
+		return executionServed
 	case state.MayHaveRun:
-		return fateUnknown
+		return executionUnknown
 	default:
-		return fateNotRun
+		return executionNotRun
 	}
 }
 
-// afterAttempts is the answer when no endpoint is left: "not run" only when no earlier attempt may have run.
-func (e *Entry) afterAttempts(state *routing.RequestState, refusal *apiError) result {
+// noEndpointResult returns the result when no endpoint is left: "not run" only when no earlier attempt may have run.
+func (e *Entry) noEndpointResult(state *routing.RequestState, refusal *apiError) result {
 	if state.MayHaveRun {
-		return result{err: unknown("the request may have run; no endpoint is left to try")}
+		return result{err: outcomeUnknown("the request may have run; no endpoint is left to try")}
 	}
-	return result{err: refusal, fate: fateNotRun}
+	return result{err: refusal, execution: executionNotRun}
 }
 
-// unknownAnswer is the answer when the request may have run.
-func (e *Entry) unknownAnswer(rq *request) *apiError {
+// unknownOutcomeError returns the error response to a request that may have run.
+func (e *Entry) unknownOutcomeError(rq *request) *apiError {
 	if !rq.idempotent {
-		return unknown("the request was begun and its outcome is not known; do not send it again without checking")
+		return outcomeUnknown("the request was begun and its outcome is not known; do not send it again without checking")
 	}
-	return unknown("the request was begun and not answered in time; it may be sent again")
+	return outcomeUnknown("the request was begun and not answered in time; it may be sent again")
 }
 
-// decide asks the routing slice what follows from an attempt.
-func (e *Entry) decide(rq *request, state *routing.RequestState, ended attemptEnd, tried []string) routing.Verdict {
+// decide updates the routing state with the result of an attempt and returns routing's verdict on how to continue.
+func (e *Entry) decide(rq *request, state *routing.RequestState, ended attemptResult, tried []string) routing.Verdict {
 	now := e.clock.Now()
-	state.AnswerBegun = ended.answerBegun
-	state.Untried = e.untried(rq, tried)
-	if ended.bodyUsed {
-		// What went to an endpoint of a streamed body cannot be sent again.
+	state.AnswerBegun = ended.responseStarted
+	state.Untried = e.hasUntried(rq, tried)
+	if ended.bodyConsumed {
+		// The part of a streamed body that was sent to an endpoint cannot be sent again.
 		state.MaxAttempts = state.Attempts + 1
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !ended.callerGone && rq.broken.Load() == nil {
-		// What the caller brought about says nothing of the endpoint.
+	if !ended.callerGone && rq.bodyErr.Load() == nil {
+		// A failure that the caller caused must not count against the endpoint.
 		e.router.Observe(now, ended.observation)
 	}
 	verdict := routing.Decide(now, ended.attempt, state)
@@ -132,8 +133,8 @@
 	return verdict
 }
 
-// untried reports whether a candidate is left that was not tried.
-func (e *Entry) untried(rq *request, tried []string) bool {
+// hasUntried reports whether an available candidate has not been tried.
+func (e *Entry) hasUntried(rq *request, tried []string) bool {
 	for _, c := range e.candidates(rq.target) {
 		if c.Reachable && !c.Leaving && !contains(tried, c.Endpoint) {
 			return true
@@ -151,12 +152,12 @@
 	return false
 }
 
-// pick chooses an endpoint, waiting for one while none can be used: for a slot that is being granted, or a connection
-// that is being made.
+// pick chooses an endpoint. If none is available it waits, for example for a slot to be granted or a connection to be
+// established.
 func (e *Entry) pick(ctx context.Context, rq *request, tried []string) (routing.Candidate, *apiError) {
-	patience := min(e.options.CandidatePatience, rq.deadline.Sub(e.clock.Now()))
-	until := e.clock.Now().Add(patience)
-	asked := false
+	timeout := min(e.options.CandidatePatience, rq.deadline.Sub(e.clock.Now()))
+	waitUntil := e.clock.Now().Add(timeout)
+	requested := false
 	for {
 		changed := e.changes.wait()
 		list := e.candidates(rq.target)
@@ -167,24 +168,24 @@
 			return list[i], nil
 		}
 		if len(tried) > 0 && len(list) > 0 {
-			return routing.Candidate{}, refused(wirepb.RefusalReason_NOT_READY, 0)
+			return routing.Candidate{}, refusalError(wirepb.RefusalReason_NOT_READY, 0)
 		}
-		if !asked && rq.target.Model != "" {
-			asked = true
-			e.coordinator.want(rq.target.Model, wirepb.RefusalReason_NOT_GRANTED)
+		if !requested && rq.target.Model != "" {
+			requested = true
+			e.coordinator.requestSlot(rq.target.Model, wirepb.RefusalReason_NOT_GRANTED)
 		}
-		left := until.Sub(e.clock.Now())
-		if left <= 0 {
-			return routing.Candidate{}, refused(wirepb.RefusalReason_NOT_GRANTED, e.options.CandidatePatience)
+		remaining := waitUntil.Sub(e.clock.Now())
+		if remaining <= 0 {
+			return routing.Candidate{}, refusalError(wirepb.RefusalReason_NOT_GRANTED, e.options.CandidatePatience)
 		}
-		if err := e.await(ctx, changed, left); err != nil {
+		if err := e.waitForChange(ctx, changed, remaining); err != nil {
 			return routing.Candidate{}, notRun(http.StatusServiceUnavailable, CodeCallerGone, "the caller went away", 0)
 		}
 	}
 }
 
-// await waits for a change of what the entry knows, at most for d.
-func (e *Entry) await(ctx context.Context, changed <-chan struct{}, d time.Duration) error {
+// waitForChange waits until the entry's view of the system changes, at most for d.
+func (e *Entry) waitForChange(ctx context.Context, changed <-chan struct{}, d time.Duration) error {
 	timer := e.clock.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -197,8 +198,8 @@
 	}
 }
 
-// waitBefore waits before another attempt; it reports whether the caller is still there.
-func (e *Entry) waitBefore(ctx context.Context, d time.Duration) bool {
+// waitBeforeRetry waits before another attempt; it reports false when the caller has left.
+func (e *Entry) waitBeforeRetry(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/entry/frames.go
+++ b/internal/entry/frames.go
@@ -15,10 +15,10 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// eventOf turns a read into an event of the exchange.
-func (t *attempt) eventOf(ctx context.Context, frame *wirepb.FromAgent, err error) atmostonce.ExchangeEvent {
+// handleFrame processes the result of a read and returns the event for the exchange.
+func (t *attempt) handleFrame(ctx context.Context, frame *wirepb.FromAgent, err error) atmostonce.ExchangeEvent {
 	if err != nil {
-		t.gone = ctx.Err() != nil
+		t.callerGone = ctx.Err() != nil
 	}
 	if errors.Is(err, wire.ErrTimeout) {
 		return atmostonce.GaveUp
@@ -31,35 +31,35 @@
 	}
 	switch f := frame.Frame.(type) {
 	case *wirepb.FromAgent_Accepted:
-		t.accepted(f.Accepted)
+		t.handleAccepted(f.Accepted)
 		return atmostonce.GotAccepted
 	case *wirepb.FromAgent_Ready:
-		return t.ready()
+		return t.handleReady()
 	case *wirepb.FromAgent_Refused:
 		t.refusal = f.Refused
 		return atmostonce.GotRefused
 	case *wirepb.FromAgent_Head:
-		return t.headCame(f.Head)
+		return t.handleHead(f.Head)
 	case *wirepb.FromAgent_Body:
-		return t.bodyCame(f.Body.Data)
+		return t.handleBody(f.Body.Data)
 	case *wirepb.FromAgent_Trailer:
-		return t.trailerCame(f.Trailer)
+		return t.handleTrailer(f.Trailer)
 	case *wirepb.FromAgent_Failed:
-		return t.failedCame(f.Failed)
+		return t.handleFailed(f.Failed)
 	default:
 		return atmostonce.StreamBroke
 	}
 }
 
-func (t *attempt) accepted(a *wirepb.Accepted) {
+func (t *attempt) handleAccepted(a *wirepb.Accepted) {
 	t.stage = routing.StageAccepted
 	t.cold = a.Cold
 	t.expected = time.Duration(a.Load.GetWaitMicros()) * time.Microsecond
 	t.entry.record(timeline.RequestAccepted, t.rq, t.candidate.Endpoint, "")
 }
 
-// ready begins the sending of the rest of a large body. For a two-step request the commit goes first.
-func (t *attempt) ready() atmostonce.ExchangeEvent {
+// handleReady starts sending the rest of a large body. In a two-step request the body follows the commit.
+func (t *attempt) handleReady() atmostonce.ExchangeEvent {
 	t.running = true
 	if t.rq.idempotent {
 		t.startBody()
@@ -67,26 +67,26 @@
 	return atmostonce.GotReady
 }
 
-// startBody sends the rest of a large body from its own goroutine, so that a refusal is seen meanwhile.
+// startBody sends the rest of a large body in a separate goroutine, so that a refusal can be read in the meantime.
 func (t *attempt) startBody() {
-	if t.rq.isWhole() || t.bodyBegun {
+	if t.rq.hasFullBody() || t.bodyStarted {
 		return
 	}
-	t.bodyBegun = true
+	t.bodyStarted = true
 	rest := t.rq.rest
 	if rest == nil {
-		rest = bytes.NewReader(t.rq.kept)
+		rest = bytes.NewReader(t.rq.buffered)
 	}
 	go t.sendBody(rest)
 }
 
-// sendBody passes on the rest of the body.
+// sendBody sends the rest of the body in chunks.
 func (t *attempt) sendBody(rest io.Reader) {
 	buffer := make([]byte, wire.ChunkBytes)
 	for {
-		n, last, err := readPart(rest, buffer)
+		n, last, err := readChunk(rest, buffer)
 		if err != nil {
-			t.rq.breakBody(err)
+			t.rq.failBody(err)
 			_ = t.write(&wirepb.ToAgent{Frame: &wirepb.ToAgent_Cancel{Cancel: &wirepb.Cancel{Reason: "the caller's body broke"}}})
 			return
 		}
@@ -97,10 +97,10 @@
 	}
 }
 
-// write sends one frame; the body's sender and the exchange share the stream.
+// write sends one frame. It is safe for concurrent use, because sendBody and the exchange share the stream.
 func (t *attempt) write(frame *wirepb.ToAgent) error {
-	t.writing.Lock()
-	defer t.writing.Unlock()
+	t.writeMu.Lock()
+	defer t.writeMu.Unlock()
 	frame.RequestId = t.rq.id
 	if frame.GetBody() == nil {
 		frame.Clock = t.entry.recorder.Clock().Now()
@@ -108,22 +108,22 @@
 	return t.stream.Write(frame)
 }
 
-func (t *attempt) headCame(head *wirepb.Head) atmostonce.ExchangeEvent {
+func (t *attempt) handleHead(head *wirepb.Head) atmostonce.ExchangeEvent {
 	t.running = true
 	t.cold = t.cold || head.Cold
 	t.out.setHead(head)
-	t.answered = int(head.Status)
+	t.statusCode = int(head.Status)
 	return atmostonce.GotHead
 }
 
-func (t *attempt) bodyCame(data []byte) atmostonce.ExchangeEvent {
+func (t *attempt) handleBody(data []byte) atmostonce.ExchangeEvent {
 	if t.firstByte == 0 {
-		t.firstByte = t.entry.clock.Now().Sub(t.began)
-		t.entry.noteFirstByte(t.rq, t.cold)
+		t.firstByte = t.entry.clock.Now().Sub(t.startedAt)
+		t.entry.observeFirstByte(t.rq, t.cold)
 	}
-	err := t.out.add(data)
+	err := t.out.addBody(data)
 	if errors.Is(err, errCallerGone) {
-		t.gone = true
+		t.callerGone = true
 		return atmostonce.GaveUp
 	}
 	if err != nil {
@@ -132,7 +132,7 @@
 	return atmostonce.GotHead
 }
 
-func (t *attempt) trailerCame(trailer *wirepb.Trailer) atmostonce.ExchangeEvent {
+func (t *attempt) handleTrailer(trailer *wirepb.Trailer) atmostonce.ExchangeEvent {
 	if err := t.out.verify(trailer); err != nil {
 		t.entry.metrics.mismatches.Inc()
 		return atmostonce.StreamBroke
@@ -140,7 +140,7 @@
 	return atmostonce.GotTrailer
 }
 
-func (t *attempt) failedCame(f *wirepb.Failed) atmostonce.ExchangeEvent {
+func (t *attempt) handleFailed(f *wirepb.Failed) atmostonce.ExchangeEvent {
 	t.entry.record(timeline.RequestFailed, t.rq, t.candidate.Endpoint, f.Reason.String())
 	if f.Reason == wirepb.FailureReason_ENDPOINT_REFUSED {
 		t.refusal = &wirepb.Refused{Reason: wirepb.RefusalReason_QUEUE_FULL, Load: f.Load}
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -17,7 +17,8 @@
 	pathModels = "/v1/models"
 )
 
-// routes returns the callers' paths. What is not a model path belongs to the plain service whose prefix it has.
+// routes returns the handler of the callers' paths. Any path other than the model paths belongs to the plain service
+// whose prefix matches.
 func (e *Entry) routes() http.Handler {
 	r := chi.NewRouter()
 	r.Post(pathChat, e.serveChat)
@@ -31,25 +32,25 @@
 func (e *Entry) serveChat(w http.ResponseWriter, r *http.Request) {
 	id := e.newRequestID()
 	now := e.clock.Now()
-	sent, w := newCallerBody(w, r)
-	defer sent.end()
+	incoming, w := newCallerBody(w, r)
+	defer incoming.finish()
 	class, deadline, refusal := e.classAndDeadline(r.Header, e.deadlines(), now)
-	if refusal == nil && !e.knowsEnough() {
-		refusal = refused(wirepb.RefusalReason_NOT_READY, minRetryAfter)
+	if refusal == nil && !e.canRoute() {
+		refusal = refusalError(wirepb.RefusalReason_NOT_READY, minRetryAfter)
 	}
 	if refusal != nil {
-		e.answerError(w, id, refusal)
+		e.writeError(w, id, refusal)
 		return
 	}
-	sent.bound(e.options.MaxBody, deadline)
-	body, refusal := sent.readAll()
+	incoming.setLimits(e.options.MaxBody, deadline)
+	body, refusal := incoming.readAll()
 	if refusal != nil {
-		e.answerError(w, id, refusal)
+		e.writeError(w, id, refusal)
 		return
 	}
 	target, fields, body, refusal := chatTarget(e.store.Current(), body)
 	if refusal != nil {
-		e.answerError(w, id, refusal)
+		e.writeError(w, id, refusal)
 		return
 	}
 	rq := &request{
@@ -66,44 +67,45 @@
 		caller:     callerKey(r),
 		length:     int64(len(body)),
 	}
-	rq.body, rq.kept = firstPart(body)
+	rq.body, rq.buffered = firstPart(body)
 	e.serve(w, r, rq)
 }
 
-// knowsEnough reports whether the entry can tell what is declared and where it is. A stopping entry still can.
-func (e *Entry) knowsEnough() bool { return e.draining.Load() || len(e.Ready()) == 0 }
+// canRoute reports whether the entry has the declarations and the host list. An entry that is stopping still has them.
+func (e *Entry) canRoute() bool { return e.draining.Load() || len(e.Ready()) == 0 }
 
-// serve admits and forwards a request and sends its final answer.
+// serve admits and forwards a request and sends its final response.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request, rq *request) {
 	e.record(timeline.RequestReceived, rq, "", rq.method+" "+rq.path)
 	if refusal := e.admit(rq); refusal != nil {
 		e.record(timeline.RequestRefused, rq, "", string(refusal.code))
-		e.answerError(w, rq.id, refusal)
+		e.writeError(w, rq.id, refusal)
 		return
 	}
 	defer e.release(rq)
-	out := newAnswer(w, rq.id)
-	res := e.serveClaimed(r, rq, out)
-	e.conclude(w, rq, res)
+	out := newResponse(w, rq.id)
+	res := e.forwardWithClaim(r, rq, out)
+	e.finishRequest(w, rq, res)
 }
 
-// conclude sends what is left to send.
-func (e *Entry) conclude(w http.ResponseWriter, rq *request, res result) {
+// finishRequest records the result of a request and sends what remains to be sent.
+func (e *Entry) finishRequest(w http.ResponseWriter, rq *request, res result) {
 	e.metrics.observeRequest(rq, res, e.clock.Now().Sub(rq.received))
-	if res.cut {
+	if res.abort {
 		e.record(timeline.RequestFailed, rq, "", "cut")
-		// The body was begun and cannot be ended whole: only a cut connection tells the caller so.
+		// The response has started and cannot be completed: only aborting the connection shows the caller that it is
+		// truncated.
 		panic(http.ErrAbortHandler)
 	}
 	if res.err != nil {
 		e.record(timeline.RequestRefused, rq, "", string(res.err.code))
-		e.answerError(w, rq.id, res.err)
+		e.writeError(w, rq.id, res.err)
 		return
 	}
 	e.record(timeline.RequestCompleted, rq, "", strconv.Itoa(res.status))
 }
 
-// admit takes a place for a request at this entry.
+// admit applies the concurrency limit of the entry to a request.
 func (e *Entry) admit(rq *request) *apiError {
 	e.mu.Lock()
 	refusal := e.limiter.Acquire(e.clock.Now(), rq.class)
@@ -111,7 +113,7 @@
 	if refusal == nil {
 		return nil
 	}
-	return refused(refusal.Reason, refusal.RetryAfter)
+	return refusalError(refusal.Reason, refusal.RetryAfter)
 }
 
 func (e *Entry) release(rq *request) {
@@ -120,12 +122,12 @@
 	e.limiter.Release(e.clock.Now(), rq.class)
 }
 
-func (e *Entry) answerError(w http.ResponseWriter, id string, refusal *apiError) {
+func (e *Entry) writeError(w http.ResponseWriter, id string, refusal *apiError) {
 	e.metrics.errors.WithLabelValues(string(refusal.code)).Inc()
 	refusal.write(w, id)
 }
 
-// deadlines returns the declared deadlines of requests that name none.
+// deadlines returns the declared default deadlines.
 func (e *Entry) deadlines() deadlines {
 	limits := e.store.Current().Limits()
 	return deadlines{
@@ -134,7 +136,7 @@
 	}
 }
 
-// modelEntry is one line of GET /v1/models.
+// modelEntry is one element of the response to GET /v1/models.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -142,7 +144,7 @@
 	Parent  string `json:"parent,omitempty"`
 }
 
-// modelList is the answer to GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
--- a/internal/entry/inputs.go
+++ b/internal/entry/inputs.go
@@ -10,10 +10,10 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// grantInputs hands the entry's view to the replicas slice.
+// grantInputs implements the input interfaces of package replicas on the entry's state.
 type grantInputs struct{ entry *Entry }
 
-// GrantInputs returns what the grants are decided from.
+// GrantInputs returns the inputs for the grant decisions.
 func (e *Entry) GrantInputs() replicas.Inputs {
 	in := grantInputs{entry: e}
 	return replicas.Inputs{Declarations: in, Engines: in, Peers: in, Usage: in}
@@ -49,20 +49,20 @@
 func (g grantInputs) Engines() ([]replicas.EngineView, uint64) {
 	e := g.entry
 	version := e.coordinator.version.Load() + e.store.Current().Revision()<<32
-	if held := e.coordinator.engines.Load(); held != nil && held.version == version {
-		return held.views, version
+	if cached := e.coordinator.engines.Load(); cached != nil && cached.version == version {
+		return cached.views, version
 	}
-	made := &engineViews{version: version}
+	fresh := &engineViews{version: version}
 	for _, ep := range e.members.Endpoints() {
 		if ep.Status.GetKind() == kindEngine && !ep.Gone {
-			made.views = append(made.views, g.view(ep))
+			fresh.views = append(fresh.views, g.view(ep))
 		}
 	}
-	e.coordinator.engines.Store(made)
-	return made.views, version
+	e.coordinator.engines.Store(fresh)
+	return fresh.views, version
 }
 
-// engineViews are the engines as of one version. They are asked for in each round of decisions, and change seldom.
+// engineViews caches the engines as of one version. They are read in each decision round and rarely change.
 type engineViews struct {
 	version uint64
 	views   []replicas.EngineView
@@ -71,7 +71,7 @@
 func (g grantInputs) view(ep *membership.Endpoint) replicas.EngineView {
 	c := g.entry.coordinator
 	c.mu.Lock()
-	reach := c.since[ep.Name]
+	reach := c.reachability[ep.Name]
 	c.mu.Unlock()
 	return replicas.EngineView{
 		Name:          ep.Name,
@@ -81,8 +81,9 @@
 		MemoryBytes:   ep.Status.GetMemoryBytes(),
 		Reachable:     reach.reachable,
 		Since:         reach.since,
-		// The agent's own word is not taken: an agent that is only restarted comes back to its engine, and giving its slots
-		// up and granting them anew would leave its models unserved for up to the life of an order.
+		// The agent's own report of leaving is ignored here: an agent that is only being restarted returns to its
+		// engine, and releasing its slots and granting them again would leave its models unserved for up to the
+		// lifetime of an order.
 		Leaving: ep.Listed == backing.HostLeaving,
 		Drain:   g.entry.drained(ep.Name),
 	}
--- a/internal/entry/inputs_test.go
+++ b/internal/entry/inputs_test.go
@@ -8,10 +8,10 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// An operator restarts an agent while its engine lives on. The agent says that it leaves, so that it gets no new work. If
-// the grants took that for the host's leaving, they would give up its slots, and after the restart its models would stay
-// unserved until the new agent could be sure that no order of the old one is on its way: minutes, where the engine ignores
-// fencing numbers. Only the host list makes an engine lose its slots.
+// An agent is restarted while its engine keeps running. The agent reports that it is leaving, so that it gets no new
+// work. If the grants treated that as the host leaving, they would release its slots, and after the restart its models
+// would be unserved until no order of the old agent could still be in flight: minutes, for an engine that ignores
+// fencing numbers. Only the host list may make an engine lose its slots.
 func TestRestartOfAnAgentKeepsItsSlots(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -22,7 +22,7 @@
 		{"serving", false, backing.HostLive, false},
 		{"the agent stops", true, backing.HostLive, false},
 		{"the host leaves", true, backing.HostLeaving, true},
-		{"the host leaves and the agent does not know", false, backing.HostLeaving, true},
+		{"the host leaves, not reported by the agent", false, backing.HostLeaving, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 				select {
 				case <-changed:
 				case <-time.After(time.Until(deadline)):
-					t.Fatal("the entry does not know the endpoint as reported and listed")
+					t.Fatal("the entry did not process the report and the host list")
 				}
 			}
 			views, _ := e.GrantInputs().Engines.Engines()
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -10,17 +10,17 @@
 
 // metrics are the entry's metrics.
 type metrics struct {
-	requests       *prometheus.CounterVec
-	errors         *prometheus.CounterVec
-	retries        prometheus.Counter
-	mismatches     prometheus.Counter
-	duration       *prometheus.HistogramVec
-	coldFirstToken prometheus.Histogram
-	warmFirstToken prometheus.Histogram
+	requests      *prometheus.CounterVec
+	errors        *prometheus.CounterVec
+	retries       prometheus.Counter
+	mismatches    prometheus.Counter
+	duration      *prometheus.HistogramVec
+	coldFirstByte prometheus.Histogram
+	warmFirstByte prometheus.Histogram
 }
 
-// firstTokenBuckets span warm answers of milliseconds to cold starts of minutes.
-var firstTokenBuckets = prometheus.ExponentialBuckets(0.005, 2, 16)
+// latencyBuckets range from warm responses of milliseconds to cold starts of minutes.
+var latencyBuckets = prometheus.ExponentialBuckets(0.005, 2, 16)
 
 func newMetrics(r prometheus.Registerer) *metrics {
 	m := &metrics{
@@ -43,24 +43,24 @@
 		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "balsamsail_entry_request_seconds",
 			Help:    "Time from a request's arrival to the end of its answer, by class.",
-			Buckets: firstTokenBuckets,
+			Buckets: latencyBuckets,
 		}, []string{"class"}),
-		coldFirstToken: prometheus.NewHistogram(prometheus.HistogramOpts{
+		coldFirstByte: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "balsamsail_entry_cold_first_byte_seconds",
 			Help:    "Time to the first byte of the answer of requests that waited for a load.",
-			Buckets: firstTokenBuckets,
+			Buckets: latencyBuckets,
 		}),
-		warmFirstToken: prometheus.NewHistogram(prometheus.HistogramOpts{
+		warmFirstByte: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "balsamsail_entry_warm_first_byte_seconds",
 			Help:    "Time to the first byte of the answer of requests that waited for no load.",
-			Buckets: firstTokenBuckets,
+			Buckets: latencyBuckets,
 		}),
 	}
-	r.MustRegister(m.requests, m.errors, m.retries, m.mismatches, m.duration, m.coldFirstToken, m.warmFirstToken)
+	r.MustRegister(m.requests, m.errors, m.retries, m.mismatches, m.duration, m.coldFirstByte, m.warmFirstByte)
 	return m
 }
 
-// The results of a request.
+// Values of the label "result".
 const (
 	resultServed  = "served"
 	resultNotRun  = "not_run"
@@ -69,16 +69,16 @@
 )
 
 func (m *metrics) observeRequest(rq *request, res result, took time.Duration) {
-	word := resultServed
+	label := resultServed
 	switch {
-	case res.cut:
-		word = resultCut
+	case res.abort:
+		label = resultCut
 	case res.err != nil && res.err.outcome == OutcomeNotRun:
-		word = resultNotRun
+		label = resultNotRun
 	case res.err != nil:
-		word = resultUnknown
+		label = resultUnknown
 	}
-	m.requests.WithLabelValues(className(rq.class), word).Inc()
+	m.requests.WithLabelValues(className(rq.class), label).Inc()
 	m.duration.WithLabelValues(className(rq.class)).Observe(took.Seconds())
 }
 
@@ -89,12 +89,12 @@
 	return classInteractive
 }
 
-// noteFirstByte observes the time to the first byte of an answer.
-func (e *Entry) noteFirstByte(rq *request, cold bool) {
+// observeFirstByte observes the time to the first byte of a response.
+func (e *Entry) observeFirstByte(rq *request, cold bool) {
 	took := e.clock.Now().Sub(rq.received).Seconds()
 	if cold {
-		e.metrics.coldFirstToken.Observe(took)
+		e.metrics.coldFirstByte.Observe(took)
 		return
 	}
-	e.metrics.warmFirstToken.Observe(took)
+	e.metrics.warmFirstByte.Observe(took)
 }
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -15,10 +15,10 @@
 	"balsamsail/internal/timeline"
 )
 
-// Operator serves the operators' requests. It implements operator.Backend.
+// Operator serves operators' requests. It implements operator.Backend.
 type Operator struct{ entry *Entry }
 
-// Operator returns the operators' side of the entry.
+// Operator returns the entry's backend for operators' requests.
 func (e *Entry) Operator() *Operator { return &Operator{entry: e} }
 
 // Apply implements operator.Backend.
@@ -72,7 +72,7 @@
 	return list
 }
 
-// editError turns the declarations' errors into the operators' ones.
+// editError converts errors of package declarations to those of package operator.
 func editError(edit operator.Edit, err error) error {
 	var conflict *declarations.ConflictError
 	var problems inifile.Problems
@@ -111,7 +111,7 @@
 	return list
 }
 
-// operationStates maps the declarations' words to the operators'.
+// operationStates maps operation states of package declarations to those of package operator.
 var operationStates = map[declarations.OperationState]operator.OperationState{
 	declarations.OperationMade:    operator.OperationApplied,
 	declarations.OperationNever:   operator.OperationNever,
@@ -144,7 +144,7 @@
 	return answer, nil
 }
 
-// describe writes a declaration both ways.
+// describe returns a declaration both as INI and as JSON.
 func describe(key *pb.ObjectKey, object *pb.Object) operator.Object {
 	text, err := protojson.Marshal(object)
 	if err != nil {
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// SelfPath is where an entry tells which revision is in force in it.
+	// SelfPath is the path at which an entry reports the revision that it has in force.
 	SelfPath = operator.PathPrefix + "/self"
-	// peerPatience bounds the asking of another entry.
-	peerPatience = time.Second
-	// maxPeerAnswer bounds another entry's answer in bytes.
-	maxPeerAnswer = 64 << 10
+	// peerTimeout bounds a request to another entry.
+	peerTimeout = time.Second
+	// maxPeerResponse bounds another entry's response in bytes.
+	maxPeerResponse = 64 << 10
 )
 
-// errPeer says that another entry did not answer as it should.
-var errPeer = errors.New("entry: peer did not answer")
+// errPeer means that another entry did not return a valid response.
+var errPeer = errors.New("entry: query of peer entry failed")
 
 // ServeSelf serves SelfPath.
 func (e *Entry) ServeSelf(w http.ResponseWriter, _ *http.Request) {
@@ -43,9 +43,8 @@
 	}
 }
 
-// InForce implements operator.Backend: it asks the other entries, and takes the agents' word from their reports. A
-// process that is listed and does not answer is named as unreachable, not left out: it may still act on an older
-// revision.
+// InForce implements operator.Backend. It queries the other entries and takes the agents' revisions from their reports.
+// A listed process that does not answer is included as unreachable, because it may still act on an older revision.
 func (o *Operator) InForce(ctx context.Context, revision uint64) (operator.InForce, error) {
 	e := o.entry
 	answer := operator.InForce{Revision: revision}
@@ -57,17 +56,17 @@
 	return answer, nil
 }
 
-// entryRevisions asks all listed entries at once.
+// entryRevisions queries all listed entries concurrently.
 func (e *Entry) entryRevisions(ctx context.Context) []operator.ProcessRevision {
 	list := []operator.ProcessRevision{e.self()}
 	var mu sync.Mutex
-	var asking sync.WaitGroup
+	var queries sync.WaitGroup
 	for _, peer := range e.members.Entries() {
 		if peer.ID == e.options.ID {
 			continue
 		}
-		asking.Go(func() {
-			answer, err := askPeer(ctx, peer.Address)
+		queries.Go(func() {
+			answer, err := fetchPeerRevision(ctx, peer.Address)
 			if err != nil {
 				answer.Unreachable = true
 			}
@@ -80,13 +79,13 @@
 			list = append(list, answer)
 		})
 	}
-	asking.Wait()
+	queries.Wait()
 	return list
 }
 
-func askPeer(ctx context.Context, address string) (operator.ProcessRevision, error) {
+func fetchPeerRevision(ctx context.Context, address string) (operator.ProcessRevision, error) {
 	var answer operator.ProcessRevision
-	ctx, cancel := context.WithTimeout(ctx, peerPatience)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+SelfPath, http.NoBody)
 	if err != nil {
@@ -100,13 +99,13 @@
 	if response.StatusCode != http.StatusOK {
 		return answer, errors.Wrap(errPeer, response.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxPeerAnswer)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxPeerResponse)).Decode(&answer); err != nil {
 		return answer, errors.Wrap(errPeer, err.Error())
 	}
 	return answer, nil
 }
 
-// agentRevisions are the revisions that the agents of endpoints that are not gone last told.
+// agentRevisions returns the revisions last reported by agents whose endpoints are not gone.
 func (e *Entry) agentRevisions() []operator.ProcessRevision {
 	var list []operator.ProcessRevision
 	for _, ep := range e.members.Endpoints() {
@@ -125,7 +124,7 @@
 	return list
 }
 
-// agentRole is the role of agents in answers to operators.
+// agentRole is the role of agents in responses to operators.
 const agentRole = "agent"
 
 // Processes implements operator.Backend.
--- a/internal/entry/push.go
+++ b/internal/entry/push.go
@@ -8,24 +8,24 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// pushRows sends changed rows to the agents that they name or have named.
+// pushRows sends each changed row to the agents of the engines that it names or named before.
 func (c *coordinator) pushRows(ctx context.Context) {
 	e := c.entry
 	watch, stop := e.grants.Watch()
 	defer stop()
-	named := map[string]map[string]bool{}
-	point := uint64(0)
+	recipients := map[string]map[string]bool{}
+	cursor := uint64(0)
 	for {
-		rows, deleted, next := e.grants.Changed(point)
-		point = next
+		rows, deleted, next := e.grants.Changed(cursor)
+		cursor = next
 		for _, row := range rows {
-			c.pushRow(named, row)
+			c.pushRow(recipients, row)
 		}
 		for _, model := range deleted {
-			delete(named, model)
+			delete(recipients, model)
 		}
 		if len(rows) > 0 {
-			e.changes.announce()
+			e.changes.broadcast()
 		}
 		select {
 		case <-watch:
@@ -36,29 +36,29 @@
 }
 
 // pushRow sends one row to the engines that it names now or named before.
-func (c *coordinator) pushRow(named map[string]map[string]bool, row *replicaspb.Row) {
-	before := named[row.Model]
-	now := map[string]bool{}
+func (c *coordinator) pushRow(recipients map[string]map[string]bool, row *replicaspb.Row) {
+	previous := recipients[row.Model]
+	current := map[string]bool{}
 	for _, s := range row.Slots {
-		now[s.Engine] = true
+		current[s.Engine] = true
 	}
-	named[row.Model] = now
+	recipients[row.Model] = current
 	down := &wirepb.ControlDown{Rows: []*replicaspb.Row{row}}
-	for engine := range now {
+	for engine := range current {
 		c.entry.members.Send(engine, down)
 	}
-	for engine := range before {
-		if !now[engine] {
+	for engine := range previous {
+		if !current[engine] {
 			c.entry.members.Send(engine, down)
 		}
 	}
 }
 
-// pushPermits answers the agents' asking for permits.
+// pushPermits sends the agents the permits that the budget grants.
 func (c *coordinator) pushPermits(ctx context.Context) {
-	const longest = time.Second
+	const maxWait = time.Second
 	e := c.entry
-	timer := e.clock.NewTimer(longest)
+	timer := e.clock.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
 		now := e.clock.Now()
@@ -69,9 +69,9 @@
 		for _, g := range grants {
 			e.members.Send(g.Agent, &wirepb.ControlDown{Permits: []*wirepb.Permit{g.Permit}})
 		}
-		wait := longest
+		wait := maxWait
 		if !next.IsZero() {
-			wait = min(longest, max(time.Millisecond, next.Sub(now)))
+			wait = min(maxWait, max(time.Millisecond, next.Sub(now)))
 		}
 		timer.Reset(wait)
 		select {
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -17,52 +17,53 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// request is one caller's request on its way.
+// request is one caller's request while it is being served.
 type request struct {
 	id       string
 	target   admission.Target
 	class    wirepb.Class
 	deadline time.Time
 	received time.Time
-	// stream is set when the first bytes of the answer meet the deadline.
+	// stream is set when only the first bytes of the response have to meet the deadline.
 	stream     bool
 	idempotent bool
 	method     string
 	path       string
 	headers    []*wirepb.Header
 	caller     string
-	// body is the first part of the body. The others, if any, are kept here, or come as rest from the caller and can be
-	// sent once only. length is the whole length, -1 when not known.
-	body   []byte
-	kept   []byte
-	rest   io.Reader
-	length int64
-	// broken is why the rest of the body could not be read.
-	broken atomic.Pointer[apiError]
+	// body is the first part of the body. The remainder, if any, is either in buffered, or is read from the caller
+	// through rest and can then be sent only once. length is the length of the whole body, -1 when unknown.
+	body     []byte
+	buffered []byte
+	rest     io.Reader
+	length   int64
+	// bodyErr is set when the rest of the body could not be read.
+	bodyErr atomic.Pointer[apiError]
 }
 
-// isWhole reports whether body is all of the body.
-func (rq *request) isWhole() bool { return rq.rest == nil && len(rq.kept) == 0 }
+// hasFullBody reports whether body holds the complete body.
+func (rq *request) hasFullBody() bool { return rq.rest == nil && len(rq.buffered) == 0 }
 
-// breakBody notes that the rest of the body could not be read.
-func (rq *request) breakBody(err error) {
+// failBody records that the rest of the body could not be read.
+func (rq *request) failBody(err error) {
 	if body, ok := rq.rest.(*callerBody); ok {
-		rq.broken.Store(body.refusal(err))
+		rq.bodyErr.Store(body.readError(err))
 	}
 }
 
-// orBroken is the error answer to the request: that its own body broke, if it did, with what is known of its outcome.
-func (rq *request) orBroken(otherwise *apiError) *apiError {
-	broken := rq.broken.Load()
-	if broken == nil {
-		return otherwise
+// bodyErrorOr returns the error that reading the caller's body caused, if any, with the outcome of fallback; otherwise
+// it returns fallback.
+func (rq *request) bodyErrorOr(fallback *apiError) *apiError {
+	bodyErr := rq.bodyErr.Load()
+	if bodyErr == nil {
+		return fallback
 	}
-	answer := *broken
-	answer.outcome = otherwise.outcome
+	answer := *bodyErr
+	answer.outcome = fallback.outcome
 	return &answer
 }
 
-// chatFields are the fields of a chat completion that routing needs.
+// chatFields are the fields of a chat completion that the entry reads for routing.
 type chatFields struct {
 	Model  string `json:"model"`
 	Stream bool   `json:"stream"`
@@ -73,31 +74,31 @@
 	classBatch       = "batch"
 )
 
-// deadlines are the deadlines of requests that name none.
+// deadlines are the default deadlines by class, for requests that set none.
 type deadlines struct {
 	interactive, batch time.Duration
 }
 
-// classAndDeadline reads a caller's class and deadline, or the declared defaults.
+// classAndDeadline returns the class and deadline from a request's headers, or the declared defaults.
 func (e *Entry) classAndDeadline(h http.Header, d deadlines, now time.Time) (wirepb.Class, time.Time, *apiError) {
 	class := wirepb.Class_INTERACTIVE
-	left := d.interactive
+	defaultDeadline := d.interactive
 	switch h.Get(headerClass) {
 	case "", classInteractive:
 	case classBatch:
 		class = wirepb.Class_BATCH
-		left = d.batch
+		defaultDeadline = d.batch
 	default:
 		return 0, time.Time{}, badRequest(headerClass + " must be " + classInteractive + " or " + classBatch)
 	}
 	text := h.Get(headerDeadline)
 	if text == "" {
-		return class, now.Add(left), nil
+		return class, now.Add(defaultDeadline), nil
 	}
-	most := e.options.MaxDeadline.Milliseconds()
+	maxMillis := e.options.MaxDeadline.Milliseconds()
 	ms, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || ms <= 0 || ms > most {
-		message := headerDeadline + " must be a whole number of milliseconds from 1 to " + strconv.FormatInt(most, 10)
+	if err != nil || ms <= 0 || ms > maxMillis {
+		message := headerDeadline + " must be a whole number of milliseconds from 1 to " + strconv.FormatInt(maxMillis, 10)
 		return 0, time.Time{}, badRequest(message)
 	}
 	return class, now.Add(time.Duration(ms) * time.Millisecond), nil
@@ -107,7 +108,7 @@
 	return notRun(http.StatusBadRequest, CodeBadRequest, message, 0)
 }
 
-// chatTarget resolves the model of a chat completion and returns the body as the engine gets it.
+// chatTarget resolves the model of a chat completion and returns the body to send to the engine.
 func chatTarget(set *declarations.Set, body []byte) (admission.Target, chatFields, []byte, *apiError) {
 	var fields chatFields
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -122,21 +123,21 @@
 		return admission.Target{}, fields, nil, notRun(http.StatusNotFound, CodeModelNotFound, message, 0)
 	}
 	target := admission.Target{Model: resolved.Model, Adapter: resolved.Adapter}
-	served := resolved.Model
+	servedName := resolved.Model
 	if resolved.Adapter != "" {
-		served = resolved.Adapter
+		servedName = resolved.Adapter
 	}
-	if served == fields.Model {
+	if servedName == fields.Model {
 		return target, fields, body, nil
 	}
-	rewritten, err := replaceModel(body, served)
+	rewritten, err := replaceModel(body, servedName)
 	if err != nil {
 		return admission.Target{}, fields, nil, badRequest("the body is not a JSON object")
 	}
 	return target, fields, rewritten, nil
 }
 
-// replaceModel sets the field model of a JSON object and leaves all others as they are.
+// replaceModel sets the field "model" of a JSON object and leaves all other fields unchanged.
 func replaceModel(body []byte, model string) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -150,11 +151,11 @@
 	return json.Marshal(fields)
 }
 
-// forwardedHeaders are the caller's header fields that the endpoint gets.
+// forwardedHeaders returns the caller's header fields that are passed on to the endpoint.
 func forwardedHeaders(h http.Header) []*wirepb.Header {
 	var list []*wirepb.Header
 	for name, values := range h {
-		if hopByHop[name] || ownHeaders[name] {
+		if hopByHop[name] || reservedHeaders[name] {
 			continue
 		}
 		for _, value := range values {
@@ -164,8 +165,8 @@
 	return list
 }
 
-// ownHeaders are header fields that this system reads or sets itself.
-var ownHeaders = map[string]bool{
+// reservedHeaders are the header fields that the entry reads or sets itself; they are not forwarded.
+var reservedHeaders = map[string]bool{
 	"X-Request-Id":    true,
 	"X-Deadline-Ms":   true,
 	"X-Request-Class": true,
@@ -174,7 +175,7 @@
 	"Accept-Encoding": true,
 }
 
-// callerKey names a caller for fairness: a hash of its credentials, or of its address.
+// callerKey identifies a caller for fair queueing: a hash of its credentials, or of its address when it sends none.
 func callerKey(r *http.Request) string {
 	source := r.Header.Get("Authorization")
 	if source == "" {
@@ -185,8 +186,8 @@
 	return strconv.FormatUint(h.Sum64(), 36)
 }
 
-// servicePath is the path and query as the plain service gets them: without the declared prefix, and otherwise as the
-// caller wrote them. Where the caller wrote the prefix itself with escapes, the rest is escaped anew.
+// servicePath returns the path and query to send to the plain service: the declared prefix is removed and the rest is
+// left as the caller wrote it. If the caller percent-encoded the prefix itself, the rest is encoded again.
 func servicePath(r *http.Request, prefix string) string {
 	rest, found := strings.CutPrefix(r.URL.EscapedPath(), prefix)
 	if !found {
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -10,30 +10,30 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// serveService serves the calls of plain services.
+// serveService serves calls of plain services.
 func (e *Entry) serveService(w http.ResponseWriter, r *http.Request) {
 	id := e.newRequestID()
 	now := e.clock.Now()
 	body, w := newCallerBody(w, r)
-	defer body.end()
+	defer body.finish()
 	service, ok := e.store.Current().ServiceFor(r.URL.Path)
-	if !ok && !e.knowsEnough() {
-		e.answerError(w, id, refused(wirepb.RefusalReason_NOT_READY, minRetryAfter))
+	if !ok && !e.canRoute() {
+		e.writeError(w, id, refusalError(wirepb.RefusalReason_NOT_READY, minRetryAfter))
 		return
 	}
 	if !ok {
-		e.answerError(w, id, notRun(http.StatusNotFound, CodeNotFound, "no service has this path", 0))
+		e.writeError(w, id, notRun(http.StatusNotFound, CodeNotFound, "no service has this path", 0))
 		return
 	}
 	class, deadline, refusal := e.classAndDeadline(r.Header, e.serviceDeadlines(service), now)
 	if refusal != nil {
-		e.answerError(w, id, refusal)
+		e.writeError(w, id, refusal)
 		return
 	}
-	body.bound(e.bodyLimit(service), deadline)
-	first, rest, refusal := body.split()
+	body.setLimits(e.bodyLimit(service), deadline)
+	first, rest, refusal := body.readFirst()
 	if refusal != nil {
-		e.answerError(w, id, refusal)
+		e.writeError(w, id, refusal)
 		return
 	}
 	rq := &request{
@@ -57,7 +57,7 @@
 	e.serve(w, r, rq)
 }
 
-// serviceDeadlines are the default deadlines of a service's calls.
+// serviceDeadlines returns the default deadlines of a service's calls.
 func (e *Entry) serviceDeadlines(service *declarations.Service) deadlines {
 	if ms := service.DefaultDeadlineMillis; ms > 0 {
 		d := time.Duration(ms) * time.Millisecond
@@ -73,8 +73,8 @@
 	return e.options.MaxBody
 }
 
-// firstPart splits a body that is held whole into what goes with the offer and the rest.
-func firstPart(body []byte) (first, kept []byte) {
+// firstPart splits a body that is fully in memory into the part that is sent with the offer and the rest.
+func firstPart(body []byte) (first, buffered []byte) {
 	if len(body) <= wire.MaxFrameBytes/2 {
 		return body, nil
 	}
--- a/internal/entry/site_test.go
+++ b/internal/entry/site_test.go
@@ -37,53 +37,54 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds what a test waits for; it is far above what any of them needs.
-const patience = 20 * time.Second
+// testTimeout bounds each wait in a test; it is far longer than any of them needs.
+const testTimeout = 20 * time.Second
 
-// discard takes the logs of the tests.
-var discard = slog.New(slog.DiscardHandler)
+// discardLogger discards the logs of the tests.
+var discardLogger = slog.New(slog.DiscardHandler)
 
-// eventually polls until a condition holds.
-func eventually(t *testing.T, otherwise string, holds func() bool) {
+// eventually polls until a condition holds, and fails the test with the message failure on a timeout.
+func eventually(t *testing.T, failure string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(otherwise)
+			t.Fatal(failure)
 		}
 	}
 }
 
-// within waits for a value.
-func within[T any](t *testing.T, c <-chan T, otherwise string) T {
+// receive waits for a value, and fails the test with the message failure on a timeout.
+func receive[T any](t *testing.T, c <-chan T, failure string) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
-		t.Fatal(otherwise)
+	case <-time.After(testTimeout):
+		t.Fatal(failure)
 		panic("not reached")
 	}
 }
 
-// site is an entry with callers, a stand-in platform, and endpoints whose agents the test scripts.
+// site is a test deployment: an entry with callers, a stand-in platform, and endpoints whose agents are scripted by the
+// test.
 type site struct {
 	t        *testing.T
 	entry    *Entry
 	platform *standin.Server
 	callers  *httptest.Server
-	agents   []*exchangeAgent
+	agents   []*fakeAgent
 }
 
-// siteOptions are what the tests set of a site.
+// siteOptions configure a site.
 type siteOptions struct {
-	// agents are as many endpoints of the plain service "ledger", at the path "/ledger/".
-	agents int
-	change func(*Options)
+	// agents is the number of endpoints of the plain service "ledger", at the path "/ledger/".
+	agents    int
+	configure func(*Options)
 	// service changes the declared service.
 	service func(*pb.Service)
-	// objects are declared besides.
+	// objects are further declarations.
 	objects []*pb.Object
-	// kind is that of the endpoints: that of plain services if it is empty.
+	// kind is the kind of the endpoints; empty means that of plain services.
 	kind string
 }
 
@@ -92,7 +93,7 @@
 	s := &site{t: t}
 	hosts := []backing.Host{{ID: "entry-1", Role: backing.RoleEntry, State: backing.HostLive, Address: "127.0.0.1:1"}}
 	for i := range o.agents {
-		a := newExchangeAgent(t, fmt.Sprintf("ledger-%d", i+1), o.kind)
+		a := newFakeAgent(t, fmt.Sprintf("ledger-%d", i+1), o.kind)
 		s.agents = append(s.agents, a)
 		hosts = append(hosts, backing.Host{ID: "host-" + a.name, Role: backing.RoleEndpoint, State: backing.HostLive, Address: a.address, Endpoint: a.name})
 	}
@@ -103,11 +104,11 @@
 	s.declare(o)
 	s.callers = httptest.NewServer(s.entry.Handler())
 	t.Cleanup(s.callers.Close)
-	eventually(t, "the entry is not ready", func() bool { return len(s.entry.Ready()) == 0 && s.reachable() == o.agents })
+	eventually(t, "the entry is not ready", func() bool { return len(s.entry.Ready()) == 0 && s.connectedAgents() == o.agents })
 	return s
 }
 
-func (s *site) reachable() int {
+func (s *site) connectedAgents() int {
 	n := 0
 	for _, ep := range s.entry.members.Endpoints() {
 		if ep.Connected {
@@ -130,11 +131,11 @@
 	mo.EntryID, mo.ListInterval, mo.RedialDelay, mo.BatchDelay = "entry-1", 5*time.Millisecond, 5*time.Millisecond, time.Millisecond
 	options := Options{
 		ID: "entry-1", MaxDeadline: time.Hour, MaxBody: 4 << 20, MaxAttempts: 3, CandidatePatience: 100 * time.Millisecond,
-		MaxAnswer: patience, Limiter: admission.LimiterOptions{MaxInFlight: 100},
+		MaxAnswer: testTimeout, Limiter: admission.LimiterOptions{MaxInFlight: 100},
 		Budget: routing.BudgetOptions{Burst: 100},
 	}
-	if so.change != nil {
-		so.change(&options)
+	if so.configure != nil {
+		so.configure(&options)
 	}
 	s.entry = New(options, Dependencies{
 		Members:    membership.NewManager(mo, backing.NewHTTPHosts(o, client), clock.Real{}, logger, registry, recorder),
@@ -160,7 +161,7 @@
 	})
 }
 
-// declare declares the plain service and what else the test has.
+// declare declares the plain service and the test's own objects.
 func (s *site) declare(o siteOptions) {
 	s.t.Helper()
 	service := &pb.Service{Name: "ledger", PathPrefix: "/ledger/", EndpointSelector: "kind=service", IdempotentMethods: []string{"GET", "PUT"},
@@ -174,7 +175,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	eventually(s.t, "the declarations are not taken", func() bool { return s.entry.store.Current().Revision() > 0 })
+	eventually(s.t, "the declarations were not applied", func() bool { return s.entry.store.Current().Revision() > 0 })
 }
 
 // call is a caller's request.
@@ -183,20 +184,20 @@
 	header                  http.Header
 }
 
-// reply is what a caller got.
+// reply is the response that a caller got.
 type reply struct {
 	status  int
 	header  http.Header
 	body    string
 	problem errorDetail
-	// cut is set when the answer did not come whole, or not at all.
-	cut bool
+	// truncated is set when the response was incomplete or missing.
+	truncated bool
 }
 
-// text is a reply in short, for tables: its status, and the code and outcome of an error.
+// text returns a short form of a reply for test tables: its status and body, or the code and outcome of an error.
 func (r reply) text() string {
 	switch {
-	case r.cut:
+	case r.truncated:
 		return "cut"
 	case r.problem.Code != "":
 		return fmt.Sprintf("%d %s %s", r.status, r.problem.Code, r.problem.Outcome)
@@ -205,7 +206,7 @@
 	}
 }
 
-// send sends a request and waits for its answer.
+// send sends a request and waits for its response.
 func (s *site) send(ctx context.Context, c call) reply {
 	if c.method == "" {
 		c.method = http.MethodGet
@@ -216,7 +217,7 @@
 	request, err := http.NewRequestWithContext(ctx, c.method, s.callers.URL+c.path, strings.NewReader(c.body))
 	if err != nil {
 		s.t.Error(err)
-		return reply{cut: true}
+		return reply{truncated: true}
 	}
 	for name, values := range c.header {
 		request.Header[name] = values
@@ -226,7 +227,7 @@
 	}
 	response, err := s.callers.Client().Do(request)
 	if err != nil {
-		return reply{cut: true}
+		return reply{truncated: true}
 	}
 	return readReply(response)
 }
@@ -234,7 +235,7 @@
 func readReply(response *http.Response) reply {
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	r := reply{status: response.StatusCode, header: response.Header, body: string(body), cut: err != nil}
+	r := reply{status: response.StatusCode, header: response.Header, body: string(body), truncated: err != nil}
 	var document errorDocument
 	if json.Unmarshal(body, &document) == nil {
 		r.problem = document.Error
@@ -249,22 +250,22 @@
 	return got
 }
 
-// exchangeAgent is an agent that reports its endpoint as ready and hands each request stream to the test's script.
-type exchangeAgent struct {
+// fakeAgent is an agent that reports its endpoint as ready and passes each request stream to the test's script.
+type fakeAgent struct {
 	t             *testing.T
 	name, address string
 	kind          string
-	// leave ends the agent: its connections break and it takes no new ones.
-	leave context.CancelFunc
+	// stop stops the agent: its connections break and it accepts no new ones.
+	stop context.CancelFunc
 
 	mu     sync.Mutex
-	script func(x *exchangeStream)
+	script func(x *fakeStream)
 	offers []*wirepb.Offer
-	// revisions are those of the rows that name the endpoint, by model version.
+	// revisions are the revisions of the rows that name the endpoint, by model version.
 	revisions map[string]uint64
 }
 
-func newExchangeAgent(t *testing.T, name, kind string) *exchangeAgent {
+func newFakeAgent(t *testing.T, name, kind string) *fakeAgent {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -273,9 +274,9 @@
 	if kind == "" {
 		kind = kindService
 	}
-	a := &exchangeAgent{t: t, name: name, kind: kind, address: listener.Addr().String(), revisions: map[string]uint64{}}
+	a := &fakeAgent{t: t, name: name, kind: kind, address: listener.Addr().String(), revisions: map[string]uint64{}}
 	ctx, cancel := context.WithCancel(context.Background())
-	a.leave = cancel
+	a.stop = cancel
 	var serving sync.WaitGroup
 	serving.Go(func() { _ = wire.Serve(ctx, listener, wire.DefaultOptions(), slog.New(slog.DiscardHandler), a.serve) })
 	t.Cleanup(func() {
@@ -285,21 +286,21 @@
 	return a
 }
 
-// answers sets what the agent does with each offer from now on.
-func (a *exchangeAgent) answers(script func(x *exchangeStream)) {
+// setScript sets how the agent handles each offer from now on.
+func (a *fakeAgent) setScript(script func(x *fakeStream)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.script = script
 }
 
-// offered returns the offers so far.
-func (a *exchangeAgent) offered() []*wirepb.Offer {
+// offered returns the offers received so far.
+func (a *fakeAgent) offered() []*wirepb.Offer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.offers
 }
 
-func (a *exchangeAgent) serve(ctx context.Context, header *wirepb.StreamHeader, stream *wire.Stream) {
+func (a *fakeAgent) serve(ctx context.Context, header *wirepb.StreamHeader, stream *wire.Stream) {
 	if header.Kind == wirepb.StreamKind_CONTROL {
 		a.report(ctx, stream)
 		return
@@ -312,11 +313,11 @@
 	a.offers = append(a.offers, first.GetOffer())
 	script := a.script
 	a.mu.Unlock()
-	script(&exchangeStream{ctx: ctx, stream: stream, id: first.RequestId, offer: first.GetOffer(), sum: xxhash.New()})
+	script(&fakeStream{ctx: ctx, stream: stream, id: first.RequestId, offer: first.GetOffer(), sum: xxhash.New()})
 }
 
-// report reports the endpoint as ready, and as holding what rows grant it.
-func (a *exchangeAgent) report(ctx context.Context, stream *wire.Stream) {
+// report reports the endpoint as ready, and as holding the models whose rows name it.
+func (a *fakeAgent) report(ctx context.Context, stream *wire.Stream) {
 	stream.SetLimit(wire.MaxControlBytes)
 	ctx, cancel := context.WithCancel(ctx)
 	changed := make(chan struct{}, 1)
@@ -353,7 +354,7 @@
 	reading.Wait()
 }
 
-func (a *exchangeAgent) status() *wirepb.Status {
+func (a *fakeAgent) status() *wirepb.Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := &wirepb.Status{Full: true, Endpoint: a.name, Kind: a.kind, Ready: true, MemoryBytes: 100, Load: &wirepb.Load{}}
@@ -363,8 +364,8 @@
 	return s
 }
 
-// exchangeStream is the agent's side of one request stream.
-type exchangeStream struct {
+// fakeStream is the agent's side of one request stream.
+type fakeStream struct {
 	ctx    context.Context
 	stream *wire.Stream
 	id     string
@@ -373,49 +374,49 @@
 	sum    *xxhash.Digest
 }
 
-func (x *exchangeStream) send(f *wirepb.FromAgent) {
+func (x *fakeStream) send(f *wirepb.FromAgent) {
 	f.RequestId = x.id
 	_ = x.stream.Write(f)
 }
 
-func (x *exchangeStream) accepted() {
+func (x *fakeStream) accepted() {
 	x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Accepted{Accepted: &wirepb.Accepted{}}})
 }
 
-func (x *exchangeStream) ready() {
+func (x *fakeStream) ready() {
 	x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Ready{Ready: &wirepb.Ready{}}})
 }
 
-func (x *exchangeStream) refused(reason wirepb.RefusalReason) {
+func (x *fakeStream) refused(reason wirepb.RefusalReason) {
 	x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Refused{Refused: &wirepb.Refused{Reason: reason, RetryAfterMillis: 2000}}})
 }
 
-func (x *exchangeStream) failed(mayHaveRun bool) {
+func (x *fakeStream) failed(mayHaveRun bool) {
 	f := &wirepb.Failed{Reason: wirepb.FailureReason_ENDPOINT_BROKE, MayHaveRun: mayHaveRun}
 	x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Failed{Failed: f}})
 }
 
-func (x *exchangeStream) head(status int32, headers ...*wirepb.Header) {
+func (x *fakeStream) head(status int32, headers ...*wirepb.Header) {
 	x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Head{Head: &wirepb.Head{Status: status, Headers: headers}}})
 }
 
-// eventStream is the header of a streamed answer.
+// eventStream is the Content-Type header of a streamed response.
 var eventStream = &wirepb.Header{Name: "Content-Type", Value: "text/event-stream"}
 
-func (x *exchangeStream) body(text string) {
+func (x *fakeStream) body(text string) {
 	x.length += uint64(len(text))
 	_, _ = x.sum.WriteString(text)
 	x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Body{Body: &wirepb.BodyChunk{Data: []byte(text)}}})
 }
 
-func (x *exchangeStream) trailer() { x.trailerOf(x.length, x.sum.Sum64()) }
+func (x *fakeStream) trailer() { x.trailerWith(x.length, x.sum.Sum64()) }
 
-func (x *exchangeStream) trailerOf(length, sum uint64) {
+func (x *fakeStream) trailerWith(length, sum uint64) {
 	x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Trailer{Trailer: &wirepb.Trailer{Length: length, Checksum: sum}}})
 }
 
-// whole answers with a text, after the commit where there must be one.
-func (x *exchangeStream) whole(text string) {
+// respond sends a complete response with the given text, after the commit if the request is two-step.
+func (x *fakeStream) respond(text string) {
 	if x.offer.TwoStep && !x.committed() {
 		return
 	}
@@ -424,9 +425,9 @@
 	x.trailer()
 }
 
-// next reads the entry's next frame; it is nil at the stream's end.
-func (x *exchangeStream) next() *wirepb.ToAgent {
-	_ = x.stream.SetReadDeadline(time.Now().Add(patience))
+// next reads the entry's next frame; it returns nil at the end of the stream.
+func (x *fakeStream) next() *wirepb.ToAgent {
+	_ = x.stream.SetReadDeadline(time.Now().Add(testTimeout))
 	frame := &wirepb.ToAgent{}
 	if err := x.stream.Read(frame); err != nil {
 		return nil
@@ -434,15 +435,15 @@
 	return frame
 }
 
-// committed asks for the commit and reports whether it came.
-func (x *exchangeStream) committed() bool {
+// committed accepts the offer, reports ready, and reports whether the commit arrived.
+func (x *fakeStream) committed() bool {
 	x.accepted()
 	x.ready()
 	return x.next().GetCommit() != nil
 }
 
-// upload reads the rest of the body, and reports whether it came whole.
-func (x *exchangeStream) upload() (string, bool) {
+// readBody reads the rest of the body and reports whether it was complete.
+func (x *fakeStream) readBody() (string, bool) {
 	var body bytes.Buffer
 	body.Write(x.offer.Body)
 	for done := x.offer.BodyDone; !done; {
@@ -456,14 +457,14 @@
 	return body.String(), true
 }
 
-// silentFor says nothing for d and reports whether the entry waited for it.
-func (x *exchangeStream) silentFor(d time.Duration) bool {
+// stallFor sends nothing for d and reports whether the entry kept the stream open.
+func (x *fakeStream) stallFor(d time.Duration) bool {
 	_ = x.stream.SetReadDeadline(time.Now().Add(d))
 	return errors.Is(x.stream.Read(&wirepb.ToAgent{}), wire.ErrTimeout)
 }
 
-// silent says nothing until the entry gives the stream up.
-func (x *exchangeStream) silent() {
+// stall sends nothing until the entry ends the stream.
+func (x *fakeStream) stall() {
 	for x.next() != nil {
 	}
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -34,7 +34,7 @@
 	return status, nil
 }
 
-// modelStatus describes one model version over all engines.
+// modelStatus returns the status of one model version over all engines.
 func (e *Entry) modelStatus(m *declarations.Model, model string) operator.ModelStatus {
 	status := operator.ModelStatus{
 		Model:        model,
@@ -58,7 +58,7 @@
 	return status
 }
 
-// whyModel says why a model version has no replicas.
+// whyModel returns the reason why a model version has no replicas.
 func whyModel(status operator.ModelStatus, row *replicaspb.Row) string {
 	switch {
 	case len(row.GetSlots()) > 0:
@@ -70,7 +70,7 @@
 	}
 }
 
-// replicaStates maps the agents' words to the operators'.
+// replicaStates maps replica states on the wire to those of package operator.
 var replicaStates = map[wirepb.ReplicaState]operator.ReplicaState{
 	wirepb.ReplicaState_ABSENT:    operator.ReplicaGranted,
 	wirepb.ReplicaState_LOADING:   operator.ReplicaLoading,
@@ -79,7 +79,7 @@
 	wirepb.ReplicaState_UNKNOWN:   operator.ReplicaUnknown,
 }
 
-// replicaStatus describes one slot and what its engine holds.
+// replicaStatus returns the status of one slot and of the replica that its engine holds.
 func (e *Entry) replicaStatus(ep *membership.Endpoint, slot *replicaspb.Slot, row *replicaspb.Row) operator.ReplicaStatus {
 	status := operator.ReplicaStatus{
 		Engine:        slot.Engine,
@@ -116,7 +116,7 @@
 	}
 }
 
-// endpointStatus describes one endpoint.
+// endpointStatus returns the status of one endpoint.
 func (e *Entry) endpointStatus(ep *membership.Endpoint) operator.EndpointStatus {
 	s := ep.Status
 	status := operator.EndpointStatus{
--- a/internal/entry/util.go
+++ b/internal/entry/util.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// broadcaster wakes all that wait for a change.
+// broadcaster notifies all waiters of a change.
 type broadcaster struct {
 	mu   sync.Mutex
 	next chan struct{}
@@ -17,15 +17,15 @@
 	return b.next
 }
 
-// announce wakes the waiting.
-func (b *broadcaster) announce() {
+// broadcast wakes all waiters.
+func (b *broadcaster) broadcast() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	close(b.next)
 	b.next = make(chan struct{})
 }
 
-// counts counts by name.
+// counts is a set of counters by name.
 type counts struct {
 	mu sync.Mutex
 	n  map[string]int
@@ -33,7 +33,7 @@
 
 func newCounts() *counts { return &counts{n: map[string]int{}} }
 
-// add adds d to a count; a count of zero is forgotten.
+// add adds d to a counter and removes it when it becomes zero.
 func (c *counts) add(name string, d int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,7 +43,7 @@
 	}
 }
 
-// get returns a count.
+// get returns the value of a counter.
 func (c *counts) get(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
