--- a/internal/wire/frames.go
+++ b/internal/wire/frames.go
@@ -1,5 +1,5 @@
-// Package wire carries protobuf messages between the system's own processes: one TCP connection with yamux between an
-// entry and an agent, one yamux stream for each request and one for control.
+// Package wire carries protobuf messages between the system's own processes. Each pair of entry and agent shares one TCP
+// connection that is multiplexed by yamux, with one stream per request and one control stream.
 package wire
 
 import (
@@ -15,35 +15,35 @@
 )
 
 const (
-	// MaxFrameBytes bounds one frame; a peer that sends a larger one is wrong and loses its stream.
+	// MaxFrameBytes bounds one frame; a larger one is a protocol error that ends the stream.
 	MaxFrameBytes = 1 << 20
-	// MaxControlBytes bounds one control batch, which may hold a whole snapshot of the declarations.
+	// MaxControlBytes bounds one control message, which may hold a full snapshot of the declarations.
 	MaxControlBytes = 16 << 20
-	// ChunkBytes is the most body bytes that are sent in one frame.
+	// ChunkBytes is the maximum number of body bytes sent in one frame.
 	ChunkBytes = 32 << 10
 
 	readBufferBytes = 2 << 10
 )
 
 var (
-	// ErrFrame says that a frame was too large or malformed.
-	ErrFrame = errors.New("wire: bad frame")
-	// ErrClosed says that the connection or stream ended between frames.
+	// ErrFrame reports a frame that is too large or malformed.
+	ErrFrame = errors.New("wire: invalid frame")
+	// ErrClosed reports that the connection or stream ended between frames.
 	ErrClosed = errors.New("wire: closed")
-	// ErrBroken says that the connection or stream ended within a frame or by an error below.
-	ErrBroken = errors.New("wire: broken")
-	// ErrTimeout says that the read deadline passed.
-	ErrTimeout = errors.New("wire: read deadline passed")
+	// ErrBroken reports that the connection or stream ended within a frame or failed with an I/O error.
+	ErrBroken = errors.New("wire: connection broken")
+	// ErrTimeout reports that dialing or waiting for a frame timed out.
+	ErrTimeout = errors.New("wire: timed out")
 )
 
 // FrameReader reads length-delimited messages.
 //
-// A read that failed within a frame leaves the stream at a place that is no frame's beginning: what comes next, part of a
-// body perhaps, could be taken for a frame. So after ErrFrame or ErrBroken each further read fails the same way.
+// A read that fails within a frame leaves the stream at an offset that is not a frame boundary, where body bytes could be
+// parsed as a frame. Therefore every read after ErrFrame or ErrBroken returns the same error.
 type FrameReader struct {
 	buffered *bufio.Reader
 	options  protodelim.UnmarshalOptions
-	broken   error
+	readErr  error
 }
 
 // NewFrameReader returns a reader that accepts messages of up to limit bytes.
@@ -54,25 +54,25 @@
 	}
 }
 
-// SetLimit bounds the next messages to limit bytes.
+// SetLimit limits subsequent messages to limit bytes.
 func (r *FrameReader) SetLimit(limit int64) { r.options.MaxSize = limit }
 
-// Read fills m with the next message. It fails with ErrClosed at a clean end, ErrTimeout between frames, ErrFrame or
-// ErrBroken.
+// Read reads the next message into m. It returns ErrClosed at a clean end of the stream, ErrTimeout if the read deadline
+// passes between frames, and ErrFrame or ErrBroken otherwise.
 func (r *FrameReader) Read(m proto.Message) error {
-	if r.broken != nil {
-		return r.broken
+	if r.readErr != nil {
+		return r.readErr
 	}
 	if _, err := r.buffered.Peek(1); err != nil {
-		return closedError(err)
+		return peekError(err)
 	}
 	if err := r.options.UnmarshalFrom(r.buffered, m); err != nil {
-		r.broken = frameError(err)
+		r.readErr = frameError(err)
 	}
-	return r.broken
+	return r.readErr
 }
 
-// frameError tells a wrong frame from one that did not come whole.
+// frameError distinguishes an invalid frame from an incomplete one.
 func frameError(err error) error {
 	var tooLarge *protodelim.SizeTooLargeError
 	if errors.As(err, &tooLarge) || errors.Is(err, proto.Error) {
@@ -81,8 +81,8 @@
 	return errors.Wrap(ErrBroken, err.Error())
 }
 
-// closedError tells a clean end and a passed deadline from a broken stream.
-func closedError(err error) error {
+// peekError distinguishes a clean end and an expired deadline from a broken stream.
+func peekError(err error) error {
 	if errors.Is(err, io.EOF) {
 		return ErrClosed
 	}
@@ -93,13 +93,13 @@
 	return errors.Wrap(ErrBroken, err.Error())
 }
 
-// frameBuffers holds buffers of written frames for the next ones.
+// frameBuffers reuses the buffers that frames are encoded into.
 var frameBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// WriteFrame writes one length-delimited message with a single Write, so that it becomes one yamux frame.
+// WriteFrame writes one length-delimited message in a single Write call, so that it becomes one yamux frame.
 func WriteFrame(w io.Writer, m proto.Message) error { return writeFrame(w, m, proto.Size(m)) }
 
-// writeFrame writes a message whose size was just worked out.
+// writeFrame writes a message whose size has just been computed; marshaling uses the cached size.
 func writeFrame(w io.Writer, m proto.Message, size int) error {
 	pooled := frameBuffers.Get().(*[]byte)
 	defer frameBuffers.Put(pooled)
--- a/internal/wire/link_test.go
+++ b/internal/wire/link_test.go
@@ -17,25 +17,25 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds what a test waits for; it is far above what any of them needs.
-const patience = 20 * time.Second
+// testTimeout bounds each wait of a test; it is far above what any test needs.
+const testTimeout = 20 * time.Second
 
-// quick are the options of tests in which a peer is lost.
-func quick() Options {
+// shortTimeouts returns the options of tests in which a peer becomes unresponsive.
+func shortTimeouts() Options {
 	return Options{
-		DialTimeout:   patience,
+		DialTimeout:   testTimeout,
 		KeepAlive:     20 * time.Millisecond,
 		WriteTimeout:  100 * time.Millisecond,
 		HeaderTimeout: 50 * time.Millisecond,
 	}
 }
 
-// calm are the options of tests in which none is.
-func calm() Options {
-	return Options{DialTimeout: patience, KeepAlive: patience, WriteTimeout: patience, HeaderTimeout: patience}
+// longTimeouts returns the options of tests in which no timeout may occur.
+func longTimeouts() Options {
+	return Options{DialTimeout: testTimeout, KeepAlive: testTimeout, WriteTimeout: testTimeout, HeaderTimeout: testTimeout}
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 func listen(t *testing.T) net.Listener {
 	t.Helper()
@@ -47,15 +47,15 @@
 	return listener
 }
 
-// serve serves on a listener until the test ends or stop is called; stop returns what Serve did.
+// serve serves on a listener until the test ends or stop is called; stop returns the result of Serve.
 func serve(t *testing.T, listener net.Listener, o Options, handle Handler) (stop func() error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- Serve(ctx, listener, o, quiet(), handle) }()
+	go func() { ended <- Serve(ctx, listener, o, discardLogger(), handle) }()
 	stop = sync.OnceValue(func() error {
 		cancel()
-		return within(t, ended, "Serve does not return")
+		return receive(t, ended, "Serve did not return")
 	})
 	t.Cleanup(func() { _ = stop() })
 	return stop
@@ -63,7 +63,7 @@
 
 func dial(t *testing.T, address string, o Options) *Session {
 	t.Helper()
-	session, err := Dial(t.Context(), address, o, quiet())
+	session, err := Dial(t.Context(), address, o, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,14 +80,14 @@
 	return stream
 }
 
-// within waits for a value.
-func within[T any](t *testing.T, c <-chan T, otherwise string) T {
+// receive waits for a value and fails the test after testTimeout.
+func receive[T any](t *testing.T, c <-chan T, failure string) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
-		t.Fatal(otherwise)
+	case <-time.After(testTimeout):
+		t.Fatal(failure)
 		panic("not reached")
 	}
 }
@@ -102,13 +102,13 @@
 	}
 }
 
-// ask sends one message and waits for its echo.
-func ask(t *testing.T, s *Stream, id string) {
+// roundTrip sends one message and waits for its echo.
+func roundTrip(t *testing.T, s *Stream, id string) {
 	t.Helper()
 	if err := s.Write(&wirepb.ToAgent{RequestId: id}); err != nil {
 		t.Fatal(err)
 	}
-	_ = s.SetReadDeadline(time.Now().Add(patience))
+	_ = s.SetReadDeadline(time.Now().Add(testTimeout))
 	m := &wirepb.ToAgent{}
 	if err := s.Read(m); err != nil || m.RequestId != id {
 		t.Fatalf("%v: %v", m, err)
@@ -116,18 +116,18 @@
 	_ = s.SetReadDeadline(time.Time{})
 }
 
-// bulk is a message of one body frame.
-func bulk() *wirepb.ToAgent {
+// bodyMessage returns a message with one full body chunk.
+func bodyMessage() *wirepb.ToAgent {
 	chunk := &wirepb.BodyChunk{Data: make([]byte, ChunkBytes)}
 	return &wirepb.ToAgent{RequestId: "bulk", Frame: &wirepb.ToAgent_Body{Body: chunk}}
 }
 
-// writeUntilError fills a stream whose peer does not read, and returns the error that ends it.
+// writeUntilError writes to a stream in the background until a write fails, and sends that error to the channel.
 func writeUntilError(s *Stream) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
 		for {
-			if err := s.Write(bulk()); err != nil {
+			if err := s.Write(bodyMessage()); err != nil {
 				ended <- err
 				return
 			}
@@ -143,34 +143,34 @@
 	return ended
 }
 
-// filled returns once a stream's window is full, so that its writer waits.
-func filled(t *testing.T, s *Stream) {
+// waitForFullWindow waits until a stream's send window is exhausted, so that its writer blocks.
+func waitForFullWindow(t *testing.T, s *Stream) {
 	t.Helper()
-	eventually(t, "the window does not fill", func() bool { return windowOf(s) == 0 })
+	eventually(t, "the window did not fill up", func() bool { return sendWindow(s) == 0 })
 }
 
 // eventually polls until a condition holds.
-func eventually(t *testing.T, otherwise string, holds func() bool) {
+func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(otherwise)
+			t.Fatal(failure)
 		}
 	}
 }
 
-// linkMode is what a relay does with what it is sent.
+// linkMode selects how a relay handles received data.
 type linkMode int32
 
 const (
-	passing linkMode = iota
-	// frozen takes nothing more, as a stopped process does.
+	forwarding linkMode = iota
+	// frozen stops reading, like a hung process.
 	frozen
-	// vanishing takes all and passes nothing on, as a cut link does.
-	vanishing
+	// dropping reads and discards all data, like a link that loses all packets.
+	dropping
 )
 
-// relay is a link between two processes whose faults the test sets.
+// relay is a TCP proxy between two processes with faults injected by the test.
 type relay struct {
 	listener net.Listener
 	mode     atomic.Int32
@@ -178,7 +178,7 @@
 	done     chan struct{}
 }
 
-// newRelay passes connections on to an address.
+// newRelay starts a relay that forwards connections to an address.
 func newRelay(t *testing.T, to string) *relay {
 	t.Helper()
 	r := &relay{listener: listen(t), done: make(chan struct{})}
@@ -189,15 +189,15 @@
 			if err != nil {
 				return
 			}
-			onward, err := net.Dial("tcp", to)
+			upstream, err := net.Dial("tcp", to)
 			if err != nil {
 				_ = from.Close()
 				continue
 			}
 			conns.Store(from, nil)
-			conns.Store(onward, nil)
-			r.copying.Go(func() { r.copy(onward, from) })
-			r.copying.Go(func() { r.copy(from, onward) })
+			conns.Store(upstream, nil)
+			r.copying.Go(func() { r.copy(upstream, from) })
+			r.copying.Go(func() { r.copy(from, upstream) })
 		}
 	})
 	t.Cleanup(func() {
@@ -224,7 +224,7 @@
 			return
 		}
 		switch linkMode(r.mode.Load()) {
-		case passing:
+		case forwarding:
 			if _, err := to.Write(buffer[:n]); err != nil {
 				_ = from.Close()
 			}
@@ -235,7 +235,7 @@
 	}
 }
 
-// drain reads a connection to its end.
+// drain reads a connection to EOF in the background.
 func drain(conn net.Conn) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -20,12 +20,12 @@
 	options Options
 	logger  *slog.Logger
 	handle  Handler
-	running sync.WaitGroup
+	active  sync.WaitGroup
 }
 
 func (s *server) serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
-	defer s.running.Wait()
+	defer s.active.Wait()
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
@@ -33,23 +33,24 @@
 		conn, err := listener.Accept()
 		switch {
 		case err == nil:
-			s.running.Add(1)
+			s.active.Add(1)
 			go s.serveConn(ctx, conn)
-		case !passes(err):
+		case !isTemporaryAcceptError(err):
 			return ignoreClosed(err)
 		default:
-			s.logger.Warn("connection not accepted", "error", err)
-			clock.Pause(ctx, acceptRetry)
+			s.logger.Warn("accept failed; retrying", "error", err)
+			clock.Pause(ctx, acceptRetryDelay)
 		}
 	}
 }
 
-// acceptRetry is the time between tries to accept while the process is short of something.
-const acceptRetry = 20 * time.Millisecond
+// acceptRetryDelay is the delay before the next Accept after a temporary error.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// passes reports whether an error of Accept concerns one connection or a shortage, as of file descriptors in a burst of
-// connections. A server that took it for its end would cut all the requests that it runs.
-func passes(err error) bool {
+// isTemporaryAcceptError reports whether an Accept error concerns a single connection or a temporary lack of resources,
+// such as file descriptors during a burst of connections. Stopping the server on such an error would abort all requests in
+// flight.
+func isTemporaryAcceptError(err error) bool {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
 		if errors.Is(err, errno) {
 			return true
@@ -58,9 +59,9 @@
 	return false
 }
 
-// serveConn runs one session. When ctx ends the session is closed and with it every stream.
+// serveConn runs one session. When ctx is done, the session and all its streams are closed.
 func (s *server) serveConn(ctx context.Context, conn net.Conn) {
-	defer s.running.Done()
+	defer s.active.Done()
 	mux, err := yamux.Server(conn, s.options.config(s.logger))
 	if err != nil {
 		_ = conn.Close()
@@ -75,21 +76,21 @@
 			s.logger.Debug("session ended", "peer", conn.RemoteAddr(), "error", err)
 			return
 		}
-		s.running.Add(1)
+		s.active.Add(1)
 		go s.serveStream(ctx, raw)
 	}
 }
 
-// serveStream reads the header and hands the stream to the handler.
+// serveStream reads the header and passes the stream to the handler.
 func (s *server) serveStream(ctx context.Context, raw *yamux.Stream) {
-	defer s.running.Done()
+	defer s.active.Done()
 	stream := newStream(raw, MaxFrameBytes)
 	defer func() { _ = stream.Close() }()
 	header := &wirepb.StreamHeader{}
-	// A peer that opens streams and says nothing must not hold them for ever.
+	// A peer that opens streams without sending a header must not hold them indefinitely.
 	_ = stream.SetReadDeadline(time.Now().Add(s.options.HeaderTimeout))
 	if err := stream.Read(header); err != nil {
-		s.logger.Warn("stream without a header", "error", err)
+		s.logger.Warn("reading stream header failed", "error", err)
 		return
 	}
 	_ = stream.SetReadDeadline(time.Time{})
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// acceptBacklog bounds the streams that a peer has opened and the other side has not taken up yet.
+	// acceptBacklog bounds the streams that a peer has opened and that have not been accepted yet.
 	acceptBacklog = 1024
-	// streamWindowBytes bounds what a peer may send on one stream ahead of the reader.
+	// streamWindowBytes is the flow-control window of a stream: the unread bytes that a peer may have sent.
 	streamWindowBytes = 256 << 10
 )
 
 // Options are the settings of connections between the system's processes.
 type Options struct {
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout bounds establishing a TCP connection.
 	DialTimeout time.Duration
-	// KeepAlive is the time between probes of an idle connection, and WriteTimeout the time within which a probe must be
-	// answered and a write must be taken. A peer that is frozen or cut off costs at most their sum.
+	// KeepAlive is the interval between keepalive probes. WriteTimeout bounds the response to a probe and each write to
+	// the connection. An unresponsive peer is detected within the sum of both.
 	KeepAlive, WriteTimeout time.Duration
 	// HeaderTimeout bounds the wait for the first message of a stream.
 	HeaderTimeout time.Duration
 }
 
-// DefaultOptions returns the settings that suit links of a few milliseconds.
+// DefaultOptions returns settings for links with a latency of a few milliseconds.
 func DefaultOptions() Options {
 	return Options{
 		DialTimeout:   time.Second,
@@ -43,7 +43,7 @@
 	}
 }
 
-// config returns yamux's settings.
+// config returns the yamux configuration.
 func (o Options) config(logger *slog.Logger) *yamux.Config {
 	c := yamux.DefaultConfig()
 	c.AcceptBacklog = acceptBacklog
@@ -78,7 +78,7 @@
 	return &Session{mux: mux}, nil
 }
 
-// dialError tells a peer that does not answer from one that refuses.
+// dialError distinguishes a connection attempt that timed out from one that failed.
 func dialError(err error) error {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
@@ -101,7 +101,7 @@
 	return stream, nil
 }
 
-// Closed is closed when the session has ended.
+// Closed returns a channel that is closed when the session has ended.
 func (s *Session) Closed() <-chan struct{} { return s.mux.CloseChan() }
 
 // Close ends the session and all its streams.
@@ -109,28 +109,28 @@
 
 // Stream is one ordered exchange of messages within a session. One goroutine may read while another writes.
 type Stream struct {
-	raw    *yamux.Stream
+	conn   *yamux.Stream
 	reader *FrameReader
-	// limit bounds the messages that are written, in bytes.
+	// limit bounds written messages, in bytes.
 	limit atomic.Int64
-	// unsent is why a message was not written whole.
-	unsent error
+	// writeErr is the error of the first failed write.
+	writeErr error
 }
 
-// expired is a deadline that has passed: it wakes whoever waits.
-var expired = time.Unix(1, 0)
+// pastDeadline is a deadline in the past; setting it unblocks pending reads or writes.
+var pastDeadline = time.Unix(1, 0)
 
 func newStream(raw *yamux.Stream, limit int64) *Stream {
-	s := &Stream{raw: raw, reader: NewFrameReader(raw, limit)}
+	s := &Stream{conn: raw, reader: NewFrameReader(raw, limit)}
 	s.limit.Store(limit)
 	return s
 }
 
-// Read fills m with the next message.
+// Read reads the next message into m.
 //
-// A peer closes its stream both ways at once and reads nothing more. What is written to it afterwards would fill the
-// window and then wait, for up to yamux's close timeout of a minute, with whatever the writer holds. So a clean end wakes
-// the writer.
+// A peer that closes its stream stops both reading and writing. Writes to it would then fill the window and block for up
+// to yamux's close timeout of one minute, with all resources that the writer holds. Therefore a clean end of the stream
+// also unblocks the writer.
 func (s *Stream) Read(m proto.Message) error {
 	err := s.reader.Read(m)
 	if errors.Is(err, ErrClosed) {
@@ -140,52 +140,53 @@
 }
 
 // Write sends one message. Only one goroutine may write at a time. A message over the stream's limit fails with ErrFrame
-// and nothing of it is sent.
+// and no part of it is sent.
 //
-// A message that was sent in part leaves the peer within a frame, where the next one would be read as the rest of it, of a
-// request's body perhaps. So after a failed write each further one fails.
+// After a partial write the peer would read the next frame as the rest of the incomplete one, for example as part of a
+// request body. Therefore every write after a failed one returns the same error.
 func (s *Stream) Write(m proto.Message) error {
-	if s.unsent != nil {
-		return s.unsent
+	if s.writeErr != nil {
+		return s.writeErr
 	}
 	size := proto.Size(m)
 	if int64(size) > s.limit.Load() {
-		return errors.Wrapf(ErrFrame, "%d bytes are over the limit of %d", size, s.limit.Load())
+		return errors.Wrapf(ErrFrame, "message of %d bytes exceeds the limit of %d bytes", size, s.limit.Load())
 	}
-	s.unsent = writeFrame(s.raw, m, size)
-	return s.unsent
+	s.writeErr = writeFrame(s.conn, m, size)
+	return s.writeErr
 }
 
-// StopWriting fails a Write that waits for the peer to read, and later ones that would have to wait.
-func (s *Stream) StopWriting() { _ = s.raw.SetWriteDeadline(expired) }
+// StopWriting makes a Write that is blocked on a full window fail, and later ones that would block.
+func (s *Stream) StopWriting() { _ = s.conn.SetWriteDeadline(pastDeadline) }
 
-// SetLimit bounds the next messages, read and written, to limit bytes.
+// SetLimit limits subsequent messages in both directions to limit bytes.
 func (s *Stream) SetLimit(limit int64) {
 	s.reader.SetLimit(limit)
 	s.limit.Store(limit)
 }
 
-// SetReadDeadline bounds the next reads; the zero time removes the bound.
-func (s *Stream) SetReadDeadline(t time.Time) error { return s.raw.SetReadDeadline(t) }
+// SetReadDeadline sets the deadline of pending and later reads; the zero time removes it.
+func (s *Stream) SetReadDeadline(t time.Time) error { return s.conn.SetReadDeadline(t) }
 
 // Close ends the stream. A pending or later Read or Write fails.
 func (s *Stream) Close() error {
-	err := s.raw.Close()
-	// The peer may never close its half; an expired deadline wakes a reader of ours at once.
-	_ = s.raw.SetReadDeadline(expired)
+	err := s.conn.Close()
+	// The peer may never close its half of the stream; an expired deadline unblocks a local reader immediately.
+	_ = s.conn.SetReadDeadline(pastDeadline)
 	return err
 }
 
-// Handler serves one stream that a peer opened. The stream is closed when it returns.
+// Handler serves one stream opened by a peer. The stream is closed when the handler returns.
 type Handler func(ctx context.Context, header *wirepb.StreamHeader, stream *Stream)
 
-// Serve accepts connections and streams until ctx ends or the listener fails. It returns after its handlers.
+// Serve accepts connections and streams until ctx is done or the listener fails. It returns after all handlers have
+// returned.
 func Serve(ctx context.Context, listener net.Listener, o Options, logger *slog.Logger, handle Handler) error {
 	s := &server{options: o, logger: logger, handle: handle}
 	return s.serve(ctx, listener)
 }
 
-// ignoreClosed turns the error of a listener that was closed on purpose into nil.
+// ignoreClosed returns nil for the error of a listener that was closed deliberately.
 func ignoreClosed(err error) error {
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, io.EOF) {
 		return nil
--- a/internal/wire/session_test.go
+++ b/internal/wire/session_test.go
@@ -16,20 +16,20 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// windowOf is how many bytes a stream's peer would still take.
-func windowOf(s *Stream) uint32 {
-	// The library does not tell; the test looks at its counter as the library itself does.
-	field := reflect.ValueOf(s.raw).Elem().FieldByName("sendWindow")
+// sendWindow returns how many more bytes may be sent on a stream before the peer reads.
+func sendWindow(s *Stream) uint32 {
+	// yamux does not export the window, so its counter is read by reflection, atomically as yamux itself does.
+	field := reflect.ValueOf(s.conn).Elem().FieldByName("sendWindow")
 	return atomic.LoadUint32((*uint32)(field.Addr().UnsafePointer()))
 }
 
-// Something that is no entry dials an agent, a port scanner or a process that hangs before its first byte, or an entry's
-// stream brings no header. Neither may hold a connection or a goroutine for ever, or reach the handler, and the streams
-// beside it go on.
+// A port scanner or a hung process connects to an agent without sending anything, or an entry opens a stream without a
+// valid header. Neither may hold a connection or a goroutine indefinitely or reach the handler, and other streams on the
+// session must keep working.
 func TestPeerThatSaysNothing(t *testing.T) {
 	handled := make(chan string, 8)
 	address := listen(t)
-	serve(t, address, quick(), func(ctx context.Context, h *wirepb.StreamHeader, s *Stream) {
+	serve(t, address, shortTimeouts(), func(ctx context.Context, h *wirepb.StreamHeader, s *Stream) {
 		handled <- h.Entry
 		echo(ctx, h, s)
 	})
@@ -38,17 +38,17 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	within(t, drain(conn), "a silent connection is kept")
+	receive(t, drain(conn), "the idle connection was not closed")
 
-	session := dial(t, address.Addr().String(), quick())
+	session := dial(t, address.Addr().String(), shortTimeouts())
 	openers := []struct {
 		name string
 		send []byte
 	}{
 		{"no header", nil},
-		{"half a header", []byte{20, 8, 1}},
+		{"a partial header", []byte{20, 8, 1}},
 		{"a header over the limit", []byte{0xff, 0xff, 0xff, 0x7f}},
-		{"no header but noise", []byte{2, 0x0f, 0}},
+		{"an invalid header", []byte{2, 0x0f, 0}},
 	}
 	for _, o := range openers {
 		t.Run(o.name, func(t *testing.T) {
@@ -58,65 +58,65 @@
 			}
 			_, _ = raw.Write(o.send)
 			stream := newStream(raw, MaxFrameBytes)
-			if err := within(t, readOnce(stream), "a stream without a header is kept"); !errors.Is(err, ErrClosed) {
+			if err := receive(t, readOnce(stream), "a stream without a header was not closed"); !errors.Is(err, ErrClosed) {
 				t.Fatalf("got %v, want ErrClosed", err)
 			}
 			_ = stream.Close()
 		})
 	}
 	stream := open(t, session)
-	_ = stream.SetReadDeadline(time.Now().Add(2 * quick().HeaderTimeout))
+	_ = stream.SetReadDeadline(time.Now().Add(2 * shortTimeouts().HeaderTimeout))
 	if err := stream.Read(&wirepb.ToAgent{}); !errors.Is(err, ErrTimeout) {
-		t.Fatalf("a stream that brought its header and waits: got %v, want ErrTimeout", err)
+		t.Fatalf("idle stream with a header: got %v, want ErrTimeout", err)
 	}
-	ask(t, stream, "beside")
+	roundTrip(t, stream, "after")
 	_ = stream.Close()
 	if len(handled) != 1 {
-		t.Fatalf("%d streams reached the handler", len(handled))
+		t.Fatalf("%d streams reached the handler, want 1", len(handled))
 	}
 }
 
-// An agent's host is frozen, or the link to it loses everything, and no connection is closed. All that wait on it at the
-// entry must end within the time between two probes and the time to answer one, not when their deadlines do.
+// An agent's host hangs, or the link to it drops all packets, and no connection is closed. All streams to it must fail
+// within the keepalive interval plus the write timeout, not only at their own deadlines.
 func TestLostPeerEndsAllStreams(t *testing.T) {
 	cases := []struct {
 		name string
 		mode linkMode
-	}{{"frozen", frozen}, {"vanished", vanishing}}
+	}{{"hanging peer", frozen}, {"packet loss", dropping}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			listener := listen(t)
-			serve(t, listener, quick(), func(ctx context.Context, _ *wirepb.StreamHeader, _ *Stream) { <-ctx.Done() })
+			serve(t, listener, shortTimeouts(), func(ctx context.Context, _ *wirepb.StreamHeader, _ *Stream) { <-ctx.Done() })
 			link := newRelay(t, listener.Addr().String())
-			session := dial(t, link.listener.Addr().String(), quick())
+			session := dial(t, link.listener.Addr().String(), shortTimeouts())
 			var ended []<-chan error
 			for range 3 {
 				ended = append(ended, readOnce(open(t, session)))
 				full := open(t, session)
 				ended = append(ended, writeUntilError(full))
-				filled(t, full)
+				waitForFullWindow(t, full)
 			}
 			link.set(c.mode)
 			lost := time.Now()
-			within(t, session.Closed(), "the session is kept")
+			receive(t, session.Closed(), "the session was not closed")
 			for _, e := range ended {
-				if err := within(t, e, "a stream waits on"); !errors.Is(err, ErrBroken) && !errors.Is(err, ErrClosed) {
+				if err := receive(t, e, "a stream is still blocked"); !errors.Is(err, ErrBroken) && !errors.Is(err, ErrClosed) {
 					t.Fatalf("got %v", err)
 				}
 			}
-			// The bound is a tenth of a second; the rest is for a machine that is busy.
-			if took := time.Since(lost); took > patience/2 {
-				t.Fatalf("the loss was noticed after %v", took)
+			// The expected time is about 0.1 s; the rest allows for a busy machine.
+			if took := time.Since(lost); took > testTimeout/2 {
+				t.Fatalf("the lost peer was detected only after %v", took)
 			}
 			if _, err := session.Open(&wirepb.StreamHeader{}, MaxFrameBytes); !errors.Is(err, ErrBroken) {
-				t.Fatalf("opened on a lost session: %v", err)
+				t.Fatalf("opening a stream on a lost session: got %v, want ErrBroken", err)
 			}
 		})
 	}
 }
 
-// An agent process ends, or an entry's does. Its peer's streams must all end at once, readers and writers, and Serve
-// returns only when its handlers have, so that nothing works on behind the process's back.
+// When either end closes the session, all readers and writers of its streams must return at once, and Serve must return
+// only after its handlers, so that no handler keeps running after shutdown.
 func TestSessionEndWakesAll(t *testing.T) {
 	cases := []struct {
 		name string
@@ -130,50 +130,50 @@
 			const pairs = 8
 			var running atomic.Int32
 			listener := listen(t)
-			stop := serve(t, listener, calm(), func(_ context.Context, h *wirepb.StreamHeader, s *Stream) {
+			stop := serve(t, listener, longTimeouts(), func(_ context.Context, h *wirepb.StreamHeader, s *Stream) {
 				running.Add(1)
 				defer running.Add(-1)
-				if h.Entry == "deaf" {
+				if h.Entry == "unread" {
 					<-writeUntilError(s)
 					return
 				}
 				<-readOnce(s)
 			})
-			session := dial(t, listener.Addr().String(), calm())
+			session := dial(t, listener.Addr().String(), longTimeouts())
 			var ended []<-chan error
 			for range pairs {
 				ended = append(ended, readOnce(open(t, session)))
-				deaf, err := session.Open(&wirepb.StreamHeader{Entry: "deaf"}, MaxFrameBytes)
+				unread, err := session.Open(&wirepb.StreamHeader{Entry: "unread"}, MaxFrameBytes)
 				if err != nil {
 					t.Fatal(err)
 				}
-				ended = append(ended, writeUntilError(deaf))
-				filled(t, deaf)
+				ended = append(ended, writeUntilError(unread))
+				waitForFullWindow(t, unread)
 			}
-			eventually(t, "not all are handled", func() bool { return running.Load() == 2*pairs })
+			eventually(t, "not all streams reached the handler", func() bool { return running.Load() == 2*pairs })
 			c.end(stop, session)
 			for _, e := range ended {
-				within(t, e, "a stream waits on")
+				receive(t, e, "a stream is still blocked")
 			}
 			if err := stop(); err != nil || running.Load() != 0 {
-				t.Fatalf("%v, %d handlers behind the end of Serve", err, running.Load())
+				t.Fatalf("%v, %d handlers still running after Serve returned", err, running.Load())
 			}
 		})
 	}
 }
 
-// One caller reads its answer slowly. Its stream fills and waits; the reports and the other answers on the same
-// connection must not.
+// A caller that reads its response slowly fills its stream's window. This must not block the other streams of the same
+// connection (no head-of-line blocking).
 func TestSlowStreamDoesNotStallOthers(t *testing.T) {
 	listener := listen(t)
-	serve(t, listener, calm(), func(ctx context.Context, h *wirepb.StreamHeader, s *Stream) {
+	serve(t, listener, longTimeouts(), func(ctx context.Context, h *wirepb.StreamHeader, s *Stream) {
 		if h.Kind == wirepb.StreamKind_CONTROL {
 			echo(ctx, h, s)
 			return
 		}
 		<-writeUntilError(s)
 	})
-	session := dial(t, listener.Addr().String(), calm())
+	session := dial(t, listener.Addr().String(), longTimeouts())
 	var slow []*Stream
 	for range 4 {
 		s := open(t, session)
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	for range 64 {
-		ask(t, control, "report")
+		roundTrip(t, control, "report")
 	}
 	for _, s := range slow {
 		if err := s.Read(&wirepb.ToAgent{}); err != nil {
@@ -194,20 +194,20 @@
 	}
 }
 
-// A burst of requests opens more streams at once than may wait to be taken up, while all handlers are busy. All must be
-// taken up; a stream that was reset for the backlog would look like an agent that broke off.
+// A burst of requests opens more streams than the accept backlog holds while all handlers are busy. All must be accepted:
+// a stream reset because of the backlog would look like a failed agent.
 func TestMoreStreamsThanTheBacklog(t *testing.T) {
 	const streams = acceptBacklog + 200
-	var here sync.WaitGroup
-	here.Add(streams)
+	var accepted sync.WaitGroup
+	accepted.Add(streams)
 	release := make(chan struct{})
 	listener := listen(t)
-	serve(t, listener, calm(), func(ctx context.Context, h *wirepb.StreamHeader, s *Stream) {
-		here.Done()
+	serve(t, listener, longTimeouts(), func(ctx context.Context, h *wirepb.StreamHeader, s *Stream) {
+		accepted.Done()
 		<-release
 		echo(ctx, h, s)
 	})
-	session := dial(t, listener.Addr().String(), calm())
+	session := dial(t, listener.Addr().String(), longTimeouts())
 	var opened [streams]*Stream
 	for i := range opened {
 		opened[i] = open(t, session)
@@ -215,7 +215,7 @@
 			t.Fatal(err)
 		}
 	}
-	here.Wait()
+	accepted.Wait()
 	close(release)
 	for _, s := range opened {
 		if err := s.Read(&wirepb.ToAgent{}); err != nil {
@@ -225,59 +225,59 @@
 	}
 }
 
-// A caller goes away while its answer waits for room in the stream: the entry closes the stream and reads nothing more.
-// The agent's writer waited for the library's close timeout, a minute, and held a place at the engine for it.
+// A caller disconnects while its response is blocked on a full window: the entry closes the stream and stops reading. The
+// agent's writer must not block until yamux's close timeout of one minute, because it holds capacity at the engine.
 func TestClosedStreamWakesItsWriter(t *testing.T) {
 	cases := []struct {
 		name string
-		// end ends the exchange at the writer's stream or at its peer's.
+		// end closes the writer's stream or its peer's.
 		end func(writer, peer *Stream)
 	}{
 		{"the peer closes", func(_, peer *Stream) { _ = peer.Close() }},
 		{"the writer's side closes", func(writer, _ *Stream) { _ = writer.Close() }},
-		{"the writing is stopped", func(writer, _ *Stream) { writer.StopWriting() }},
+		{"writing is stopped", func(writer, _ *Stream) { writer.StopWriting() }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			streams := make(chan *Stream, 1)
 			listener := listen(t)
-			serve(t, listener, calm(), func(ctx context.Context, _ *wirepb.StreamHeader, s *Stream) {
+			serve(t, listener, longTimeouts(), func(ctx context.Context, _ *wirepb.StreamHeader, s *Stream) {
 				streams <- s
 				<-ctx.Done()
 			})
-			session := dial(t, listener.Addr().String(), calm())
+			session := dial(t, listener.Addr().String(), longTimeouts())
 			peer := open(t, session)
-			writer := within(t, streams, "no stream")
+			writer := receive(t, streams, "no stream was accepted")
 			reading := readOnce(writer)
 			writing := writeUntilError(writer)
-			filled(t, writer)
+			waitForFullWindow(t, writer)
 			c.end(writer, peer)
-			if err := within(t, writing, "the writer waits on"); !errors.Is(err, ErrBroken) {
+			if err := receive(t, writing, "the writer is still blocked"); !errors.Is(err, ErrBroken) {
 				t.Fatalf("got %v", err)
 			}
 			_ = writer.Close()
-			within(t, reading, "the reader waits on")
+			receive(t, reading, "the reader is still blocked")
 			_ = peer.Close()
 		})
 	}
 }
 
-// The sending of a large body is given up in the middle of a frame, and a withdrawal is sent after it. The agent would
-// take the withdrawal's bytes for the missing end of the body and hand them to the service.
+// Sending a large body is aborted in the middle of a frame, and a cancellation follows. It must not be sent: the agent
+// would take its bytes for the missing end of the body and forward them to the service.
 func TestNothingFollowsACutFrame(t *testing.T) {
 	streams := make(chan *Stream, 1)
 	listener := listen(t)
-	serve(t, listener, calm(), func(ctx context.Context, _ *wirepb.StreamHeader, s *Stream) {
+	serve(t, listener, longTimeouts(), func(ctx context.Context, _ *wirepb.StreamHeader, s *Stream) {
 		streams <- s
 		<-ctx.Done()
 	})
-	session := dial(t, listener.Addr().String(), calm())
+	session := dial(t, listener.Addr().String(), longTimeouts())
 	writer := open(t, session)
-	peer := within(t, streams, "no stream")
+	peer := receive(t, streams, "no stream was accepted")
 	writing := writeUntilError(writer)
-	filled(t, writer)
+	waitForFullWindow(t, writer)
 	writer.StopWriting()
-	within(t, writing, "the writer waits on")
+	receive(t, writing, "the writer is still blocked")
 
 	read := make(chan error, 1)
 	go func() {
@@ -288,41 +288,41 @@
 				return
 			}
 			if m.RequestId != "bulk" {
-				read <- errors.Errorf("a frame of %q", m.RequestId)
+				read <- errors.Errorf("unexpected frame of request %q", m.RequestId)
 				return
 			}
 		}
 	}()
-	eventually(t, "the window stays full", func() bool { return windowOf(writer) > 0 })
-	if err := writer.Write(&wirepb.ToAgent{RequestId: "withdrawal"}); err == nil {
-		t.Fatal("a frame was sent within another")
+	eventually(t, "the window remains full", func() bool { return sendWindow(writer) > 0 })
+	if err := writer.Write(&wirepb.ToAgent{RequestId: "cancellation"}); err == nil {
+		t.Fatal("a frame was sent after an incomplete one")
 	}
 	_ = writer.Close()
-	if err := within(t, read, "the peer waits on"); !errors.Is(err, ErrBroken) {
+	if err := receive(t, read, "the peer is still blocked"); !errors.Is(err, ErrBroken) {
 		t.Fatalf("got %v, want ErrBroken", err)
 	}
 }
 
-// A caller's header fields make an offer that the agent would not read. The sender must learn that it was not sent; the
-// agent's cutting of the stream would count against a healthy engine, at one engine after the other.
+// A caller's header fields make an offer larger than the agent accepts. Write must report that it was not sent: otherwise
+// each agent would end the stream, and one healthy engine after another would be counted as failing.
 func TestMessageOverTheLimitIsNotSent(t *testing.T) {
 	listener := listen(t)
-	serve(t, listener, calm(), echo)
-	stream := open(t, dial(t, listener.Addr().String(), calm()))
+	serve(t, listener, longTimeouts(), echo)
+	stream := open(t, dial(t, listener.Addr().String(), longTimeouts()))
 	stream.SetLimit(testLimit)
 	large := &wirepb.ToAgent{RequestId: strings.Repeat("x", testLimit)}
 	if err := stream.Write(large); !errors.Is(err, ErrFrame) {
 		t.Fatalf("got %v, want ErrFrame", err)
 	}
-	ask(t, stream, "small")
+	roundTrip(t, stream, "small")
 }
 
-// Writers of many streams are at work when the session closes under them: each gets an error, none a panic or a wait.
+// The session closes while many streams write: each writer must get an error and none may panic or block.
 func TestCloseDuringWrites(t *testing.T) {
 	listener := listen(t)
-	serve(t, listener, calm(), echo)
+	serve(t, listener, longTimeouts(), echo)
 	for range 20 {
-		session := dial(t, listener.Addr().String(), calm())
+		session := dial(t, listener.Addr().String(), longTimeouts())
 		var writers sync.WaitGroup
 		var written atomic.Int32
 		for range 8 {
@@ -334,13 +334,13 @@
 				_ = stream.Close()
 			})
 		}
-		eventually(t, "nothing is written", func() bool { return written.Load() > 8 })
+		eventually(t, "no messages were written", func() bool { return written.Load() > 8 })
 		_ = session.Close()
 		writers.Wait()
 	}
 }
 
-// failingListener fails some of its Accepts.
+// failingListener returns queued errors from Accept before it accepts connections.
 type failingListener struct {
 	net.Listener
 	failures chan error
@@ -355,8 +355,8 @@
 	}
 }
 
-// A burst of connections takes the agent's last file descriptors, so that Accept fails for a moment. The agent took it
-// for the end of its listener and stopped, with all the answers that it had under way.
+// A burst of connections exhausts the file descriptors, so that Accept fails temporarily. Serve must not treat this as a
+// failed listener and stop, which would abort all responses in flight.
 func TestServeOutlivesAShortage(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -364,23 +364,23 @@
 		ends    bool
 	}{
 		{"no file descriptors", &net.OpError{Op: "accept", Err: syscall.EMFILE}, false},
-		{"none in the system", &net.OpError{Op: "accept", Err: syscall.ENFILE}, false},
-		{"connection gone again", &net.OpError{Op: "accept", Err: syscall.ECONNABORTED}, false},
+		{"no file descriptors system-wide", &net.OpError{Op: "accept", Err: syscall.ENFILE}, false},
+		{"connection aborted", &net.OpError{Op: "accept", Err: syscall.ECONNABORTED}, false},
 		{"listener broken", &net.OpError{Op: "accept", Err: syscall.EINVAL}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			listener := failingListener{Listener: listen(t), failures: make(chan error, 1)}
 			listener.failures <- c.failure
-			stop := serve(t, listener, calm(), echo)
+			stop := serve(t, listener, longTimeouts(), echo)
 			if c.ends {
 				if err := stop(); !errors.Is(err, ErrBroken) {
 					t.Fatalf("got %v, want ErrBroken", err)
 				}
 				return
 			}
-			session := dial(t, listener.Addr().String(), calm())
-			ask(t, open(t, session), "after")
+			session := dial(t, listener.Addr().String(), longTimeouts())
+			roundTrip(t, open(t, session), "after")
 			if err := stop(); err != nil {
 				t.Fatal(err)
 			}
@@ -391,24 +391,24 @@
 func TestDialFailures(t *testing.T) {
 	closed := listen(t)
 	_ = closed.Close()
-	if _, err := Dial(t.Context(), closed.Addr().String(), calm(), quiet()); !errors.Is(err, ErrBroken) {
-		t.Fatalf("refused: got %v", err)
+	if _, err := Dial(t.Context(), closed.Addr().String(), longTimeouts(), discardLogger()); !errors.Is(err, ErrBroken) {
+		t.Fatalf("connection refused: got %v, want ErrBroken", err)
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := Dial(ended, listen(t).Addr().String(), calm(), quiet()); !errors.Is(err, ErrBroken) {
-		t.Fatalf("context ended: got %v", err)
+	if _, err := Dial(ended, listen(t).Addr().String(), longTimeouts(), discardLogger()); !errors.Is(err, ErrBroken) {
+		t.Fatalf("context canceled: got %v, want ErrBroken", err)
 	}
-	impossible := calm()
+	impossible := longTimeouts()
 	impossible.KeepAlive = 0
 	listener := listen(t)
-	if _, err := Dial(t.Context(), listener.Addr().String(), impossible, quiet()); !errors.Is(err, ErrBroken) {
-		t.Fatalf("settings that the session refuses: got %v", err)
+	if _, err := Dial(t.Context(), listener.Addr().String(), impossible, discardLogger()); !errors.Is(err, ErrBroken) {
+		t.Fatalf("invalid yamux settings: got %v, want ErrBroken", err)
 	}
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	within(t, drain(conn), "the connection is left open")
+	receive(t, drain(conn), "the connection was not closed")
 }
