--- a/internal/timeline/clock.go
+++ b/internal/timeline/clock.go
@@ -7,12 +7,12 @@
 
 const counterBits = 16
 
-// MaxDrift is how far ahead of the wall clock a reading from another process may be. It is far above the skew of hosts
-// that keep time at all.
+// MaxDrift bounds how far ahead of the local wall clock a reading from another process may be. It is far above the skew
+// between hosts with synchronized clocks.
 const MaxDrift = time.Minute
 
-// HybridClock is a hybrid logical clock (Kulkarni et al., 2014): it follows the wall clock but never runs behind a
-// reading that the process has seen, so that an effect is never stamped before its cause.
+// HybridClock is a hybrid logical clock (Kulkarni et al., 2014). It follows the wall clock but always exceeds every
+// reading that the process has observed, so that an effect never has an earlier timestamp than its cause.
 type HybridClock struct {
 	mu       sync.Mutex
 	last     uint64
@@ -20,31 +20,30 @@
 	now      func() time.Time
 }
 
-// NewHybridClock returns a clock over the given wall clock.
+// NewHybridClock returns a clock based on the given wall clock.
 func NewHybridClock(now func() time.Time) *HybridClock { return &HybridClock{now: now} }
 
-// Now returns a reading above all that were returned or observed before.
+// Now returns a reading greater than all readings returned or observed before.
 func (c *HybridClock) Now() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = max(reading(c.now()), c.last+1)
+	c.last = max(readingAt(c.now()), c.last+1)
 	return c.last
 }
 
-// Observe moves the clock past a reading that came with a message. It reports false, and leaves the clock, when the
-// reading is more than MaxDrift ahead.
+// Observe advances the clock past a reading received with a message. If the reading is more than MaxDrift ahead, it
+// leaves the clock unchanged and returns false.
 //
-// The bound guards against one host with a wrong clock, or one wrong message, that would drag the clocks of all
-// processes into the future, from where they never come back. The price is that this host's events stand too late in
-// the merged order.
-func (c *HybridClock) Observe(seen uint64) bool {
+// Without this bound a single host with a wrong clock, or a single corrupt message, would permanently move the clocks of
+// all processes into the future. The cost is that the events of such a host appear too late in the merged order.
+func (c *HybridClock) Observe(observed uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if seen > reading(c.now().Add(MaxDrift)) {
+	if observed > readingAt(c.now().Add(MaxDrift)) {
 		c.rejected++
 		return false
 	}
-	c.last = max(c.last, seen)
+	c.last = max(c.last, observed)
 	return true
 }
 
@@ -58,5 +57,5 @@
 // WallTime returns the wall-clock part of a reading.
 func WallTime(reading uint64) time.Time { return time.UnixMilli(int64(reading >> counterBits)) }
 
-// reading returns the least reading of a wall-clock time.
-func reading(t time.Time) uint64 { return uint64(t.UnixMilli()) << counterBits }
+// readingAt returns the smallest reading for a wall-clock time.
+func readingAt(t time.Time) uint64 { return uint64(t.UnixMilli()) << counterBits }
--- a/internal/timeline/collect.go
+++ b/internal/timeline/collect.go
@@ -17,53 +17,53 @@
 )
 
 var (
-	// ErrUnreachable says that a process did not answer.
+	// ErrUnreachable reports that a process did not respond.
 	ErrUnreachable = errors.New("timeline: process unreachable")
-	// ErrAnswer says that a process's answer is not a time line.
-	ErrAnswer = errors.New("timeline: bad answer")
+	// ErrAnswer reports that a process's response is not a valid timeline.
+	ErrAnswer = errors.New("timeline: invalid response")
 )
 
-// The bounds of reading from processes.
+// Limits for reading from processes.
 const (
-	// maxAnswerBytes bounds one answer; a full ring of the usual size fits many times.
+	// maxAnswerBytes bounds one response; it is many times the size of a full ring.
 	maxAnswerBytes = 64 << 20
-	// maxReads bounds the processes that are read at once.
+	// maxReads bounds the processes that are read concurrently.
 	maxReads = 32
-	// readTimeout bounds the reading of one process.
+	// readTimeout bounds reading one process.
 	readTimeout = 5 * time.Second
 )
 
-// Path is where a process serves its time line.
+// Path is the path under which a process serves its timeline.
 const Path = "/timeline"
 
-// Collector reads and merges the time lines of processes. It is not safe for concurrent use.
+// Collector reads and merges the timelines of processes. It is not safe for concurrent use.
 type Collector struct {
 	client *http.Client
 	filter Filter
 	merger *Merger
 }
 
-// NewCollector returns a collector of the events that the filter lets pass.
+// NewCollector returns a collector of the events that the filter selects.
 func NewCollector(client *http.Client, filter Filter) *Collector {
 	return &Collector{client: client, filter: filter, merger: NewMerger()}
 }
 
-// Collection is what was read of all processes.
+// Collection is the merged result of reading processes or logs.
 type Collection struct {
-	Events []Released
-	// Notes tell which processes' events are missing.
+	Events []MergedEvent
+	// Notes describe which events are missing or may be out of order.
 	Notes []Note
 }
 
-// Collect reads all that the processes with the given base URLs keep and returns it in one order. A process that does
-// not answer shows in the notes.
+// Collect reads all stored events of the processes with the given base URLs and returns them in one order. Processes that
+// do not respond are listed in the notes.
 func (c *Collector) Collect(ctx context.Context, urls []string) Collection {
 	notes := c.poll(ctx, urls)
-	return Collection{Events: c.merger.Rest(), Notes: notes}
+	return Collection{Events: c.merger.Flush(), Notes: notes}
 }
 
-// Follow reads the processes again and again until ctx ends, and hands on what is new. Each time it asks for the base
-// URLs of the processes; when that fails, it goes on with those that it knows.
+// Follow polls the processes until ctx is done and passes new events to emit. Before each poll it calls urls for the base
+// URLs of the processes; if that fails, it keeps using the previous ones.
 func (c *Collector) Follow(
 	ctx context.Context, interval time.Duration, urls func(context.Context) ([]string, error), emit func(Collection) error,
 ) error {
@@ -74,9 +74,9 @@
 		if err != nil {
 			current = c.merger.URLs()
 		}
-		c.forgetOthers(current)
+		c.removeUnlisted(current)
 		notes := c.poll(ctx, current)
-		if err := emit(Collection{Events: c.merger.Take(), Notes: notes}); err != nil {
+		if err := emit(Collection{Events: c.merger.Ready(), Notes: notes}); err != nil {
 			return err
 		}
 		select {
@@ -87,15 +87,15 @@
 	}
 }
 
-func (c *Collector) forgetOthers(current []string) {
+func (c *Collector) removeUnlisted(current []string) {
 	for _, url := range c.merger.URLs() {
 		if !slices.Contains(current, url) {
-			c.merger.Forget(url)
+			c.merger.Remove(url)
 		}
 	}
 }
 
-// poll reads each process once, from its cursor on.
+// poll reads each process once, starting at its cursor.
 func (c *Collector) poll(ctx context.Context, urls []string) []Note {
 	var mu sync.Mutex
 	var notes []Note
@@ -110,19 +110,19 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				notes = append(notes, c.merger.Lost(url, err.Error())...)
+				notes = append(notes, c.merger.MarkUnreachable(url, err.Error())...)
 				return nil
 			}
 			notes = append(notes, c.merger.Add(url, head, events)...)
 			return nil
 		})
 	}
-	_ = group.Wait() // No function of the group fails.
+	_ = group.Wait() // The functions of the group always return nil.
 	slices.SortFunc(notes, func(a, b Note) int { return strings.Compare(a.URL, b.URL) })
 	return notes
 }
 
-// read reads one process from a cursor on.
+// read reads the events of one process after a cursor.
 func (c *Collector) read(ctx context.Context, url string, cursor Cursor) (Head, []Event, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -138,22 +138,22 @@
 	if err != nil {
 		return Head{}, nil, errors.Wrap(ErrUnreachable, err.Error())
 	}
-	defer func() { _ = response.Body.Close() }() // Only read from: closing cannot lose anything.
+	defer func() { _ = response.Body.Close() }() // A close error cannot lose data that was read.
 	if response.StatusCode != http.StatusOK {
 		return Head{}, nil, errors.Wrapf(ErrAnswer, "status %d", response.StatusCode)
 	}
 	return decode(response.Body)
 }
 
-// decode reads what a Handler writes. An answer that was cut short is an error as a whole: its cursor would otherwise
-// skip the events that are missing.
+// decode decodes the response of a Handler. A truncated response is an error as a whole: its head would advance the
+// cursor past the missing events.
 func decode(body io.Reader) (Head, []Event, error) {
 	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes+1))
 	if err != nil {
 		return Head{}, nil, errors.Wrap(ErrUnreachable, err.Error())
 	}
 	if len(data) > maxAnswerBytes {
-		return Head{}, nil, errors.Wrap(ErrAnswer, "too large")
+		return Head{}, nil, errors.Wrap(ErrAnswer, "response too large")
 	}
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	var head Head
--- a/internal/timeline/filter.go
+++ b/internal/timeline/filter.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Filter chooses events. An empty list lets all pass; otherwise an event must match one of each list.
+// Filter selects events. An event must match one element of each non-empty list.
 type Filter struct {
 	Requests  []string
 	Models    []string
@@ -13,12 +13,12 @@
 	Kinds     []Kind
 }
 
-// Match reports whether the event passes. A model also matches by its name without version.
+// Match reports whether the filter selects the event. A model name without a version matches all versions.
 func (f Filter) Match(e *Event) bool {
 	if len(f.Requests) > 0 && !slices.Contains(f.Requests, e.Request) {
 		return false
 	}
-	if len(f.Models) > 0 && !slices.ContainsFunc(f.Models, e.isOf) {
+	if len(f.Models) > 0 && !slices.ContainsFunc(f.Models, e.matchesModel) {
 		return false
 	}
 	if len(f.Endpoints) > 0 && !slices.Contains(f.Endpoints, e.Endpoint) {
@@ -27,11 +27,11 @@
 	return len(f.Kinds) == 0 || slices.Contains(f.Kinds, e.Kind)
 }
 
-// versionSeparator stands between a model's name and its version.
+// versionSeparator separates a model's name from its version.
 const versionSeparator = '@'
 
-// isOf reports whether the event concerns the model, given as "name" or "name@version".
-func (e *Event) isOf(model string) bool {
+// matchesModel reports whether the event is about the model, given as "name" or "name@version".
+func (e *Event) matchesModel(model string) bool {
 	if e.Model == model {
 		return true
 	}
@@ -57,8 +57,8 @@
 	return query
 }
 
-// filterFrom reads what Query wrote.
-func filterFrom(query url.Values) Filter {
+// parseFilter parses the query parameters returned by Query.
+func parseFilter(query url.Values) Filter {
 	f := Filter{
 		Requests:  query[paramRequest],
 		Models:    query[paramModel],
--- a/internal/timeline/http.go
+++ b/internal/timeline/http.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// The query parameters of the time line over HTTP; those of Filter may repeat.
+// The query parameters of the timeline over HTTP; those of Filter may be repeated.
 const (
 	paramAfter    = "after"
 	paramStart    = "start"
@@ -16,17 +16,17 @@
 	paramKind     = "kind"
 )
 
-// ContentType is the media type of a time line over HTTP: JSON lines, first a Head and then Events.
+// ContentType is the media type of a timeline over HTTP: JSON lines, a Head followed by Events.
 const ContentType = "application/jsonl"
 
-// Head is the first line of a time line over HTTP. It lets a reader resume and see gaps.
+// Head is the first line of a timeline over HTTP. It allows a reader to resume and to detect gaps.
 type Head struct {
 	Process string `json:"process"`
-	// Start is the clock reading at which the recorder began: with another one, sequences have begun anew.
+	// Start is the clock reading at which the recorder was created. A different value means that sequences restarted.
 	Start uint64 `json:"start"`
-	// Clock is the recorder's clock at the answer; each later event of the process has a greater reading.
+	// Clock is the recorder's clock at the time of the read; every later event of the process has a greater reading.
 	Clock uint64 `json:"clock"`
-	// Oldest and Latest bound the kept sequences; Oldest is Latest+1 when nothing is kept.
+	// Oldest and Latest bound the stored sequences; Oldest is Latest+1 when the ring is empty.
 	Oldest uint64 `json:"oldest"`
 	Latest uint64 `json:"latest"`
 }
@@ -34,8 +34,8 @@
 // Handler serves the events of a recorder.
 type Handler struct{ recorder *Recorder }
 
-// NewHandler returns a handler of GET requests with the parameters after (sequence; 0 for all) and start (the Head.Start
-// to which after belongs; another one makes after void), and the filters request, model, endpoint and kind.
+// NewHandler returns a handler of GET requests with the query parameters after (a sequence; 0 for all events), start (the
+// Head.Start that after belongs to; after is ignored if it differs), and the filters request, model, endpoint and kind.
 func NewHandler(recorder *Recorder) *Handler { return &Handler{recorder: recorder} }
 
 // ServeHTTP implements http.Handler.
@@ -54,10 +54,10 @@
 	head, events := h.recorder.Read(start, after)
 	w.Header().Set("Content-Type", ContentType)
 	w.Header().Set("Cache-Control", "no-store")
-	writeBatch(json.NewEncoder(w), head, events, filterFrom(query))
+	writeBatch(json.NewEncoder(w), head, events, parseFilter(query))
 }
 
-// writeBatch writes the lines of one answer; it stops at the first error, which means that the reader went away.
+// writeBatch writes the lines of one response. It stops at the first error, which means that the client disconnected.
 func writeBatch(encoder *json.Encoder, head Head, events []Event, filter Filter) {
 	if encoder.Encode(head) != nil {
 		return
--- a/internal/timeline/kinds.go
+++ b/internal/timeline/kinds.go
@@ -6,19 +6,19 @@
 	// RequestOffered is an attempt at one endpoint.
 	RequestOffered  Kind = "request.offered"
 	RequestAccepted Kind = "request.accepted"
-	// RequestRefused ends a request or an attempt as not run.
+	// RequestRefused ends a request or an attempt that was not executed.
 	RequestRefused Kind = "request.refused"
-	// RequestReady says that a request of two steps waits for its commit.
+	// RequestReady means that a two-step request is waiting for its commit.
 	RequestReady     Kind = "request.ready"
 	RequestCommitted Kind = "request.committed"
 	RequestStarted   Kind = "request.started"
-	// RequestHead is the head of the endpoint's answer.
+	// RequestHead means that the header of the endpoint's response has arrived.
 	RequestHead      Kind = "request.head"
 	RequestCompleted Kind = "request.completed"
-	// RequestFailed ends a request that was begun; its detail says whether the outcome is unknown.
+	// RequestFailed ends a request whose execution had started; its detail states whether the outcome is unknown.
 	RequestFailed  Kind = "request.failed"
 	RequestRetried Kind = "request.retried"
-	// RequestCancelled says that the caller went away.
+	// RequestCancelled means that the caller disconnected.
 	RequestCancelled Kind = "request.cancelled"
 	ClaimTaken       Kind = "claim.taken"
 	ClaimRefused     Kind = "claim.refused"
@@ -42,7 +42,7 @@
 	PermitDenied  Kind = "permit.denied"
 	EngineRead    Kind = "engine.read"
 	EngineLost    Kind = "engine.lost"
-	// EngineRestarted says that the engine came back and holds nothing.
+	// EngineRestarted means that the engine restarted and has no models loaded.
 	EngineRestarted Kind = "engine.restarted"
 )
 
@@ -52,7 +52,7 @@
 	SlotReleasing Kind = "slot.releasing"
 	SlotRemoved   Kind = "slot.removed"
 	SlotWanted    Kind = "slot.wanted"
-	// GrantConflict says that another process changed the row first.
+	// GrantConflict means that another process changed the row first.
 	GrantConflict Kind = "grant.conflict"
 )
 
--- a/internal/timeline/logs.go
+++ b/internal/timeline/logs.go
@@ -13,28 +13,28 @@
 	"github.com/pkg/errors"
 )
 
-// ErrLogs says that logs could not be read.
-var ErrLogs = errors.New("timeline: logs not read")
+// ErrLogs reports that logs could not be read.
+var ErrLogs = errors.New("timeline: reading logs failed")
 
-// maxLineBytes bounds one line of a log.
+// maxLineBytes bounds one log line.
 const maxLineBytes = 1 << 20
 
-// LogLines are the events of processes' logs.
+// LogLines holds the events parsed from the logs of processes.
 type LogLines struct {
 	Events []Event
-	// Strange counts the lines that are no event: other programs' output, or a line that was cut.
-	Strange int
-	// Missing counts the lines that processes say they left out.
-	Missing int
+	// Malformed counts the lines that are not events, such as the output of other programs or a truncated line.
+	Malformed int
+	// Dropped counts the lines that processes reported as dropped.
+	Dropped int
 
-	perProcess map[string]uint64
+	sequences map[string]uint64
 }
 
-// Read adds the lines of one log, or of several that were put together. What stands before a line's first brace, as a
-// collector of logs may put it, is passed over.
+// Read adds the lines of one log or of several concatenated ones. Text before the first brace of a line, such as a prefix
+// added by a log collector, is ignored.
 func (l *LogLines) Read(r io.Reader) error {
-	if l.perProcess == nil {
-		l.perProcess = make(map[string]uint64)
+	if l.sequences == nil {
+		l.sequences = make(map[string]uint64)
 	}
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
@@ -45,29 +45,29 @@
 		}
 		event, err := parseLine(line)
 		if err != nil {
-			l.Strange++
+			l.Malformed++
 			continue
 		}
-		l.perProcess[event.Process]++
-		event.Sequence = l.perProcess[event.Process]
+		l.sequences[event.Process]++
+		event.Sequence = l.sequences[event.Process]
 		if event.Kind == logDropped || event.Kind == logReduced {
 			n, _ := strconv.Atoi(event.Fields["lines"])
-			l.Missing += n
+			l.Dropped += n
 		}
 		l.Events = append(l.Events, event)
 	}
 	return errors.Wrap(scanner.Err(), ErrLogs.Error())
 }
 
-// The events with which a process says that lines are missing.
+// The events that report dropped log lines.
 const (
 	logDropped Kind = "log_dropped"
 	logReduced Kind = "log_reduced"
 )
 
-// The fields of a line that have a place of their own in an event. A command names its engine and the model that it loads
-// otherwise than an order does.
-var placed = map[string]func(e *Event, value string){
+// fieldSetters handles the log fields that map to a field of Event or are ignored. Placement lines use the names engine
+// and load where order lines use endpoint and model.
+var fieldSetters = map[string]func(e *Event, value string){
 	"process":  func(e *Event, v string) { e.Process = v },
 	"event":    func(e *Event, v string) { e.Kind = Kind(v) },
 	"request":  func(e *Event, v string) { e.Request = v },
@@ -79,21 +79,21 @@
 	"level":    func(*Event, string) {},
 }
 
-var errNoEvent = errors.New("no event")
+var errNotAnEvent = errors.New("not an event")
 
 func parseLine(line []byte) (Event, error) {
-	begin := bytes.IndexByte(line, '{')
-	if begin < 0 {
-		return Event{}, errNoEvent
+	start := bytes.IndexByte(line, '{')
+	if start < 0 {
+		return Event{}, errNotAnEvent
 	}
-	decoder := json.NewDecoder(bytes.NewReader(line[begin:]))
+	decoder := json.NewDecoder(bytes.NewReader(line[start:]))
 	decoder.UseNumber()
 	var fields map[string]any
 	if err := decoder.Decode(&fields); err != nil {
 		return Event{}, err
 	}
 	if fields["event"] == nil {
-		return Event{}, errNoEvent
+		return Event{}, errNotAnEvent
 	}
 	event := Event{Fields: make(map[string]string)}
 	if text, ok := fields["time"].(string); ok {
@@ -101,13 +101,13 @@
 		if err != nil {
 			return Event{}, err
 		}
-		event.Clock = reading(at)
+		event.Clock = readingAt(at)
 		delete(fields, "time")
 	}
 	for name, value := range fields {
-		text := plainText(name, value)
-		if place := placed[name]; place != nil {
-			place(&event, text)
+		text := formatValue(name, value)
+		if set := fieldSetters[name]; set != nil {
+			set(&event, text)
 		} else if text != "" {
 			event.Fields[name] = text
 		}
@@ -115,17 +115,17 @@
 	return event, nil
 }
 
-// durations are the fields that hold a time in nanoseconds; they are shown as people write times.
-var durations = []string{"first_event", "longest_gap", "waited", "took", "retry_after", "left", "oldest_wait"}
+// durationFields lists the fields that hold nanoseconds; they are formatted as durations.
+var durationFields = []string{"first_event", "longest_gap", "waited", "took", "retry_after", "left", "oldest_wait"}
 
-func plainText(name string, value any) string {
+func formatValue(name string, value any) string {
 	switch v := value.(type) {
 	case nil:
 		return ""
 	case string:
 		return v
 	case json.Number:
-		if n, err := v.Int64(); err == nil && slices.Contains(durations, name) {
+		if n, err := v.Int64(); err == nil && slices.Contains(durationFields, name) {
 			if n == 0 {
 				return ""
 			}
@@ -140,14 +140,14 @@
 	return string(text)
 }
 
-// aboutEngines are the kinds of events that explain what an engine, or a model's place, went through.
-var aboutEngines = []Kind{"placement", "order", "engine_lost", "engine_back", "endpoint_added", "endpoint_gone", "link_lost"}
+// engineKinds are the kinds of events that affect an engine or a model's replicas.
+var engineKinds = []Kind{"placement", "order", "engine_lost", "engine_back", "endpoint_added", "endpoint_gone", "link_lost"}
 
-// aboutAll are those that concern all requests of a process.
-var aboutAll = []Kind{"config", "store_lost", "store_back", "coordinator", "started", "stopping", "stopped", logDropped, logReduced}
+// processKinds are the kinds of events that affect all requests of a process.
+var processKinds = []Kind{"config", "store_lost", "store_back", "coordinator", "started", "stopping", "stopped", logDropped, logReduced}
 
-// Causes returns the events that may explain how a request ended: its own, and those of a span before it on its model, on the
-// engines that it was sent to, and on the process that answered it.
+// Causes returns the events that may explain the outcome of a request: its own events, and those from span before it until
+// its end that affect its model, the engines it was sent to, or the processes that handled it.
 func (l *LogLines) Causes(request string, span time.Duration) []Event {
 	var own []Event
 	for _, e := range l.Events {
@@ -169,29 +169,29 @@
 	causes := slices.Clone(own)
 	for _, e := range l.Events {
 		at := WallTime(e.Clock)
-		if e.Request == "" && !at.Before(first) && !at.After(last) && concerns(own, &e) {
+		if e.Request == "" && !at.Before(first) && !at.After(last) && isRelated(own, &e) {
 			causes = append(causes, e)
 		}
 	}
 	return causes
 }
 
-// concerns reports whether an event is on the model, an engine or the process of a request's own events.
-func concerns(own []Event, e *Event) bool {
+// isRelated reports whether an event affects a model, an engine or a process of a request's own events.
+func isRelated(own []Event, e *Event) bool {
 	return slices.ContainsFunc(own, func(o Event) bool {
 		switch {
-		case slices.Contains(aboutEngines, e.Kind):
-			return o.Model != "" && (e.Model == o.Model || slices.Contains(namesIn(e.Fields["unload"]), o.Model)) ||
+		case slices.Contains(engineKinds, e.Kind):
+			return o.Model != "" && (e.Model == o.Model || slices.Contains(parseNames(e.Fields["unload"]), o.Model)) ||
 				o.Endpoint != "" && e.Endpoint == o.Endpoint
-		case slices.Contains(aboutAll, e.Kind):
+		case slices.Contains(processKinds, e.Kind):
 			return e.Process == o.Process
 		}
 		return false
 	})
 }
 
-// namesIn reads a list of names in a field.
-func namesIn(field string) []string {
+// parseNames parses a JSON list of names; it returns nil if the field is not one.
+func parseNames(field string) []string {
 	var list []string
 	if err := json.Unmarshal([]byte(field), &list); err != nil {
 		return nil
@@ -199,23 +199,23 @@
 	return list
 }
 
-// Matching returns the events that a filter lets pass.
+// Matching returns the events that a filter selects.
 func (l *LogLines) Matching(f Filter) []Event {
 	return slices.DeleteFunc(slices.Clone(l.Events), func(e Event) bool { return !f.Match(&e) })
 }
 
-// Collection puts events into one order for a Printer.
+// Collection sorts events for a Printer and adds notes about malformed and dropped lines.
 func (l *LogLines) Collection(events []Event) Collection {
 	slices.SortStableFunc(events, Compare)
 	c := Collection{}
 	for _, e := range events {
-		c.Events = append(c.Events, Released{Event: e})
+		c.Events = append(c.Events, MergedEvent{Event: e})
 	}
-	if l.Strange > 0 {
-		c.Notes = append(c.Notes, Note{Kind: NoteStrangeLines, Process: "logs", Dropped: uint64(l.Strange)})
+	if l.Malformed > 0 {
+		c.Notes = append(c.Notes, Note{Kind: NoteMalformedLines, Process: "logs", Dropped: uint64(l.Malformed)})
 	}
-	if l.Missing > 0 {
-		c.Notes = append(c.Notes, Note{Kind: NoteLeftOut, Process: "logs", Dropped: uint64(l.Missing)})
+	if l.Dropped > 0 {
+		c.Notes = append(c.Notes, Note{Kind: NoteDroppedLines, Process: "logs", Dropped: uint64(l.Dropped)})
 	}
 	return c
 }
--- a/internal/timeline/logs_test.go
+++ b/internal/timeline/logs_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// The lines of two gateways and an agent, put together in the wrong order as files are, with a collector's text before one line
-// and a line that was cut.
-const someLogs = `
+// sampleLogs holds the logs of two gateways and two agents, concatenated out of order, with a log collector's prefix on one
+// line and a truncated last line.
+const sampleLogs = `
 {"time":"2026-05-01T10:00:04.2Z","level":"INFO","msg":"request ended","process":"gateway-1","event":"ended","request":"late","model":"m1","endpoint":"e1","outcome":"answered","status":200,"waited":3100000000,"took":3200000000,"longest_gap":0}
 {"time":"2026-05-01T10:00:04.1Z","level":"INFO","msg":"request ended","process":"gateway-1","event":"ended","request":"other","model":"m2","endpoint":"e2","outcome":"answered","status":200,"took":10000000}
 {"time":"2026-05-01T10:00:01.0Z","level":"INFO","msg":"configuration in force","process":"gateway-1","event":"config","version":7}
@@ -20,15 +20,15 @@
 {"time":"2026-05-01T10:00:03.0Z","level":"WARN","msg":"lines on requ
 `
 
-// Story: an inspector complains that a narration was late, and names the request. On call one wants to see in one list why: the
-// request's own line, what was loaded for its model and where, and nothing of other requests and engines.
+// Given the identifier of a slow request, Causes must list its own events and the placements and orders for its model, and
+// no events of other requests and engines.
 func TestCausesOfARequest(t *testing.T) {
 	var logs LogLines
-	if err := logs.Read(strings.NewReader(someLogs)); err != nil {
+	if err := logs.Read(strings.NewReader(sampleLogs)); err != nil {
 		t.Fatal(err)
 	}
-	if logs.Strange != 1 || logs.Missing != 12 {
-		t.Errorf("%d strange lines and %d missing ones, want 1 and 12", logs.Strange, logs.Missing)
+	if logs.Malformed != 1 || logs.Dropped != 12 {
+		t.Errorf("%d malformed and %d dropped lines, want 1 and 12", logs.Malformed, logs.Dropped)
 	}
 	var out strings.Builder
 	if err := NewPrinter(&out, FormatText).Print(logs.Collection(logs.Causes("late", 10*time.Second))); err != nil {
@@ -48,13 +48,13 @@
 	}
 	for _, text := range []string{"other", "m4", "m3 endpoint=e1 unload=[\"m1\"]"} {
 		if strings.Contains(out.String(), text) {
-			t.Errorf("%q does not concern the request:\n%s", text, out.String())
+			t.Errorf("unrelated event %q is listed:\n%s", text, out.String())
 		}
 	}
 	if events := logs.Matching(Filter{Models: []string{"m1"}}); len(events) != 2 {
-		t.Errorf("%d events on m1, want 2: %v", len(events), events)
+		t.Errorf("%d events of model m1, want 2: %v", len(events), events)
 	}
-	if events := logs.Causes("nobody's", time.Second); events != nil {
-		t.Errorf("events on a request that is in no log: %v", events)
+	if events := logs.Causes("unlogged", time.Second); events != nil {
+		t.Errorf("events of a request that is in no log: %v", events)
 	}
 }
--- a/internal/timeline/merge_test.go
+++ b/internal/timeline/merge_test.go
@@ -12,15 +12,15 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// exchange is a random run of processes that record events and send each other messages, with clocks that are apart.
-type exchange struct {
+// simulation is a random run of processes with skewed clocks that record events and send messages to each other.
+type simulation struct {
 	random    *rand.Rand
 	wall      time.Time
 	skews     []time.Duration
 	recorders []*Recorder
-	// inTransit holds messages that were sent and not yet received.
+	// inTransit holds messages that have been sent but not received.
 	inTransit []message
-	// causes lists pairs of events, the first of which is a direct cause of the second.
+	// causes lists the pairs of events with a direct causal relation.
 	causes []causePair
 }
 
@@ -38,23 +38,23 @@
 }
 
 const (
-	exchangeSteps = 200
-	exchangeSkew  = 20 * time.Second
+	simulationSteps = 200
+	maxSkew         = 20 * time.Second
 )
 
-func newExchange(seed int64, processes int) *exchange {
-	x := &exchange{random: rand.New(rand.NewSource(seed)), wall: time.Unix(1_700_000_000, 0)}
+func newSimulation(seed int64, processes int) *simulation {
+	x := &simulation{random: rand.New(rand.NewSource(seed)), wall: time.Unix(1_700_000_000, 0)}
 	for i := range processes {
-		skew := time.Duration(x.random.Int63n(int64(exchangeSkew)))
+		skew := time.Duration(x.random.Int63n(int64(maxSkew)))
 		x.skews = append(x.skews, skew)
 		clock := NewHybridClock(func() time.Time { return x.wall.Add(skew) })
-		x.recorders = append(x.recorders, NewRecorder(fmt.Sprintf("p%d", i), exchangeSteps, clock))
+		x.recorders = append(x.recorders, NewRecorder(fmt.Sprintf("p%d", i), simulationSteps, clock))
 	}
 	return x
 }
 
-// step lets a random process record an event, and perhaps send or receive a message.
-func (x *exchange) step() {
+// step makes a random process send a message or receive one in transit, and records the event.
+func (x *simulation) step() {
 	x.wall = x.wall.Add(time.Duration(x.random.Int63n(int64(3 * time.Millisecond))))
 	if n := len(x.inTransit); n > 0 && x.random.Intn(2) == 0 {
 		i := x.random.Intn(n)
@@ -70,8 +70,8 @@
 	x.inTransit = append(x.inTransit, message{to, x.recorders[from].Clock().Now(), sent})
 }
 
-// record records an event, of which the one before in the same process is a cause.
-func (x *exchange) record(process int, kind Kind) eventID {
+// record records an event; the previous event of the same process is a cause of it.
+func (x *simulation) record(process int, kind Kind) eventID {
 	r := x.recorders[process]
 	r.Record(Event{Kind: kind})
 	head, _ := r.Read(r.start, 0)
@@ -82,42 +82,41 @@
 	return id
 }
 
-// misplaced returns a pair whose effect does not come after its cause in the merged order.
-func (x *exchange) misplaced(merged []Event) (causePair, bool) {
-	place := map[eventID]int{}
+// findViolation returns a pair whose effect does not follow its cause in the merged order.
+func (x *simulation) findViolation(merged []Event) (causePair, bool) {
+	position := map[eventID]int{}
 	for i, e := range merged {
-		place[eventID{e.Process, e.Sequence}] = i + 1
+		position[eventID{e.Process, e.Sequence}] = i + 1
 	}
 	for _, pair := range x.causes {
-		if place[pair.cause] == 0 || place[pair.effect] <= place[pair.cause] {
+		if position[pair.cause] == 0 || position[pair.effect] <= position[pair.cause] {
 			return pair, true
 		}
 	}
 	return causePair{}, false
 }
 
-func seeded() *gopter.TestParameters {
+func testParameters() *gopter.TestParameters {
 	parameters := gopter.DefaultTestParameters()
 	parameters.Rng.Seed(1)
 	return parameters
 }
 
-// An operator asks why a request failed, and the time line shows its end at the entry before its cause at the agent,
-// because the agent's host has its clock some seconds ahead. The merged order must put each cause first, whatever the
-// clocks say.
+// If an agent's host clock is ahead, sorting by wall-clock time would show a failure at the entry before its cause at the
+// agent. The merged order must put each cause before its effects despite clock skew.
 func TestMergePutsCausesFirst(t *testing.T) {
-	properties := gopter.NewProperties(seeded())
+	properties := gopter.NewProperties(testParameters())
 	properties.Property("merge is a linear extension of cause and effect", prop.ForAll(
 		func(seed int64, processes int) string {
-			x := newExchange(seed, processes)
-			for range exchangeSteps {
+			x := newSimulation(seed, processes)
+			for range simulationSteps {
 				x.step()
 			}
 			var batches [][]Event
 			for _, r := range x.recorders {
 				batches = append(batches, r.Since(0))
 			}
-			if pair, wrong := x.misplaced(Merge(batches...)); wrong {
+			if pair, wrong := x.findViolation(Merge(batches...)); wrong {
 				return fmt.Sprintf("%+v", pair)
 			}
 			return ""
@@ -127,19 +126,19 @@
 	properties.TestingRun(t)
 }
 
-// Following a live system, processes are read one after the other while they go on recording. What has been given out
-// cannot be taken back, so nothing may be given out while an earlier event can still come.
+// While following a live system, processes are read one after the other as they keep recording. A released event cannot be
+// retracted, so none may be released while an earlier one can still arrive.
 func TestFollowedOrderPutsCausesFirst(t *testing.T) {
-	properties := gopter.NewProperties(seeded())
-	properties.Property("released order is a linear extension, complete and without repeats", prop.ForAll(
+	properties := gopter.NewProperties(testParameters())
+	properties.Property("released order is a linear extension, complete and without duplicates", prop.ForAll(
 		func(seed int64, processes int) string {
-			x := newExchange(seed, processes)
+			x := newSimulation(seed, processes)
 			merger := NewMerger()
 			var released []Event
-			take := func(events []Released) string {
+			take := func(events []MergedEvent) string {
 				for _, e := range events {
-					if e.Late {
-						return fmt.Sprintf("late: %+v", e)
+					if e.OutOfOrder {
+						return fmt.Sprintf("out of order: %+v", e)
 					}
 					released = append(released, e.Event)
 				}
@@ -149,23 +148,23 @@
 			for i := range x.recorders {
 				poll(i)
 			}
-			for range exchangeSteps {
+			for range simulationSteps {
 				x.step()
 				poll(x.random.Intn(len(x.recorders)))
-				if wrong := take(merger.Take()); wrong != "" {
+				if wrong := take(merger.Ready()); wrong != "" {
 					return wrong
 				}
 			}
 			for i := range x.recorders {
 				poll(i)
 			}
-			if wrong := take(merger.Rest()); wrong != "" {
+			if wrong := take(merger.Flush()); wrong != "" {
 				return wrong
 			}
-			if len(released) != exchangeSteps {
-				return fmt.Sprintf("%d events of %d", len(released), exchangeSteps)
+			if len(released) != simulationSteps {
+				return fmt.Sprintf("%d events of %d", len(released), simulationSteps)
 			}
-			if pair, wrong := x.misplaced(released); wrong {
+			if pair, wrong := x.findViolation(released); wrong {
 				return fmt.Sprintf("%+v", pair)
 			}
 			return ""
@@ -185,17 +184,17 @@
 func TestNotesTellWhatIsMissing(t *testing.T) {
 	clock := func() *HybridClock { return NewHybridClock(func() time.Time { return time.Unix(1_700_000_000, 0) }) }
 	cases := []struct {
-		name  string
-		after func(m *Merger, r *Recorder) []Note
-		want  []Note
+		name string
+		act  func(m *Merger, r *Recorder) []Note
+		want []Note
 	}{
 		{
-			name:  "nothing",
-			after: func(m *Merger, r *Recorder) []Note { return pollInto(m, r) },
+			name: "nothing",
+			act:  func(m *Merger, r *Recorder) []Note { return pollInto(m, r) },
 		},
 		{
-			name: "the ring overran",
-			after: func(m *Merger, r *Recorder) []Note {
+			name: "events were evicted",
+			act: func(m *Merger, r *Recorder) []Note {
 				for range 7 {
 					r.Record(Event{Kind: "x"})
 				}
@@ -205,7 +204,7 @@
 		},
 		{
 			name: "the process restarted",
-			after: func(m *Merger, r *Recorder) []Note {
+			act: func(m *Merger, r *Recorder) []Note {
 				r.Clock().Now()
 				again := NewRecorder("p", 4, r.Clock())
 				again.Record(Event{Kind: "x"})
@@ -214,24 +213,24 @@
 			want: []Note{{Kind: NoteRestarted, URL: "p", Process: "p"}},
 		},
 		{
-			name:  "the process does not answer",
-			after: func(m *Merger, _ *Recorder) []Note { return m.Lost("p", "refused") },
-			want:  []Note{{Kind: NoteLost, URL: "p", Process: "p", Detail: "refused"}},
+			name: "the process becomes unreachable",
+			act:  func(m *Merger, _ *Recorder) []Note { return m.MarkUnreachable("p", "refused") },
+			want: []Note{{Kind: NoteUnreachable, URL: "p", Process: "p", Detail: "refused"}},
 		},
 		{
-			name: "it goes on not answering",
-			after: func(m *Merger, _ *Recorder) []Note {
-				m.Lost("p", "refused")
-				return m.Lost("p", "refused")
+			name: "the process stays unreachable",
+			act: func(m *Merger, _ *Recorder) []Note {
+				m.MarkUnreachable("p", "refused")
+				return m.MarkUnreachable("p", "refused")
 			},
 		},
 		{
-			name: "it answers again",
-			after: func(m *Merger, r *Recorder) []Note {
-				m.Lost("p", "refused")
+			name: "the process recovers",
+			act: func(m *Merger, r *Recorder) []Note {
+				m.MarkUnreachable("p", "refused")
 				return pollInto(m, r)
 			},
-			want: []Note{{Kind: NoteBack, URL: "p", Process: "p"}},
+			want: []Note{{Kind: NoteRecovered, URL: "p", Process: "p"}},
 		},
 	}
 	for _, c := range cases {
@@ -240,15 +239,15 @@
 			m := NewMerger()
 			r.Record(Event{Kind: "first"})
 			pollInto(m, r)
-			if got := c.after(m, r); !slices.Equal(got, c.want) {
+			if got := c.act(m, r); !slices.Equal(got, c.want) {
 				t.Fatalf("notes %+v, want %+v", got, c.want)
 			}
 		})
 	}
 }
 
-// A process restarts and has recorded as many events as its predecessor by the next read. Its sequences look as if they
-// had been read already; the start of its recorder tells that they were not.
+// A restarted process has recorded as many events as its predecessor by the next read, so its sequences look as if they
+// had been read already. The changed start of its recorder must cause it to be read from the beginning.
 func TestRestartedProcessIsReadFromItsBeginning(t *testing.T) {
 	clock := fixedClock()
 	m := NewMerger()
@@ -258,13 +257,13 @@
 	after := NewRecorder("p", 4, clock)
 	after.Record(Event{Kind: "after"})
 	pollInto(m, after)
-	if got := m.Rest(); len(got) != 2 || got[1].Kind != "after" {
+	if got := m.Flush(); len(got) != 2 || got[1].Kind != "after" {
 		t.Fatalf("got %+v, want the events before and after", got)
 	}
 }
 
-// One process is cut off while others go on; it comes back with events from the meantime. They must be shown, and shown
-// as late, and must not have held the others up.
+// One process is unreachable for a while and then returns events recorded in the meantime. It must not hold back the
+// events of the others, and its own must be returned and marked as out of order.
 func TestLostProcessIsNotWaitedFor(t *testing.T) {
 	wall := time.Unix(1_700_000_000, 0)
 	now := func() time.Time { return wall }
@@ -274,20 +273,20 @@
 	pollInto(m, a)
 	pollInto(m, b)
 	wall = wall.Add(time.Second)
-	b.Record(Event{Kind: "while cut off"})
+	b.Record(Event{Kind: "during outage"})
 	wall = wall.Add(time.Second)
-	a.Record(Event{Kind: "goes on"})
+	a.Record(Event{Kind: "reachable"})
 	pollInto(m, a)
-	if got := m.Take(); len(got) != 0 {
-		t.Fatalf("%+v was given out while b may have earlier events", got)
+	if got := m.Ready(); len(got) != 0 {
+		t.Fatalf("%+v was released while b may have earlier events", got)
 	}
-	m.Lost("b", "cut")
-	if got := m.Take(); len(got) != 1 || got[0].Kind != "goes on" || got[0].Late {
+	m.MarkUnreachable("b", "disconnected")
+	if got := m.Ready(); len(got) != 1 || got[0].Kind != "reachable" || got[0].OutOfOrder {
 		t.Fatalf("got %+v, want the event of a", got)
 	}
 	pollInto(m, b)
 	pollInto(m, a)
-	if got := m.Take(); len(got) != 1 || got[0].Kind != "while cut off" || !got[0].Late {
-		t.Fatalf("got %+v, want the event of b marked late", got)
+	if got := m.Ready(); len(got) != 1 || got[0].Kind != "during outage" || !got[0].OutOfOrder {
+		t.Fatalf("got %+v, want the event of b marked out of order", got)
 	}
 }
--- a/internal/timeline/metrics.go
+++ b/internal/timeline/metrics.go
@@ -5,10 +5,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// ErrMetrics says that the metrics could not be registered.
-var ErrMetrics = errors.New("timeline: metrics not registered")
+// ErrMetrics reports that the metrics could not be registered.
+var ErrMetrics = errors.New("timeline: registering metrics failed")
 
-// Register registers the recorder's metrics. It fails with ErrMetrics.
+// Register registers the recorder's metrics. Its errors wrap ErrMetrics.
 func (r *Recorder) Register(registerer prometheus.Registerer) error {
 	for _, collector := range r.collectors() {
 		if err := registerer.Register(collector); err != nil {
@@ -44,7 +44,7 @@
 	}, read)
 }
 
-// bounds returns the sequences of the oldest and the latest kept event.
+// bounds returns the sequences of the oldest and the latest stored event.
 func (r *Recorder) bounds() (uint64, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/timeline/print.go
+++ b/internal/timeline/print.go
@@ -14,26 +14,26 @@
 	"github.com/pkg/errors"
 )
 
-// ErrOutput says that a time line could not be written.
-var ErrOutput = errors.New("timeline: output not written")
+// ErrOutput reports that a timeline could not be written.
+var ErrOutput = errors.New("timeline: writing output failed")
 
-// The widths of the text columns; longer names push the rest of their line.
+// The minimum widths of the text columns; longer values shift the rest of their line.
 const (
 	timeWidth    = 10
 	processWidth = 14
 	kindWidth    = 20
 )
 
-// Format is how a Printer writes.
+// Format is the output format of a Printer.
 type Format string
 
-// The formats of a Printer.
+// Output formats of a Printer.
 const (
 	FormatText Format = "text"
 	FormatJSON Format = "json"
 )
 
-// Printer writes merged events for people, with times from the first event on, or as JSON lines.
+// Printer writes merged events as JSON lines or as text with times relative to the first event.
 type Printer struct {
 	w       io.Writer
 	format  Format
@@ -46,7 +46,7 @@
 	return &Printer{w: w, format: format, encoder: json.NewEncoder(w)}
 }
 
-// Print writes the notes and events of a collection. It fails with ErrOutput.
+// Print writes the notes and events of a collection. Its errors wrap ErrOutput.
 func (p *Printer) Print(c Collection) error {
 	for _, note := range c.Notes {
 		if err := p.note(note); err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (p *Printer) event(e *Released) error {
+func (p *Printer) event(e *MergedEvent) error {
 	if p.format == FormatJSON {
 		return p.encoder.Encode(e)
 	}
@@ -78,12 +78,12 @@
 	return err
 }
 
-// details writes what an event holds beside its time, process and kind.
-func details(e *Released) string {
+// details formats everything in an event except its time, process and kind.
+func details(e *MergedEvent) string {
 	var parts []string
 	add := func(name, value string) {
 		if value != "" {
-			parts = append(parts, name+"="+quoted(value))
+			parts = append(parts, name+"="+quoteIfNeeded(value))
 		}
 	}
 	add("request", e.Request)
@@ -93,27 +93,27 @@
 		add(name, e.Fields[name])
 	}
 	if e.Detail != "" {
-		parts = append(parts, printable(e.Detail))
+		parts = append(parts, quoteUnprintable(e.Detail))
 	}
-	if e.Late {
+	if e.OutOfOrder {
 		parts = append(parts, "(late)")
 	}
 	return strings.Join(parts, " ")
 }
 
-// quoted quotes a value that would not read as one word.
-func quoted(value string) string {
+// quoteIfNeeded quotes a value that contains white space, quotes or unprintable characters.
+func quoteIfNeeded(value string) string {
 	if strings.ContainsFunc(value, func(r rune) bool { return unicode.IsSpace(r) || r == '"' }) {
 		return strconv.Quote(value)
 	}
-	return printable(value)
+	return quoteUnprintable(value)
 }
 
-// printable quotes text with control characters.
+// quoteUnprintable quotes text that contains unprintable characters.
 //
-// It guards the operator's terminal: a caller chooses parts of some texts (a path, a model's name) and could otherwise
-// write lines or escape sequences into the output.
-func printable(text string) string {
+// Callers control parts of some texts, such as a path or a model name, and could otherwise inject lines or terminal
+// escape sequences into the operator's output.
+func quoteUnprintable(text string) string {
 	if strings.ContainsFunc(text, func(r rune) bool { return !unicode.IsPrint(r) }) {
 		return strconv.Quote(text)
 	}
@@ -128,7 +128,7 @@
 	return err
 }
 
-// String says in words what the note means.
+// String returns a description of the note for operators.
 func (n Note) String() string {
 	name := n.Process
 	if name == "" {
@@ -139,13 +139,13 @@
 		return fmt.Sprintf("%s: %d events were dropped before they were read", name, n.Dropped)
 	case NoteRestarted:
 		return name + ": restarted; its last events before are not known"
-	case NoteLost:
-		return fmt.Sprintf("%s (%s) does not answer: its events are missing: %s", name, n.URL, printable(n.Detail))
-	case NoteBack:
+	case NoteUnreachable:
+		return fmt.Sprintf("%s (%s) does not answer: its events are missing: %s", name, n.URL, quoteUnprintable(n.Detail))
+	case NoteRecovered:
 		return name + ": answers again; its events since may be marked late"
-	case NoteStrangeLines:
+	case NoteMalformedLines:
 		return fmt.Sprintf("%s: %d lines are no events", name, n.Dropped)
-	case NoteLeftOut:
+	case NoteDroppedLines:
 		return fmt.Sprintf("%s: %d lines were left out by their processes", name, n.Dropped)
 	default:
 		return fmt.Sprintf("%s: %s", name, n.Kind)
--- a/internal/timeline/recorder.go
+++ b/internal/timeline/recorder.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// DefaultEventBytes is the memory that NewRecorder allows for each kept event, on average.
+// DefaultEventBytes is the average memory that NewRecorder allows for each stored event.
 const DefaultEventBytes = 512
 
-// Recorder keeps the latest events of a process in a ring that is bounded by count and by memory.
+// Recorder keeps the latest events of a process in a ring buffer bounded by count and memory.
 type Recorder struct {
 	process  string
 	clock    *HybridClock
@@ -14,17 +14,17 @@
 
 	mu   sync.Mutex
 	ring []Event
-	// oldest and latest are the sequences of the first and last kept event; oldest is latest+1 when none is kept.
+	// oldest and latest are the sequences of the first and last stored event; oldest is latest+1 when the ring is empty.
 	oldest, latest uint64
 	bytes          int
 }
 
-// NewRecorder returns a recorder that keeps the latest size events of the named process, or fewer when they take more
-// than size times DefaultEventBytes of memory.
+// NewRecorder returns a recorder that keeps the latest size events of the named process, or fewer if they need more than
+// size*DefaultEventBytes of memory.
 func NewRecorder(process string, size int, clock *HybridClock) *Recorder {
 	size = max(size, 1)
 	return &Recorder{
-		process:  cut(process, MaxNameBytes),
+		process:  truncate(process, MaxNameBytes),
 		clock:    clock,
 		start:    clock.Now(),
 		maxBytes: max(size*DefaultEventBytes, MaxEventBytes),
@@ -33,23 +33,24 @@
 	}
 }
 
-// Clock returns the recorder's hybrid clock, to be read for and fed from messages.
+// Clock returns the recorder's hybrid clock. Senders attach its readings to messages, and receivers pass them to Observe.
 func (r *Recorder) Clock() *HybridClock { return r.clock }
 
 // Process returns the name of the recorder's process.
 func (r *Recorder) Process() string { return r.process }
 
-// Record stamps and keeps an event; the event's Fields must not be changed afterwards. A nil recorder drops it.
+// Record timestamps and stores an event; the event's Fields must not be modified afterwards. On a nil Recorder it does
+// nothing.
 func (r *Recorder) Record(e Event) {
 	if r == nil {
 		return
 	}
 	e.Process = r.process
-	e.bound()
+	e.enforceLimits()
 	size := e.size()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// The clock is read under the lock, so that sequence and clock agree on the order of the process's events.
+	// The clock is read under the lock, so that sequences and clock readings have the same order.
 	e.Clock = r.clock.Now()
 	r.latest++
 	e.Sequence = r.latest
@@ -58,7 +59,7 @@
 	r.bytes += size
 }
 
-// evict makes room for an event with the sequence latest and the given size.
+// evict drops the oldest events to make room for the event with sequence latest and the given size.
 func (r *Recorder) evict(size int) {
 	for r.oldest < r.latest && (r.latest-r.oldest >= uint64(len(r.ring)) || r.bytes+size > r.maxBytes) {
 		dropped := r.slot(r.oldest)
@@ -70,15 +71,15 @@
 
 func (r *Recorder) slot(sequence uint64) *Event { return &r.ring[sequence%uint64(len(r.ring))] }
 
-// Since returns the kept events with a sequence above after, oldest first. When the ring has dropped some of them, the
-// first one's sequence shows the gap.
+// Since returns the stored events with a sequence greater than after, oldest first. If some were evicted, the sequence of
+// the first returned event is greater than after+1.
 func (r *Recorder) Since(after uint64) []Event {
 	_, events := r.Read(r.start, after)
 	return events
 }
 
-// Read returns the kept events with a sequence above after, oldest first, and the recorder's bounds. It takes after for
-// 0 when start is not that of this recorder, since the sequence is then of an earlier one of the same name.
+// Read returns the stored events with a sequence greater than after, oldest first, and the recorder's state. If start is
+// not that of this recorder, after belongs to an earlier process of the same name and is treated as 0.
 func (r *Recorder) Read(start, after uint64) (Head, []Event) {
 	if start != r.start {
 		after = 0
@@ -99,7 +100,7 @@
 	return head, events
 }
 
-// Bytes returns the memory that the kept events take.
+// Bytes returns the estimated memory use of the stored events.
 func (r *Recorder) Bytes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,8 +1,8 @@
-// Package timeline records what happens in each process as events with a hybrid clock, so that the events of all
-// processes merge into one order that agrees with cause and effect.
+// Package timeline records the events of each process with hybrid logical clock timestamps, so that the events of all
+// processes can be merged into one order consistent with causality.
 //
-// A Recorder keeps the latest events of its process within fixed memory, a Handler serves them over HTTP, and Collect
-// and Follower merge those of many processes.
+// A Recorder keeps the latest events of its process in bounded memory, a Handler serves them over HTTP, and a Collector
+// reads and merges the events of many processes.
 package timeline
 
 import (
@@ -14,12 +14,12 @@
 // Kind names what an event records.
 type Kind string
 
-// Event is one entry of the time line.
+// Event is one entry of the timeline.
 type Event struct {
-	// Clock is the hybrid clock reading: milliseconds since the Unix epoch in the upper 48 bits, a counter below.
+	// Clock is the hybrid clock reading: milliseconds since the Unix epoch in the upper 48 bits, a counter in the lower 16.
 	Clock   uint64 `json:"clock"`
 	Process string `json:"process"`
-	// Sequence rises by one with each event of a process.
+	// Sequence increases by one with each event of a process.
 	Sequence uint64            `json:"sequence"`
 	Kind     Kind              `json:"kind"`
 	Request  string            `json:"request,omitempty"`
@@ -29,23 +29,23 @@
 	Fields   map[string]string `json:"fields,omitempty"`
 }
 
-// The bounds of one event; longer text is cut, and fields that do not fit are left out.
+// Size limits of an event; longer text is truncated, and Fields is dropped if the event is still too large.
 const (
 	MaxNameBytes   = 128
 	MaxDetailBytes = 384
-	// MaxEventBytes is the most memory that one kept event takes.
+	// MaxEventBytes bounds the memory used by one stored event.
 	MaxEventBytes = 1536
 )
 
-// Costs in memory of an event and its fields, in bytes.
+// Estimated memory use of an event and its fields, in bytes.
 const (
 	eventBytes    = int(unsafe.Sizeof(Event{}))
 	fieldsBytes   = 48
 	perFieldBytes = 48
 )
 
-// Compare orders events by clock, then process, then sequence. Causes come before their effects, because an effect's
-// clock is greater.
+// Compare orders events by clock, then process, then sequence. A cause sorts before its effect because the effect has a
+// greater clock.
 func Compare(a, b Event) int {
 	return cmp.Or(
 		cmp.Compare(a.Clock, b.Clock),
@@ -54,7 +54,7 @@
 	)
 }
 
-// size returns the memory that the event takes, in bytes. Text that it shares with others counts in full.
+// size returns the estimated memory use of the event, in bytes. Strings shared with other events count in full.
 func (e *Event) size() int {
 	n := eventBytes + len(e.Process) + len(e.Kind) + len(e.Request) + len(e.Model) + len(e.Endpoint) + len(e.Detail)
 	if len(e.Fields) > 0 {
@@ -66,24 +66,24 @@
 	return n
 }
 
-// bound cuts the event down to MaxEventBytes.
+// enforceLimits truncates the event to MaxEventBytes.
 //
-// It guards against a caller's text (a path, an error of a library) that would fill the ring's memory with one event
-// and push out hundreds.
-func (e *Event) bound() {
-	e.Process = cut(e.Process, MaxNameBytes)
-	e.Kind = Kind(cut(string(e.Kind), MaxNameBytes))
-	e.Request = cut(e.Request, MaxNameBytes)
-	e.Model = cut(e.Model, MaxNameBytes)
-	e.Endpoint = cut(e.Endpoint, MaxNameBytes)
-	e.Detail = cut(e.Detail, MaxDetailBytes)
+// Without it a single event with a long text, such as a request path or a library's error message, could use up the
+// ring's memory and evict hundreds of events.
+func (e *Event) enforceLimits() {
+	e.Process = truncate(e.Process, MaxNameBytes)
+	e.Kind = Kind(truncate(string(e.Kind), MaxNameBytes))
+	e.Request = truncate(e.Request, MaxNameBytes)
+	e.Model = truncate(e.Model, MaxNameBytes)
+	e.Endpoint = truncate(e.Endpoint, MaxNameBytes)
+	e.Detail = truncate(e.Detail, MaxDetailBytes)
 	if e.size() > MaxEventBytes {
 		e.Fields = nil
 	}
 }
 
-// cut returns at most n bytes of s, as valid UTF-8 that does not keep the rest of s in memory.
-func cut(s string, n int) string {
+// truncate returns at most n bytes of s as valid UTF-8, copied so that the rest of s can be freed.
+func truncate(s string, n int) string {
 	if len(s) <= n {
 		return s
 	}
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -19,7 +19,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// fixedClock returns a clock that stands at a fixed wall-clock time.
+// fixedClock returns a hybrid clock with a constant wall-clock time.
 func fixedClock() *HybridClock {
 	return NewHybridClock(func() time.Time { return time.Unix(1_700_000_000, 0) })
 }
@@ -32,27 +32,27 @@
 		want     bool
 		wantNow  uint64
 	}{
-		{name: "a reading behind changes nothing", observed: base - 5, want: true, wantNow: base + 1},
-		{name: "a reading ahead is passed", observed: base + 500, want: true, wantNow: base + 501},
-		{name: "a reading of a wrong clock is left", observed: base + 61_000<<counterBits, wantNow: base + 1},
-		{name: "the greatest reading does not wrap", observed: ^uint64(0), wantNow: base + 1},
+		{name: "an earlier reading has no effect", observed: base - 5, want: true, wantNow: base + 1},
+		{name: "a later reading advances the clock", observed: base + 500, want: true, wantNow: base + 501},
+		{name: "a reading beyond MaxDrift is rejected", observed: base + 61_000<<counterBits, wantNow: base + 1},
+		{name: "the maximum reading does not overflow", observed: ^uint64(0), wantNow: base + 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			clock := fixedClock()
 			clock.Now()
 			if got := clock.Observe(c.observed); got != c.want {
-				t.Fatalf("observed %v, want %v", got, c.want)
+				t.Fatalf("Observe returned %v, want %v", got, c.want)
 			}
 			if got := clock.Now(); got != c.wantNow {
-				t.Fatalf("now %d, want %d", got, c.wantNow)
+				t.Fatalf("Now returned %d, want %d", got, c.wantNow)
 			}
 		})
 	}
 }
 
-// A caller sends a path of many kilobytes, or an error text grows without end: the ring must stay within its memory and
-// go on holding more than that one event.
+// Events with very long texts, such as a request path of many kilobytes, must neither exceed the ring's memory limit nor
+// evict all other events.
 func TestRecorderStaysWithinItsMemory(t *testing.T) {
 	const size = 64
 	cases := []struct {
@@ -60,17 +60,17 @@
 		event   Event
 		minKept int
 	}{
-		{name: "small events fill the count", event: Event{Kind: RequestReceived, Request: "r"}, minKept: size},
-		{name: "long text is cut", event: Event{Detail: strings.Repeat("é", 100_000)}, minKept: size / 2},
+		{name: "small events are limited by count", event: Event{Kind: RequestReceived, Request: "r"}, minKept: size},
+		{name: "long detail is truncated", event: Event{Detail: strings.Repeat("é", 100_000)}, minKept: size / 2},
 		{
-			name: "long everything", minKept: size / 4,
+			name: "all texts are long", minKept: size / 4,
 			event: Event{
 				Kind: Kind(strings.Repeat("k", 9000)), Request: strings.Repeat("r", 9000), Model: strings.Repeat("m", 9000),
 				Endpoint: strings.Repeat("e", 9000), Detail: strings.Repeat("d", 9000),
 				Fields: map[string]string{"a": strings.Repeat("f", 9000)},
 			},
 		},
-		{name: "fields are counted", event: Event{Fields: map[string]string{"a": strings.Repeat("f", 900)}}, minKept: size / 3},
+		{name: "fields count towards the size", event: Event{Fields: map[string]string{"a": strings.Repeat("f", 900)}}, minKept: size / 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 			for range 10 * size {
 				r.Record(c.event)
 				if r.Bytes() > size*DefaultEventBytes {
-					t.Fatalf("%d bytes kept, want at most %d", r.Bytes(), size*DefaultEventBytes)
+					t.Fatalf("%d bytes stored, want at most %d", r.Bytes(), size*DefaultEventBytes)
 				}
 			}
 			events := r.Since(0)
@@ -87,10 +87,10 @@
 				sum += events[i].size()
 			}
 			if len(events) < c.minKept || sum != r.Bytes() {
-				t.Fatalf("%d events of %d bytes, counted as %d; want %d events and more", len(events), sum, r.Bytes(), c.minKept)
+				t.Fatalf("%d events of %d bytes, counted as %d bytes; want at least %d events and equal byte counts", len(events), sum, r.Bytes(), c.minKept)
 			}
 			if last := events[len(events)-1]; last.Sequence != 10*size || last.size() > MaxEventBytes {
-				t.Fatalf("the last event is %d of %d bytes", last.Sequence, last.size())
+				t.Fatalf("the last event has sequence %d and %d bytes", last.Sequence, last.size())
 			}
 		})
 	}
@@ -123,7 +123,7 @@
 		}
 	}
 	if err := r.Register(registry); !errors.Is(err, ErrMetrics) {
-		t.Fatalf("registered twice: %v, want ErrMetrics", err)
+		t.Fatalf("second registration: %v, want ErrMetrics", err)
 	}
 }
 
@@ -145,7 +145,7 @@
 		{name: "model with version", filter: Filter{Models: []string{"narrator@2"}}, want: true},
 		{name: "model without version", filter: Filter{Models: []string{"narrator"}}, want: true},
 		{name: "another version", filter: Filter{Models: []string{"narrator@1"}}},
-		{name: "a beginning of the name", filter: Filter{Models: []string{"narr"}}},
+		{name: "a prefix of the name", filter: Filter{Models: []string{"narr"}}},
 		{name: "endpoint and kind", filter: Filter{Endpoints: []string{"e1"}, Kinds: []Kind{LoadOrdered}}, want: true},
 		{name: "endpoint and another kind", filter: Filter{Endpoints: []string{"e1"}, Kinds: []Kind{LoadFailed}}},
 	}
@@ -154,8 +154,8 @@
 			if got := c.filter.Match(&event); got != c.want {
 				t.Fatalf("match %v, want %v", got, c.want)
 			}
-			if got := filterFrom(c.filter.Query()); fmt.Sprint(got) != fmt.Sprint(c.filter) {
-				t.Fatalf("the filter came back as %+v", got)
+			if got := parseFilter(c.filter.Query()); fmt.Sprint(got) != fmt.Sprint(c.filter) {
+				t.Fatalf("the filter was parsed as %+v", got)
 			}
 		})
 	}
@@ -178,19 +178,19 @@
 	entry.Record(Event{Kind: RequestOffered, Request: "r2"})
 	agent.Clock().Observe(entry.Clock().Now())
 	agent.Record(Event{Kind: RequestAccepted, Request: "r1"})
-	gone := httptest.NewServer(nil)
-	gone.Close()
+	stopped := httptest.NewServer(nil)
+	stopped.Close()
 
 	collector := NewCollector(http.DefaultClient, Filter{Requests: []string{"r1"}})
-	got := collector.Collect(t.Context(), []string{serveRecorder(t, agent), gone.URL, serveRecorder(t, entry)})
+	got := collector.Collect(t.Context(), []string{serveRecorder(t, agent), stopped.URL, serveRecorder(t, entry)})
 	if len(got.Events) != 2 || got.Events[0].Kind != RequestOffered || got.Events[1].Kind != RequestAccepted {
 		t.Fatalf("events %+v, want offered and accepted", got.Events)
 	}
 	if got.Events[0].Fields["attempt"] != "1" {
-		t.Fatalf("fields %v did not come over", got.Events[0].Fields)
+		t.Fatalf("got fields %v, want attempt 1", got.Events[0].Fields)
 	}
-	if len(got.Notes) != 1 || got.Notes[0].Kind != NoteLost || got.Notes[0].URL != gone.URL {
-		t.Fatalf("notes %+v, want the one that does not answer", got.Notes)
+	if len(got.Notes) != 1 || got.Notes[0].Kind != NoteUnreachable || got.Notes[0].URL != stopped.URL {
+		t.Fatalf("notes %+v, want one for the stopped process", got.Notes)
 	}
 }
 
@@ -198,7 +198,7 @@
 	r := NewRecorder("entry-1", 10, fixedClock())
 	urls := []string{serveRecorder(t, r)}
 	var seen []uint64
-	enough := errors.New("enough")
+	errStop := errors.New("stop following")
 	collector := NewCollector(http.DefaultClient, Filter{})
 	err := collector.Follow(t.Context(), time.Millisecond,
 		func(context.Context) ([]string, error) { return urls, nil },
@@ -207,18 +207,18 @@
 				seen = append(seen, e.Sequence)
 			}
 			if len(seen) == 3 {
-				return enough
+				return errStop
 			}
 			r.Record(Event{Kind: "x"})
 			return nil
 		})
-	if !errors.Is(err, enough) || fmt.Sprint(seen) != "[1 2 3]" {
-		t.Fatalf("saw %v, %v; want each event once", seen, err)
+	if !errors.Is(err, errStop) || fmt.Sprint(seen) != "[1 2 3]" {
+		t.Fatalf("got sequences %v, %v; want each event once", seen, err)
 	}
 }
 
-// An answer is cut off. Taken as it is, its cursor would skip the events that are missing, and nobody would know; it has
-// to count as no answer, so that the next read brings all of them.
+// Accepting a truncated response would advance the cursor past the missing events without notice. It must be treated as a
+// failed read, so that the next read returns all events.
 func TestCutAnswerIsReadAgain(t *testing.T) {
 	r := NewRecorder("entry-1", 10, fixedClock())
 	r.Record(Event{Kind: "first"})
@@ -230,12 +230,12 @@
 	cases := []struct {
 		name string
 		cut  int
-		// clean is set when the connection ends as if the answer were whole.
+		// clean is set if the connection ends as if the response were complete.
 		clean bool
 	}{
 		{name: "between two lines", cut: lastLine},
 		{name: "within a line", cut: lastLine + 10},
-		{name: "within a line, without a sign", cut: lastLine + 10, clean: true},
+		{name: "within a line, with a clean end", cut: lastLine + 10, clean: true},
 		{name: "within the head", cut: 5},
 		{name: "before the head", clean: true},
 	}
@@ -255,18 +255,18 @@
 			defer server.Close()
 			collector := NewCollector(http.DefaultClient, Filter{})
 			first := collector.Collect(t.Context(), []string{server.URL})
-			if len(first.Events) != 0 || len(first.Notes) != 1 || first.Notes[0].Kind != NoteLost {
-				t.Fatalf("the cut answer gave %+v", first)
+			if len(first.Events) != 0 || len(first.Notes) != 1 || first.Notes[0].Kind != NoteUnreachable {
+				t.Fatalf("the truncated response returned %+v", first)
 			}
 			if second := collector.Collect(t.Context(), []string{server.URL}); len(second.Events) != 2 {
-				t.Fatalf("the second read gave %+v, want both events", second)
+				t.Fatalf("the second read returned %+v, want both events", second)
 			}
 		})
 	}
 }
 
-// Many goroutines record at once. Sequence and clock must agree on the order, since a reader resumes by the one and
-// sorts by the other.
+// With concurrent Record calls, sequences and clock readings must have the same order, because a reader resumes by
+// sequence and sorts by clock.
 func TestSequenceAndClockAgree(t *testing.T) {
 	const goroutines, each = 8, 2000
 	r := NewRecorder("p", goroutines*each, NewHybridClock(time.Now))
@@ -282,7 +282,7 @@
 	events := r.Since(0)
 	for i := 1; i < len(events); i++ {
 		if events[i].Clock <= events[i-1].Clock {
-			t.Fatalf("event %d has clock %d, the one before %d", events[i].Sequence, events[i].Clock, events[i-1].Clock)
+			t.Fatalf("event %d has clock %d, the previous one %d", events[i].Sequence, events[i].Clock, events[i-1].Clock)
 		}
 	}
 	if len(events) != goroutines*each {
@@ -304,12 +304,12 @@
 	at := uint64(1_700_000_000_000) << counterBits
 	collection := Collection{
 		Notes: []Note{{Kind: NoteGap, Process: "agent-1", Dropped: 3}},
-		Events: []Released{
+		Events: []MergedEvent{
 			{Event: Event{Clock: at, Process: "entry-1", Kind: RequestOffered, Request: "r1", Model: "narrator@2"}},
 			{Event: Event{
 				Clock: at + 1500<<counterBits, Process: "agent-1", Kind: LoadFailed, Endpoint: "e1",
 				Detail: "no such\x1b[31m file", Fields: map[string]string{"b": "2", "a": "one two"},
-			}, Late: true},
+			}, OutOfOrder: true},
 		},
 	}
 	const want = `# agent-1: 3 events were dropped before they were read
@@ -334,7 +334,7 @@
 		t.Fatalf("note %+v, %v", note, err)
 	}
 	for _, wanted := range collection.Events {
-		var got Released
+		var got MergedEvent
 		if err := decoder.Decode(&got); err != nil || !reflect.DeepEqual(got, wanted) {
 			t.Fatalf("event %+v, %v; want %+v", got, err, wanted)
 		}
@@ -349,7 +349,7 @@
 		{name: "plain", event: Event{Kind: RequestOffered, Request: "0123456789abcdef", Model: "narrator@2", Endpoint: "engine-1"}},
 		{name: "detail", event: Event{
 			Kind: RequestFailed, Request: "0123456789abcdef", Model: "narrator@2", Endpoint: "engine-1",
-			Detail: "the endpoint broke after 12 tokens: connection reset by peer",
+			Detail: "the endpoint failed after 12 tokens: connection reset by peer",
 		}},
 		{name: "fields", event: Event{Kind: RequestOffered, Request: "0123456789abcdef", Fields: map[string]string{"attempt": "1", "cold": "true"}}},
 	}
