--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -17,36 +17,36 @@
 	"github.com/pkg/errors"
 )
 
-// The bounds of one exchange with one entry.
+// Timeouts of one request to one entry.
 const (
-	// readTimeout bounds a read, after which the next entry is asked.
+	// readTimeout bounds a read, after which the next entry is tried.
 	readTimeout = 5 * time.Second
-	// answerTimeout bounds an edit; it leaves the entry time to answer after EditTimeout.
-	answerTimeout = EditTimeout + 5*time.Second
+	// editResponseTimeout bounds an edit; it leaves the entry time to respond after EditTimeout.
+	editResponseTimeout = EditTimeout + 5*time.Second
 )
 
-// Client speaks the API to one of several entries.
+// Client is a client of the API with failover between several entries.
 type Client struct {
 	entries []string
 	http    *http.Client
-	// readTimeout and answerTimeout are the constants of these names, but in tests.
-	readTimeout   time.Duration
-	answerTimeout time.Duration
+	// readTimeout and editResponseTimeout are the constants of the same names; tests override them.
+	readTimeout         time.Duration
+	editResponseTimeout time.Duration
 }
 
-// NewClient returns a client of the entries with the given base URLs ("http://127.0.0.1:8080"), which it asks in turn:
-// a read goes to the next entry after any failure to answer, an edit only while none of it was sent.
+// NewClient returns a client of the entries with the given base URLs ("http://127.0.0.1:8080"), which it tries in order. A
+// read is retried at the next entry if an entry does not respond, an edit only if no part of it was sent.
 func NewClient(entries []string, httpClient *http.Client) *Client {
-	once := *httpClient
-	once.CheckRedirect = keepRedirect
-	return &Client{entries: entries, http: &once, readTimeout: readTimeout, answerTimeout: answerTimeout}
+	client := *httpClient
+	client.CheckRedirect = disableRedirects
+	return &Client{entries: entries, http: &client, readTimeout: readTimeout, editResponseTimeout: editResponseTimeout}
 }
 
-// keepRedirect keeps net/http from sending an edit again to where a 307 or 308 answer points.
-func keepRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// disableRedirects prevents net/http from sending an edit again to the target of a 307 or 308 response.
+func disableRedirects(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Apply puts and deletes declarations. Its errors are those of Backend, ErrUnreachable and ErrAnswer; after
-// *OutcomeUnknownError the edit may have been applied.
+// Apply creates, replaces and deletes declarations. Its errors are those of Backend, ErrRequest, ErrInternal and
+// ErrUnreachable; after *OutcomeUnknownError the edit may have been applied.
 func (c *Client) Apply(ctx context.Context, request ApplyRequest) (Accepted, error) {
 	return c.edit(ctx, applyPath, &request.Edit, &request)
 }
@@ -61,7 +61,7 @@
 	return c.edit(ctx, drainPath, &request.Edit, &request)
 }
 
-// Operation looks an edit up by its identifier.
+// Operation looks up an edit by its identifier.
 func (c *Client) Operation(ctx context.Context, id string) (Operation, error) {
 	return read[Operation](ctx, c, operationPath, url.Values{paramID: {id}})
 }
@@ -71,12 +71,12 @@
 	return read[Objects](ctx, c, objectsPath, url.Values{paramKind: {query.Kind}, paramName: {query.Name}})
 }
 
-// Status reads the state of models and endpoints.
+// Status returns the state of models and endpoints.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	return read[Status](ctx, c, statusPath, nil)
 }
 
-// InForce reads where a revision is in force; 0 asks for the newest accepted one.
+// InForce returns the processes in which a revision is in force; 0 means the newest accepted one.
 func (c *Client) InForce(ctx context.Context, revision uint64) (InForce, error) {
 	return read[InForce](ctx, c, inForcePath, url.Values{paramRevision: {strconv.FormatUint(revision, 10)}})
 }
@@ -86,10 +86,10 @@
 	return read[ProcessList](ctx, c, processesPath, nil)
 }
 
-// edit sends an edit to the first entry that can be reached.
+// edit sends an edit to the first reachable entry.
 //
-// An edit that was sent, even in part, is never sent again by itself: its first copy may yet be applied. It ends in
-// *OutcomeUnknownError instead, with the identifier that tells later.
+// An edit that was sent, even in part, is never retried automatically, because the first copy may still be applied.
+// Instead it returns *OutcomeUnknownError with the identifier for a later lookup.
 func (c *Client) edit(ctx context.Context, path string, common *Edit, request any) (Accepted, error) {
 	if common.OperationID == "" {
 		common.OperationID = newOperationID()
@@ -101,30 +101,30 @@
 	failure := error(ErrUnreachable)
 	for _, entry := range c.entries {
 		var accepted Accepted
-		sent, err := c.do(ctx, c.answerTimeout, http.MethodPost, entry+path, body, &accepted)
+		sent, err := c.do(ctx, c.editResponseTimeout, http.MethodPost, entry+path, body, &accepted)
 		if err == nil {
 			return accepted, nil
 		}
 		if sent {
-			return Accepted{}, unknownUnlessDefinite(common.OperationID, err)
+			return Accepted{}, classifyEditError(common.OperationID, err)
 		}
 		failure = errors.Wrap(ErrUnreachable, err.Error())
 	}
 	return Accepted{}, failure
 }
 
-// unknownUnlessDefinite keeps an error that an entry gave and makes any other one "outcome unknown".
-func unknownUnlessDefinite(id string, err error) error {
-	var broken *brokenError
-	if errors.As(err, &broken) || errors.Is(err, ErrAnswer) {
+// classifyEditError returns an error reported by an entry unchanged and converts any other to *OutcomeUnknownError.
+func classifyEditError(id string, err error) error {
+	var broken *transportError
+	if errors.As(err, &broken) || errors.Is(err, ErrResponse) {
 		return &OutcomeUnknownError{OperationID: id, Reason: err.Error()}
 	}
 	return err
 }
 
-// read asks the entries in turn until one answers.
+// read queries the entries in order until one responds.
 func read[A any](ctx context.Context, c *Client, path string, query url.Values) (A, error) {
-	var none A
+	var zero A
 	failure := error(ErrUnreachable)
 	for _, entry := range c.entries {
 		var answer A
@@ -132,24 +132,24 @@
 		if err == nil {
 			return answer, nil
 		}
-		var broken *brokenError
+		var broken *transportError
 		if !errors.As(err, &broken) {
-			return none, err
+			return zero, err
 		}
 		failure = errors.Wrap(ErrUnreachable, err.Error())
 	}
-	return none, failure
+	return zero, failure
 }
 
-// brokenError says that an exchange ended without an answer.
-type brokenError struct{ reason string }
+// transportError reports that a request ended without a complete response.
+type transportError struct{ reason string }
 
-func (e *brokenError) Error() string { return e.reason }
+func (e *transportError) Error() string { return e.reason }
 
-// do makes one exchange. It reports whether any of the request may have been sent.
+// do performs one request and decodes its response. It reports whether any part of the request may have been sent.
 //
-// The timeout guards against an entry that is frozen: it takes the connection and never answers, and the command would
-// hang although the other entries work.
+// The timeout covers an entry that hangs: it accepts the connection and never responds, and the command would block
+// although other entries work.
 func (c *Client) do(
 	ctx context.Context, timeout time.Duration, method, target string, body []byte, answer any,
 ) (bool, error) {
@@ -167,33 +167,33 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return sent.Load(), &brokenError{reason: err.Error()}
+		return sent.Load(), &transportError{reason: err.Error()}
 	}
-	defer func() { _ = response.Body.Close() }() // Only read from: closing cannot lose anything.
-	return true, readAnswer(response, answer)
+	defer func() { _ = response.Body.Close() }() // A close error cannot lose data that was read.
+	return true, readResponse(response, answer)
 }
 
-func readAnswer(response *http.Response, answer any) error {
-	data, err := io.ReadAll(io.LimitReader(response.Body, MaxAnswerBytes))
+func readResponse(response *http.Response, answer any) error {
+	data, err := io.ReadAll(io.LimitReader(response.Body, MaxResponseBytes))
 	if err != nil {
-		return &brokenError{reason: err.Error()}
+		return &transportError{reason: err.Error()}
 	}
 	if response.StatusCode == http.StatusOK {
-		return unmarshalAnswer(data, answer)
+		return unmarshalResponse(data, answer)
 	}
-	var failure ErrorAnswer
-	if err := unmarshalAnswer(data, &failure); err != nil {
+	var failure ErrorResponse
+	if err := unmarshalResponse(data, &failure); err != nil {
 		return errors.WithMessagef(err, "status %d", response.StatusCode)
 	}
-	return answerError(failure, response.Header.Get("Retry-After"))
+	return responseError(failure, response.Header.Get("Retry-After"))
 }
 
-func unmarshalAnswer(data []byte, answer any) error {
+func unmarshalResponse(data []byte, answer any) error {
 	if err := json.Unmarshal(data, answer); err != nil {
-		return errors.Wrap(ErrAnswer, err.Error())
+		return errors.Wrap(ErrResponse, err.Error())
 	}
 	return nil
 }
 
-// newOperationID returns an identifier that no other edit has.
+// newOperationID returns a random unique identifier.
 func newOperationID() string { return strings.ToLower(rand.Text()) }
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,7 +1,7 @@
-// Package operator is the operators' HTTP API: its requests and answers, the handler that an entry serves them with over
-// a Backend, the client that the operators' commands use, and what those commands print.
+// Package operator implements the operators' HTTP API: its request and response types, the handler with which an entry
+// serves it from a Backend, the client of the operators' commands, and the output of those commands.
 //
-// An edit of the declarations ends in one of four ways that are told apart over HTTP, by the client's errors and by the
-// commands' exit codes: accepted, certainly not applied (invalid, conflict, unavailable), or outcome unknown. In the last
-// case the operation's identifier, which the client chooses, leads to the outcome later.
+// The outcome of an edit of the declarations is accepted, certainly not applied (invalid, conflict or unavailable), or
+// unknown. HTTP statuses, the client's errors and the commands' exit codes distinguish these cases. An unknown outcome can
+// be looked up later by the operation identifier that the client chose.
 package operator
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -11,26 +11,26 @@
 )
 
 var (
-	// ErrNotFound says that the named object or operation does not exist; nothing was changed.
+	// ErrNotFound reports that the named object or operation does not exist; nothing was changed.
 	ErrNotFound = errors.New("operator: not found")
-	// ErrUnreachable says that no entry could be asked; nothing was changed.
+	// ErrUnreachable reports that no entry could be reached; nothing was changed.
 	ErrUnreachable = errors.New("operator: no entry can be reached")
-	// ErrRequest says that the request was malformed; nothing was changed.
+	// ErrRequest reports a malformed request; nothing was changed.
 	ErrRequest = errors.New("operator: bad request")
-	// ErrAnswer says that an entry's answer could not be understood.
-	ErrAnswer = errors.New("operator: bad answer")
-	// ErrInternal says that the entry failed in a way that it cannot name; an edit was not applied.
+	// ErrResponse reports that an entry's response could not be decoded.
+	ErrResponse = errors.New("operator: invalid response")
+	// ErrInternal reports an unspecified failure of the entry; an edit was not applied.
 	ErrInternal = errors.New("operator: the entry failed")
-	// ErrNotInForce says that a revision is accepted and was not in force everywhere in time.
+	// ErrNotInForce reports that an accepted revision did not come into force everywhere in time.
 	ErrNotInForce = errors.New("operator: not yet in force in every live process")
 )
 
-// ConflictError says that another edit came first; nothing was changed.
+// ConflictError reports that another edit came first; nothing was changed.
 type ConflictError struct {
-	// Author made the edit that won, with the given revision.
+	// Author and Revision are those of the conflicting edit.
 	Author   string `json:"author"`
 	Revision uint64 `json:"revision"`
-	// Base is the revision that the refused edit was made on.
+	// Base is the revision that the rejected edit was based on.
 	Base uint64 `json:"base"`
 }
 
@@ -39,14 +39,14 @@
 		e.Base, e.Author, e.Revision)
 }
 
-// Place is one fault of a text and where it stands.
+// Place is one error in a text and its location.
 type Place struct {
 	File string `json:"file,omitempty"`
-	// Line counts from 1; 0 when not known.
+	// Line counts from 1; 0 means unknown.
 	Line    int    `json:"line,omitempty"`
 	Section string `json:"section,omitempty"`
 	Key     string `json:"key,omitempty"`
-	// Problem says what is wrong and Allowed what would be right.
+	// Problem describes the error and Allowed the valid values.
 	Problem string `json:"problem"`
 	Allowed string `json:"allowed,omitempty"`
 }
@@ -55,10 +55,10 @@
 	problem := inifile.Problem{
 		File: p.File, Line: p.Line, Section: p.Section, Key: p.Key, Text: p.Problem, Allowed: p.Allowed,
 	}
-	return strings.TrimPrefix(problem.String(), ": ") // Where there is no file.
+	return strings.TrimPrefix(problem.String(), ": ") // The prefix is present if there is no file name.
 }
 
-// InvalidError says that an edit is wrong in itself; nothing was changed.
+// InvalidError reports that an edit is invalid; nothing was changed.
 type InvalidError struct {
 	Places []Place `json:"places"`
 }
@@ -71,11 +71,11 @@
 	return "operator: invalid: " + strings.Join(lines, "; ")
 }
 
-// UnavailableError says that an edit or a read could not be done now, for example in an outage of the platform's table;
-// nothing was changed.
+// UnavailableError reports that an edit or a read is temporarily not possible, for example during an outage of the
+// platform's table; nothing was changed.
 type UnavailableError struct {
 	Reason string `json:"reason"`
-	// RetryAfter is when to try again; 0 when not known.
+	// RetryAfter is the delay before the next attempt; 0 means unknown.
 	RetryAfter time.Duration `json:"-"`
 }
 
@@ -86,7 +86,7 @@
 	return "operator: unavailable: " + e.Reason
 }
 
-// OutcomeUnknownError says that an edit may have been or may still be applied. Client.Operation tells later.
+// OutcomeUnknownError reports that an edit may have been or may still be applied. Client.Operation looks up its outcome.
 type OutcomeUnknownError struct {
 	OperationID string `json:"operation_id"`
 	Reason      string `json:"reason"`
--- a/internal/operator/exit.go
+++ b/internal/operator/exit.go
@@ -13,11 +13,11 @@
 	ExitConflict = 3
 	// ExitOutcomeUnknown: the edit may have been applied.
 	ExitOutcomeUnknown = 4
-	// ExitNotInForce: the edit is accepted, and was not in force everywhere in time.
+	// ExitNotInForce: the edit is accepted, but did not come into force everywhere in time.
 	ExitNotInForce = 5
 )
 
-// ExitCode returns the exit code that belongs to a client's error; nil is success.
+// ExitCode returns the exit code for an error of the client; nil means success.
 func ExitCode(err error) int {
 	var conflict *ConflictError
 	var unknown *OutcomeUnknownError
--- a/internal/operator/handler.go
+++ b/internal/operator/handler.go
@@ -11,22 +11,22 @@
 	"github.com/pkg/errors"
 )
 
-// Backend carries out the API's requests at an entry. Its errors are ErrNotFound, *ConflictError, *InvalidError,
-// *UnavailableError and *OutcomeUnknownError; any other one means that an edit was certainly not applied.
+// Backend executes API requests at an entry. Its errors are ErrNotFound, *ConflictError, *InvalidError,
+// *UnavailableError and *OutcomeUnknownError; any other error means that an edit was certainly not applied.
 type Backend interface {
 	Apply(ctx context.Context, request ApplyRequest) (Accepted, error)
 	Label(ctx context.Context, request LabelRequest) (Accepted, error)
 	Drain(ctx context.Context, request DrainRequest) (Accepted, error)
-	// Operation looks an edit up by its identifier.
+	// Operation looks up an edit by its identifier.
 	Operation(ctx context.Context, id string) (Operation, error)
 	Objects(ctx context.Context, query ObjectQuery) (Objects, error)
 	Status(ctx context.Context) (Status, error)
-	// InForce tells where a revision is in force; 0 asks for the newest accepted one.
+	// InForce returns the processes in which a revision is in force; 0 means the newest accepted one.
 	InForce(ctx context.Context, revision uint64) (InForce, error)
 	Processes(ctx context.Context) (ProcessList, error)
 }
 
-// NewHandler serves the API under PathPrefix.
+// NewHandler returns a handler that serves the API under PathPrefix.
 func NewHandler(backend Backend) http.Handler {
 	h := &handler{backend: backend}
 	router := chi.NewRouter()
@@ -43,10 +43,10 @@
 
 type handler struct{ backend Backend }
 
-// edit serves one kind of edit.
+// edit returns the handler of one kind of edit.
 //
-// The work goes on when the client goes away: an edit that is cut off half way would leave its outcome unknown for no
-// need. EditTimeout bounds it.
+// The edit continues if the client disconnects: aborting it halfway would needlessly leave its outcome unknown.
+// EditTimeout bounds it.
 func edit[R any](do func(context.Context, R) (Accepted, error), common func(*R) *Edit) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var request R
@@ -60,7 +60,7 @@
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), EditTimeout)
 		defer cancel()
 		accepted, err := do(ctx, request)
-		writeAnswer(w, accepted, err)
+		writeResponse(w, accepted, err)
 	}
 }
 
@@ -71,7 +71,7 @@
 		return
 	}
 	operation, err := h.backend.Operation(r.Context(), id)
-	writeAnswer(w, operation, err)
+	writeResponse(w, operation, err)
 }
 
 func (h *handler) objects(w http.ResponseWriter, r *http.Request) {
@@ -79,15 +79,15 @@
 	objects, err := h.backend.Objects(r.Context(), ObjectQuery{Kind: query.Get(paramKind), Name: query.Get(paramName)})
 	if err == nil && query.Get(paramFormat) == formatINI {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		_ = WriteINI(w, objects) // The reader went away: nobody is left to be told.
+		_ = WriteINI(w, objects) // An error means that the client disconnected.
 		return
 	}
-	writeAnswer(w, objects, err)
+	writeResponse(w, objects, err)
 }
 
 func (h *handler) status(w http.ResponseWriter, r *http.Request) {
 	status, err := h.backend.Status(r.Context())
-	writeAnswer(w, status, err)
+	writeResponse(w, status, err)
 }
 
 func (h *handler) inForce(w http.ResponseWriter, r *http.Request) {
@@ -101,15 +101,15 @@
 		revision = parsed
 	}
 	inForce, err := h.backend.InForce(r.Context(), revision)
-	writeAnswer(w, inForce, err)
+	writeResponse(w, inForce, err)
 }
 
 func (h *handler) processes(w http.ResponseWriter, r *http.Request) {
 	processes, err := h.backend.Processes(r.Context())
-	writeAnswer(w, processes, err)
+	writeResponse(w, processes, err)
 }
 
-// readRequest reads a JSON body strictly, so that a misspelt field does not pass for an absent one.
+// readRequest decodes a JSON body and rejects unknown fields, so that a misspelled field is not taken for an absent one.
 func readRequest(w http.ResponseWriter, r *http.Request, request any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxRequestBytes))
 	decoder.DisallowUnknownFields()
@@ -122,7 +122,7 @@
 	return nil
 }
 
-func writeAnswer(w http.ResponseWriter, answer any, err error) {
+func writeResponse(w http.ResponseWriter, answer any, err error) {
 	if err != nil {
 		writeError(w, err)
 		return
@@ -134,5 +134,5 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(answer) // The reader went away: nobody is left to be told.
+	_ = json.NewEncoder(w).Encode(answer) // An error means that the client disconnected.
 }
--- a/internal/operator/httperrors.go
+++ b/internal/operator/httperrors.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// What to do about an error, as told to operators.
+// Instructions for operators on how to proceed after an error.
 const (
 	nextConflict    = "read the declarations again, merge your change, and apply it with the new base revision"
 	nextInvalid     = "mend the text at the places named, and apply it again"
@@ -17,17 +17,17 @@
 	nextUnknown     = "look the operation up by its identifier before you apply the edit again"
 )
 
-// writeError answers with the status and body that belong to an error.
+// writeError writes the status and body for an error.
 func writeError(w http.ResponseWriter, err error) {
-	status, answer := errorAnswer(err)
+	status, answer := errorResponse(err)
 	if u := answer.Unavailable; u != nil && u.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(u.RetryAfter.Seconds()))))
 	}
 	writeJSON(w, status, answer)
 }
 
-func errorAnswer(err error) (int, ErrorAnswer) {
-	answer := ErrorAnswer{Message: err.Error()}
+func errorResponse(err error) (int, ErrorResponse) {
+	answer := ErrorResponse{Message: err.Error()}
 	switch {
 	case errors.As(err, &answer.Conflict):
 		answer.Code, answer.Next = CodeConflict, nextConflict
@@ -53,8 +53,8 @@
 	}
 }
 
-// answerError is the inverse of errorAnswer, for the client.
-func answerError(answer ErrorAnswer, retryAfter string) error {
+// responseError is the inverse of errorResponse, for the client.
+func responseError(answer ErrorResponse, retryAfter string) error {
 	switch {
 	case answer.Code == CodeConflict && answer.Conflict != nil:
 		return answer.Conflict
@@ -74,6 +74,6 @@
 	case answer.Code == CodeInternal:
 		return errors.Wrap(ErrInternal, answer.Message)
 	default:
-		return errors.Wrapf(ErrAnswer, "error code %q", string(answer.Code))
+		return errors.Wrapf(ErrResponse, "error code %q", string(answer.Code))
 	}
 }
--- a/internal/operator/matrix.go
+++ b/internal/operator/matrix.go
@@ -8,8 +8,8 @@
 	"balsamsail/internal/texttable"
 )
 
-// cells are the letters that stand for states in the grid.
-var cells = map[ReplicaState]string{
+// stateLetters maps replica states to the letters in the grid.
+var stateLetters = map[ReplicaState]string{
 	ReplicaGranted:   "g",
 	ReplicaReleasing: "r",
 	ReplicaLoading:   "l",
@@ -19,15 +19,15 @@
 	ReplicaUnknown:   "?",
 }
 
-// emptyCell stands for an engine without a slot.
-const emptyCell = "."
+// noSlotCell marks an engine without a slot for the model.
+const noSlotCell = "."
 
 const matrixLegend = "L loaded  i idle  l loading  g granted and asleep  u unloading  r releasing  ? unknown  . none"
 
-// kindEngine is the Kind of an EndpointStatus that can hold models.
+// kindEngine is the EndpointStatus.Kind of engines, which can load models.
 const kindEngine = "engine"
 
-// WriteMatrix writes the grid of models by engines, one letter a cell; engines are numbered and named below.
+// WriteMatrix writes a grid of models by engines with one letter per cell, followed by the numbered engine names.
 func WriteMatrix(w io.Writer, status Status) error {
 	engines := engineNames(status)
 	table := texttable.New(w)
@@ -66,13 +66,13 @@
 func matrixRow(model ModelStatus, engines []string) []string {
 	states := map[string]string{}
 	for _, replica := range model.Replicas {
-		states[replica.Engine] = cells[replica.State]
+		states[replica.Engine] = stateLetters[replica.State]
 	}
 	row := make([]string, len(engines))
 	for i, engine := range engines {
 		row[i] = states[engine]
 		if row[i] == "" {
-			row[i] = emptyCell
+			row[i] = noSlotCell
 		}
 	}
 	return row
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// fakeBackend answers with what a test sets, and notes the edits that reach it.
+// fakeBackend returns values set by a test and records the edits that it receives.
 type fakeBackend struct {
 	err       error
 	accepted  Accepted
@@ -62,24 +62,24 @@
 	return NewClient([]string{server.URL}, server.Client()), server.URL
 }
 
-// Each error of a backend must reach the operator's command as the same error with the same exit code: what was not
-// applied is never told as unknown, nor the other way round.
+// Each error of a backend must reach the operator's command as the same error with the same exit code: an edit that was
+// not applied must never be reported as unknown, nor the reverse.
 func TestErrorsCrossTheAPI(t *testing.T) {
 	cases := []struct {
 		name       string
 		err        error
 		wantStatus int
 		wantExit   int
-		// typed errors arrive with all they hold.
+		// typed is set if the client must return an error with the same fields.
 		typed bool
 	}{
 		{
-			name:       "conflict names the winner",
+			name:       "conflict names the other author",
 			err:        &ConflictError{Author: "rana", Revision: 12, Base: 10},
 			wantStatus: http.StatusConflict, wantExit: ExitConflict, typed: true,
 		},
 		{
-			name: "invalid names every place",
+			name: "invalid lists every place",
 			err: &InvalidError{Places: []Place{
 				{File: "a.ini", Line: 3, Section: `model "m"`, Key: "memory", Problem: "no unit", Allowed: "MiB, GiB"},
 				{File: "a.ini", Section: `model "n"`, Problem: "unknown key"},
@@ -87,13 +87,13 @@
 			wantStatus: http.StatusUnprocessableEntity, wantExit: ExitFailed, typed: true,
 		},
 		{
-			name:       "outage says when to come back",
+			name:       "outage includes the retry delay",
 			err:        &UnavailableError{Reason: "the table does not answer", RetryAfter: 3 * time.Second},
 			wantStatus: http.StatusServiceUnavailable, wantExit: ExitFailed, typed: true,
 		},
 		{
-			name:       "lost answer is unknown",
-			err:        &OutcomeUnknownError{OperationID: "op-1", Reason: "the answer was lost"},
+			name:       "lost response is unknown",
+			err:        &OutcomeUnknownError{OperationID: "op-1", Reason: "the response was lost"},
 			wantStatus: http.StatusGatewayTimeout, wantExit: ExitOutcomeUnknown, typed: true,
 		},
 		{name: "not found", err: ErrNotFound, wantStatus: http.StatusNotFound, wantExit: ExitFailed},
@@ -126,14 +126,14 @@
 	return response.StatusCode
 }
 
-// An operator misspells a field, or sends a file far too large: the edit must be refused as a whole, not applied in the
-// part that was understood.
+// A malformed edit, for example with a misspelled field or an oversized body, must be rejected as a whole and never
+// applied in part.
 func TestBadRequestsChangeNothing(t *testing.T) {
 	cases := []struct{ name, body string }{
 		{name: "unknown field", body: `{"ini":"x","bose":3}`},
 		{name: "not JSON", body: `[model]`},
 		{name: "two values", body: `{"ini":"x"}{"ini":"y"}`},
-		{name: "cut short", body: `{"ini":"x`},
+		{name: "truncated", body: `{"ini":"x`},
 		{name: "too large", body: `{"ini":"` + strings.Repeat("x", MaxRequestBytes) + `"}`},
 	}
 	for _, c := range cases {
@@ -144,13 +144,13 @@
 				t.Fatalf("status %d, want 400", got)
 			}
 			if len(backend.applied) != 0 {
-				t.Fatalf("the backend got %+v", backend.applied)
+				t.Fatalf("the backend received %+v, want nothing", backend.applied)
 			}
 		})
 	}
 }
 
-// The first entry is gone, the second lives: an edit goes on to the second, because nothing was sent to the first.
+// If the first entry cannot be connected to, an edit is sent to the second, because nothing was sent to the first.
 func TestEditGoesOnWhileNothingWasSent(t *testing.T) {
 	backend := &fakeBackend{accepted: Accepted{Revision: 5}}
 	_, live := startAPI(t, backend)
@@ -160,38 +160,38 @@
 		t.Fatalf("accepted %+v, %v; want revision 5", accepted, err)
 	}
 	if len(backend.applied) != 1 || backend.applied[0].OperationID == "" {
-		t.Fatalf("the backend got %+v, want one edit with an identifier", backend.applied)
+		t.Fatalf("the backend received %+v, want one edit with an identifier", backend.applied)
 	}
 }
 
-// The first entry takes the edit and dies before it answers. Sent again to the second entry it might be applied on top
-// of a later edit, so the command must say "outcome unknown" with the identifier and leave the second entry alone.
+// The first entry receives the edit and crashes before it responds. A retry at the second entry could apply the edit on
+// top of a later one, so the client must return "outcome unknown" with the identifier and not contact the second entry.
 func TestEditIsNotSentTwice(t *testing.T) {
-	var taken atomic.Int64
-	dying := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		taken.Add(1)
+	var received atomic.Int64
+	crashing := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		received.Add(1)
 		panic(http.ErrAbortHandler)
 	}))
-	t.Cleanup(dying.Close)
+	t.Cleanup(crashing.Close)
 	backend := &fakeBackend{}
 	_, live := startAPI(t, backend)
-	client := NewClient([]string{dying.URL, live}, http.DefaultClient)
+	client := NewClient([]string{crashing.URL, live}, http.DefaultClient)
 
 	_, err := client.Apply(t.Context(), ApplyRequest{INI: "x", Edit: Edit{OperationID: "op-7"}})
 	var unknown *OutcomeUnknownError
 	if !errors.As(err, &unknown) || unknown.OperationID != "op-7" {
 		t.Fatalf("error %v, want outcome unknown of op-7", err)
 	}
-	if taken.Load() != 1 || len(backend.applied) != 0 {
-		t.Fatalf("sent %d times to the first entry, %d to the second; want 1 and 0", taken.Load(), len(backend.applied))
+	if received.Load() != 1 || len(backend.applied) != 0 {
+		t.Fatalf("sent %d times to the first entry, %d to the second; want 1 and 0", received.Load(), len(backend.applied))
 	}
 	if objects, err := client.Objects(t.Context(), ObjectQuery{Kind: "model", Name: "m"}); err != nil || objects.Revision != 7 {
-		t.Fatalf("a read must go on to the second entry: %+v, %v", objects, err)
+		t.Fatalf("a read must fail over to the second entry: got %+v, %v", objects, err)
 	}
 }
 
-// The first entry is frozen: it takes connections and never answers. Reads must go on to the second entry, and an edit
-// must end as unknown in bounded time, since the frozen entry may yet wake and apply it.
+// The first entry hangs: it accepts connections and never responds. Reads must fail over to the second entry, and an edit
+// must end as unknown after a timeout, since the hung entry may resume and apply it.
 func TestFrozenEntryIsNotWaitedForForEver(t *testing.T) {
 	frozen, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -201,7 +201,7 @@
 	backend := &fakeBackend{}
 	_, live := startAPI(t, backend)
 	client := NewClient([]string{"http://" + frozen.Addr().String(), live}, http.DefaultClient)
-	client.readTimeout, client.answerTimeout = 50*time.Millisecond, 50*time.Millisecond
+	client.readTimeout, client.editResponseTimeout = 50*time.Millisecond, 50*time.Millisecond
 	if status, err := client.Status(t.Context()); err != nil || status.Entry != "entry-1" {
 		t.Fatalf("status %+v, %v; want that of the live entry", status, err)
 	}
@@ -209,7 +209,7 @@
 		t.Fatalf("error %v, want outcome unknown", err)
 	}
 	if len(backend.applied) != 0 {
-		t.Fatalf("the edit was sent on: %+v", backend.applied)
+		t.Fatalf("the edit was retried at the second entry: %+v", backend.applied)
 	}
 }
 
@@ -221,7 +221,7 @@
 	}
 }
 
-// closedAddress returns a loopback address at which nothing listens.
+// closedAddress returns a loopback address without a listener.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -232,31 +232,32 @@
 	return listener.Addr().String()
 }
 
-// A revision reaches one process late: Wait returns when the last one has it, and names it when the time is over.
+// A revision reaches one process late: Wait must return once the last process has it, or report that process when the
+// context expires.
 func TestWaitNamesWhereARevisionIsMissing(t *testing.T) {
 	cases := []struct {
 		name        string
-		lastCatches int
+		caughtUpAt  int
 		unreachable bool
 		fails       error
-		wantLooks   int
+		wantPolls   int
 		wantMissing int
 		wantErr     error
 	}{
-		{name: "all have it at once", lastCatches: 1, wantLooks: 1},
-		{name: "one is late", lastCatches: 3, wantLooks: 3},
-		{name: "one never gets it", lastCatches: 1 << 40, wantLooks: 10, wantMissing: 1, wantErr: ErrNotInForce},
-		{name: "one does not answer", lastCatches: 1, unreachable: true, wantLooks: 10, wantMissing: 1, wantErr: ErrNotInForce},
-		{name: "no entry answers", fails: ErrUnreachable, wantLooks: 10, wantErr: ErrNotInForce},
+		{name: "in force at the first poll", caughtUpAt: 1, wantPolls: 1},
+		{name: "one process is late", caughtUpAt: 3, wantPolls: 3},
+		{name: "one process never catches up", caughtUpAt: 1 << 40, wantPolls: 10, wantMissing: 1, wantErr: ErrNotInForce},
+		{name: "one process is unreachable", caughtUpAt: 1, unreachable: true, wantPolls: 10, wantMissing: 1, wantErr: ErrNotInForce},
+		{name: "no entry is reachable", fails: ErrUnreachable, wantPolls: 10, wantErr: ErrNotInForce},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				looks := 0
+				polls := 0
 				backend := &fakeBackend{err: c.fails, inForce: func() InForce {
-					looks++
+					polls++
 					second := ProcessRevision{Process: "agent-2", Unreachable: c.unreachable}
-					if looks >= c.lastCatches {
+					if polls >= c.caughtUpAt {
 						second.Revision = 5
 					}
 					return InForce{Revision: 5, Processes: []ProcessRevision{{Process: "agent-1", Revision: 6}, second}}
@@ -264,16 +265,17 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 10*WaitInterval-1)
 				defer cancel()
 				got, err := Wait(ctx, backend, 5)
-				if !errors.Is(err, c.wantErr) || len(got.Missing()) != c.wantMissing || looks != c.wantLooks {
-					t.Fatalf("missing %+v after %d looks, %v; want %d after %d, %v",
-						got.Missing(), looks, err, c.wantMissing, c.wantLooks, c.wantErr)
+				if !errors.Is(err, c.wantErr) || len(got.Missing()) != c.wantMissing || polls != c.wantPolls {
+					t.Fatalf("missing %+v after %d polls, %v; want %d after %d, %v",
+						got.Missing(), polls, err, c.wantMissing, c.wantPolls, c.wantErr)
 				}
 			})
 		})
 	}
 }
 
-// The answer to an edit was lost. Settle looks until the outcome is known, and does not take "not stored now" for it.
+// The response to an edit was lost. Settle must poll until the outcome is known and must not treat "not stored yet" as
+// final.
 func TestSettle(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -299,7 +301,7 @@
 	}
 }
 
-// A balancer in front answers an edit with a redirect. Following it would send the edit a second time.
+// If a load balancer responds to an edit with a redirect, following it would send the edit a second time.
 func TestEditFollowsNoRedirect(t *testing.T) {
 	backend := &fakeBackend{}
 	_, live := startAPI(t, backend)
--- a/internal/operator/output.go
+++ b/internal/operator/output.go
@@ -12,17 +12,17 @@
 	"balsamsail/internal/texttable"
 )
 
-// ErrOutput says that a command's output could not be written.
-var ErrOutput = errors.New("operator: output not written")
+// ErrOutput reports that a command's output could not be written.
+var ErrOutput = errors.New("operator: writing output failed")
 
-// WriteJSON writes any answer as indented JSON.
+// WriteJSON writes any response as indented JSON.
 func WriteJSON(w io.Writer, answer any) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return outputError(encoder.Encode(answer))
 }
 
-// WriteINI writes declarations as INI text that Apply takes back.
+// WriteINI writes declarations as INI text that Apply accepts.
 func WriteINI(w io.Writer, objects Objects) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "; revision %d\n", objects.Revision)
@@ -35,7 +35,7 @@
 	return outputError(err)
 }
 
-// WriteAccepted writes what became of an accepted edit.
+// WriteAccepted writes the result of an accepted edit.
 func WriteAccepted(w io.Writer, accepted Accepted) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "accepted as revision %d (operation %s)\n", accepted.Revision, accepted.OperationID)
@@ -46,7 +46,7 @@
 	return outputError(err)
 }
 
-// WriteInForce writes where a revision is in force and names the processes where it is not.
+// WriteInForce writes in how many processes a revision is in force and lists those in which it is not.
 func WriteInForce(w io.Writer, inForce InForce) error {
 	missing := inForce.Missing()
 	table := texttable.New(w)
@@ -82,7 +82,7 @@
 	return errors.Wrap(ErrOutput, err.Error())
 }
 
-// labelText writes labels in the order of their names.
+// labelText formats labels, sorted by name.
 func labelText(labels map[string]string) string {
 	pairs := make([]string, 0, len(labels))
 	for name, value := range labels {
@@ -92,10 +92,10 @@
 	return strings.Join(pairs, ",")
 }
 
-// WriteError writes what an error of the client means and what to do about it, with each place of a wrong text on its
-// own line.
+// WriteError writes a description of a client error and the next step, with each place of an invalid text on its own
+// line.
 func WriteError(w io.Writer, err error) error {
-	_, answer := errorAnswer(err)
+	_, answer := errorResponse(err)
 	var b strings.Builder
 	switch {
 	case answer.Invalid != nil:
@@ -118,5 +118,5 @@
 	return outputError(writeErr)
 }
 
-// errorPrefix begins this package's errors.
+// errorPrefix is the prefix of this package's error messages.
 const errorPrefix = "operator: "
--- a/internal/operator/output_test.go
+++ b/internal/operator/output_test.go
@@ -86,12 +86,12 @@
 		want string
 	}{
 		{
-			name: "conflict names the winner",
+			name: "conflict names the other author",
 			err:  &ConflictError{Author: "rana", Revision: 12, Base: 10},
 			want: "not applied: conflict: the edit was made on revision 10, and \"rana\" has since made revision 12\nnext: " + nextConflict + "\n",
 		},
 		{
-			name: "each place on its line",
+			name: "each place on its own line",
 			err: &InvalidError{Places: []Place{
 				{File: "a.ini", Line: 3, Section: `model "m"`, Key: "memory", Problem: "no unit", Allowed: "MiB, GiB"},
 				{File: "a.ini", Problem: "no section"},
@@ -99,12 +99,12 @@
 			want: "not applied:\n  a.ini:3: [model \"m\"] memory: no unit; allowed: MiB, GiB\n  a.ini: no section\nnext: " + nextInvalid + "\n",
 		},
 		{
-			name: "unknown gives the identifier",
+			name: "unknown includes the identifier",
 			err:  &OutcomeUnknownError{OperationID: "op-1", Reason: "EOF"},
 			want: "OUTCOME UNKNOWN: the edit may have been applied or may still be: EOF\noperation op-1\nnext: " + nextUnknown + "\n",
 		},
 		{
-			name: "accepted and not yet in force",
+			name: "accepted but not yet in force",
 			err:  errors.Wrap(ErrNotInForce, "x"),
 			want: "accepted, and not yet in force in every live process\n",
 		},
--- a/internal/operator/protocol.go
+++ b/internal/operator/protocol.go
@@ -24,23 +24,23 @@
 	paramID       = "id"
 )
 
-// formatINI asks objectsPath for INI text in place of JSON.
+// formatINI requests INI text instead of JSON from objectsPath.
 const formatINI = "ini"
 
-// The bounds of the API.
+// Limits of the API.
 const (
-	// MaxRequestBytes bounds a request's body; some ten thousand declarations fit.
+	// MaxRequestBytes bounds a request's body; it allows about ten thousand declarations.
 	MaxRequestBytes = 8 << 20
-	// MaxAnswerBytes bounds an answer's body.
-	MaxAnswerBytes = 64 << 20
-	// EditTimeout bounds the work on one edit at the entry.
+	// MaxResponseBytes bounds a response's body.
+	MaxResponseBytes = 64 << 20
+	// EditTimeout bounds the execution of one edit at the entry.
 	EditTimeout = 15 * time.Second
 )
 
-// ErrorCode names the kind of an error answer.
+// ErrorCode is the kind of an error response.
 type ErrorCode string
 
-// The codes of error answers.
+// The codes of error responses.
 const (
 	CodeBadRequest     ErrorCode = "bad_request"
 	CodeNotFound       ErrorCode = "not_found"
@@ -51,11 +51,11 @@
 	CodeInternal       ErrorCode = "internal"
 )
 
-// ErrorAnswer is the body of an error answer.
-type ErrorAnswer struct {
+// ErrorResponse is the body of an error response.
+type ErrorResponse struct {
 	Code    ErrorCode `json:"code"`
 	Message string    `json:"message"`
-	// Next says what to do about it.
+	// Next tells the operator how to proceed.
 	Next string `json:"next,omitempty"`
 
 	Conflict    *ConflictError       `json:"conflict,omitempty"`
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -9,8 +9,8 @@
 	"balsamsail/internal/texttable"
 )
 
-// none stands in for an empty cell, so that columns stay easy to split.
-const none = "-"
+// placeholder fills an empty cell, so that scripts can split columns by white space.
+const placeholder = "-"
 
 // StateCount counts a model's replicas by state.
 type StateCount struct {
@@ -41,7 +41,7 @@
 	return c
 }
 
-// WriteStatus writes the models, each with its replicas and the reason, the endpoints, and the grid of WriteMatrix.
+// WriteStatus writes the models with their replicas and reasons, the endpoints, and the grid of WriteMatrix.
 func WriteStatus(w io.Writer, status Status) error {
 	if err := writeSummary(w, status); err != nil {
 		return err
@@ -77,11 +77,11 @@
 		head := fmt.Sprintf("%s\t%d/%d/%d\t%d\t%d\t%d\t%d", model.Model, model.MinReplicas, model.MaxReplicas,
 			model.WarmReplicas, model.Eligible, len(model.Replicas), count.Loaded+count.Idle, model.Queued)
 		if len(model.Replicas) == 0 {
-			table.Row("%s\t%s\t%s\t%s\t%s\t%s", head, none, none, none, none, orNone(model.Why))
+			table.Row("%s\t%s\t%s\t%s\t%s\t%s", head, placeholder, placeholder, placeholder, placeholder, orPlaceholder(model.Why))
 		}
 		for _, replica := range model.Replicas {
 			table.Row("%s\t%s\t%s\t%d\t%d\t%s", head, replica.Engine, stateText(status.At, replica),
-				replica.Running, replica.Queued, orNone(joinReasons(replica.Why, model.Why)))
+				replica.Running, replica.Queued, orPlaceholder(joinReasons(replica.Why, model.Why)))
 			head = strings.Repeat("\t", strings.Count(head, "\t"))
 			model.Why = ""
 		}
@@ -89,7 +89,7 @@
 	return outputError(table.Flush())
 }
 
-// stateText adds to an idle replica for how long it has been so.
+// stateText formats a replica's state, for an idle replica with the time since it became idle.
 func stateText(now time.Time, replica ReplicaStatus) string {
 	if replica.State != ReplicaIdle || replica.IdleSince.IsZero() {
 		return string(replica.State)
@@ -101,14 +101,14 @@
 	table := texttable.New(w)
 	table.Row("\nENDPOINT\tKIND\tDOMAIN\tSTATE\tMEMORY\tRUNNING\tWAITING\tREVISION\tLABELS\tWHY")
 	for _, e := range status.Endpoints {
-		table.Row("%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s", e.Endpoint, e.Kind, orNone(e.FailureDomain), e.state(),
+		table.Row("%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s", e.Endpoint, e.Kind, orPlaceholder(e.FailureDomain), e.state(),
 			memoryText(e.ReservedBytes, e.MemoryBytes), e.Running, e.Queued, e.Revision,
-			orNone(labelText(e.Labels)), orNone(e.Why))
+			orPlaceholder(labelText(e.Labels)), orPlaceholder(e.Why))
 	}
 	return outputError(table.Flush())
 }
 
-// state names the state of an endpoint that matters most.
+// state returns the most significant state of an endpoint.
 func (e EndpointStatus) state() string {
 	switch {
 	case !e.Reachable:
@@ -124,33 +124,33 @@
 	}
 }
 
-// memoryText writes reserved memory against the whole, in GiB.
+// memoryText formats reserved and total memory in GiB.
 func memoryText(reserved, whole int64) string {
 	if whole == 0 {
-		return none
+		return placeholder
 	}
 	const gib = 1 << 30
 	return fmt.Sprintf("%.1f/%.1f GiB", float64(reserved)/gib, float64(whole)/gib)
 }
 
 func joinReasons(reasons ...string) string {
-	var given []string
+	var nonEmpty []string
 	for _, reason := range reasons {
 		if reason != "" {
-			given = append(given, reason)
+			nonEmpty = append(nonEmpty, reason)
 		}
 	}
-	return strings.Join(given, "; ")
+	return strings.Join(nonEmpty, "; ")
 }
 
-func orNone(s string) string {
+func orPlaceholder(s string) string {
 	if s == "" {
-		return none
+		return placeholder
 	}
 	return s
 }
 
-// age rounds a time span to what an operator reads at a glance.
+// age formats the time since an instant, rounded to seconds below a minute and to minutes above.
 func age(now, since time.Time) string {
 	d := now.Sub(since)
 	if d < time.Minute {
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ObjectKey names a declaration by kind ("model", "adapter", "engine", "service", "limits") and name.
+// ObjectKey identifies a declaration by kind ("model", "adapter", "engine", "service", "limits") and name.
 type ObjectKey struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
@@ -13,9 +13,9 @@
 
 func (k ObjectKey) String() string { return k.Kind + "/" + k.Name }
 
-// ApplyRequest puts the declarations of an INI text and deletes others, all in one revision.
+// ApplyRequest creates or replaces the declarations of an INI text and deletes others, all in one revision.
 type ApplyRequest struct {
-	// INI is the text of the file and File its name, which errors show.
+	// INI is the text of the file. File is its name, used in error messages.
 	INI  string `json:"ini"`
 	File string `json:"file,omitempty"`
 	// Delete lists declarations to delete.
@@ -38,25 +38,25 @@
 	Edit
 }
 
-// Edit is what all edits have in common.
+// Edit holds the fields common to all edits.
 type Edit struct {
-	// Base is the revision that the edit was made on: the edit is refused when another one has come since. 0 means any.
+	// Base is the revision that the edit is based on; the edit is rejected if a newer one exists. 0 disables the check.
 	Base uint64 `json:"base,omitempty"`
-	// Author says who makes the edit, for others to see.
+	// Author is the person who makes the edit, shown to others.
 	Author string `json:"author"`
-	// OperationID is unique to the edit; the client chooses one when it is empty.
+	// OperationID uniquely identifies the edit; the client generates one if it is empty.
 	OperationID string `json:"operation_id"`
 }
 
-// Accepted says that an edit is stored: it will be in force everywhere and never reverts.
+// Accepted is the result of a stored edit: it is durable and will come into force everywhere.
 type Accepted struct {
 	Revision    uint64 `json:"revision"`
 	OperationID string `json:"operation_id"`
-	// Changed lists the declarations that differ; none when the edit changed nothing.
+	// Changed lists the modified declarations; it is empty if the edit changed nothing.
 	Changed []ObjectKey `json:"changed,omitempty"`
 }
 
-// ObjectQuery chooses declarations; an empty field chooses all.
+// ObjectQuery selects declarations; an empty field matches all.
 type ObjectQuery struct {
 	Kind string
 	Name string
@@ -66,19 +66,19 @@
 type Object struct {
 	ObjectKey
 	Labels map[string]string `json:"labels,omitempty"`
-	// INI is the declaration's section as an operator would write it.
+	// INI is the declaration as a section of an INI file.
 	INI string `json:"ini"`
-	// Declaration is the whole declaration as JSON.
+	// Declaration is the complete declaration as JSON.
 	Declaration json.RawMessage `json:"declaration,omitempty"`
 }
 
-// Objects are declarations as of one revision.
+// Objects holds declarations as of one revision.
 type Objects struct {
 	Revision uint64   `json:"revision"`
 	Objects  []Object `json:"objects"`
 }
 
-// OperationState is what is known of an edit.
+// OperationState is the known outcome of an edit.
 type OperationState string
 
 // The states of an operation.
@@ -87,7 +87,7 @@
 	OperationApplied OperationState = "applied"
 	// OperationNever: the edit did not and will not take effect.
 	OperationNever OperationState = "never"
-	// OperationUnknown: the edit is not stored now and may still take effect.
+	// OperationUnknown: the edit is not stored yet and may still take effect.
 	OperationUnknown OperationState = "unknown"
 )
 
@@ -95,7 +95,7 @@
 type Operation struct {
 	OperationID string         `json:"operation_id"`
 	State       OperationState `json:"state"`
-	// Revision is that of an applied edit.
+	// Revision is the revision of an applied edit.
 	Revision uint64 `json:"revision,omitempty"`
 }
 
@@ -106,13 +106,13 @@
 	FailureDomain string `json:"failure_domain,omitempty"`
 	Address       string `json:"address,omitempty"`
 	Revision      uint64 `json:"revision"`
-	// Unreachable is set for a process that is listed as live and does not answer; Revision is then its last known one.
+	// Unreachable is set for a process that is listed as live but does not respond; Revision is then its last known one.
 	Unreachable bool `json:"unreachable,omitempty"`
 }
 
-// InForce says where a revision is in force: in each live process that has it or a later one.
+// InForce reports in which live processes a revision or a later one is in force.
 type InForce struct {
-	// Revision is the one asked for, or the newest accepted one.
+	// Revision is the requested revision, or the newest accepted one.
 	Revision  uint64            `json:"revision"`
 	Processes []ProcessRevision `json:"processes"`
 }
@@ -133,7 +133,7 @@
 	Name          string `json:"name"`
 	Role          string `json:"role"`
 	FailureDomain string `json:"failure_domain,omitempty"`
-	// URL is the base of the process's operators' paths, such as the time line.
+	// URL is the base URL of the process's operational paths, such as the timeline.
 	URL string `json:"url"`
 }
 
@@ -147,17 +147,17 @@
 
 // The states of a replica.
 const (
-	// ReplicaGranted: the engine holds a slot and the model sleeps.
+	// ReplicaGranted: the engine holds a slot for the model, which is not loaded.
 	ReplicaGranted ReplicaState = "granted"
-	// ReplicaReleasing: the slot is to be given up and still counts.
+	// ReplicaReleasing: the slot is being released and still counts.
 	ReplicaReleasing ReplicaState = "releasing"
 	ReplicaLoading   ReplicaState = "loading"
-	// ReplicaLoaded: loaded with requests running or waiting.
+	// ReplicaLoaded: loaded, with requests running or queued.
 	ReplicaLoaded ReplicaState = "loaded"
 	// ReplicaIdle: loaded without requests.
 	ReplicaIdle      ReplicaState = "idle"
 	ReplicaUnloading ReplicaState = "unloading"
-	// ReplicaUnknown: the result of an order is not known, or the agent does not answer.
+	// ReplicaUnknown: the result of a load or unload is not known, or the agent does not respond.
 	ReplicaUnknown ReplicaState = "unknown"
 )
 
@@ -168,32 +168,32 @@
 	State         ReplicaState `json:"state"`
 	Running       int          `json:"running"`
 	Queued        int          `json:"queued"`
-	// IdleSince is when the last request ended; zero unless the state is idle.
+	// IdleSince is the time at which the last request ended; zero unless the state is idle.
 	IdleSince time.Time `json:"idle_since,omitzero"`
 	Adapters  []string  `json:"adapters,omitempty"`
-	// Revision is that of the grant.
+	// Revision is the revision of the grant.
 	Revision uint64 `json:"revision"`
-	// Why gives the reason of the state.
+	// Why is the reason for the state.
 	Why string `json:"why,omitempty"`
 }
 
-// ModelStatus is one model version over all engines.
+// ModelStatus is the state of one model version across all engines.
 type ModelStatus struct {
 	// Model is "name@version".
 	Model string `json:"model"`
-	// MinReplicas, MaxReplicas and WarmReplicas are declared.
+	// MinReplicas, MaxReplicas and WarmReplicas are the declared values.
 	MinReplicas  int `json:"min_replicas"`
 	MaxReplicas  int `json:"max_replicas"`
 	WarmReplicas int `json:"warm_replicas"`
-	// Eligible counts the live engines that the selector matches.
+	// Eligible is the number of live engines that match the selector.
 	Eligible int             `json:"eligible"`
 	Replicas []ReplicaStatus `json:"replicas,omitempty"`
-	// Queued counts the requests that wait at the agents.
+	// Queued is the number of requests waiting at the agents.
 	Queued int    `json:"queued"`
 	Why    string `json:"why,omitempty"`
 }
 
-// EndpointStatus is one endpoint and its agent.
+// EndpointStatus is the state of one endpoint and its agent.
 type EndpointStatus struct {
 	Endpoint      string `json:"endpoint"`
 	Kind          string `json:"kind"`
@@ -203,7 +203,7 @@
 	Leaving       bool   `json:"leaving"`
 	Drained       bool   `json:"drained"`
 	MemoryBytes   int64  `json:"memory_bytes"`
-	// ReservedBytes is what the agent's ledger has reserved.
+	// ReservedBytes is the memory reserved in the agent's ledger.
 	ReservedBytes int64             `json:"reserved_bytes"`
 	Running       int               `json:"running"`
 	Queued        int               `json:"queued"`
@@ -217,7 +217,7 @@
 	Entry    string    `json:"entry"`
 	At       time.Time `json:"at"`
 	Revision uint64    `json:"revision"`
-	// Outage says since when the platform's table does not answer; zero when it does.
+	// Outage is the time since which the platform's table has not responded; zero if there is no outage.
 	Outage    time.Time        `json:"outage,omitzero"`
 	Models    []ModelStatus    `json:"models"`
 	Endpoints []EndpointStatus `json:"endpoints"`
--- a/internal/operator/wait.go
+++ b/internal/operator/wait.go
@@ -7,21 +7,21 @@
 	"github.com/pkg/errors"
 )
 
-// WaitInterval is the time between two looks of Wait and Settle.
+// WaitInterval is the polling interval of Wait and Settle.
 const WaitInterval = 200 * time.Millisecond
 
-// InForceReader tells where a revision is in force. Client is one.
+// InForceReader reports where a revision is in force. Client implements it.
 type InForceReader interface {
 	InForce(ctx context.Context, revision uint64) (InForce, error)
 }
 
-// OperationReader looks edits up. Client is one.
+// OperationReader looks up edits. Client implements it.
 type OperationReader interface {
 	Operation(ctx context.Context, id string) (Operation, error)
 }
 
-// Wait returns when the revision is in force in every live process, with what it saw last. When ctx ends before, it
-// fails with ErrNotInForce and returns the last answer, whose Missing names the processes.
+// Wait polls until the revision is in force in every live process and returns the last response. If ctx is done first, it
+// also returns ErrNotInForce; Missing of the last response then lists the remaining processes.
 func Wait(ctx context.Context, reader InForceReader, revision uint64) (InForce, error) {
 	last := InForce{Revision: revision}
 	for {
@@ -38,7 +38,7 @@
 	}
 }
 
-// waitError keeps the last failure to look, if any.
+// waitError returns ErrNotInForce with the last polling error, if any.
 func waitError(last error) error {
 	if last == nil {
 		return ErrNotInForce
@@ -46,7 +46,7 @@
 	return errors.Wrap(ErrNotInForce, last.Error())
 }
 
-// Settle looks an operation of unknown outcome up until it is known or ctx ends. It returns the operation as last seen.
+// Settle polls an operation of unknown outcome until the outcome is known or ctx is done. It returns the last state read.
 func Settle(ctx context.Context, reader OperationReader, id string) Operation {
 	last := Operation{OperationID: id, State: OperationUnknown}
 	for {
@@ -60,7 +60,7 @@
 	}
 }
 
-// sleep reports false when ctx ends first.
+// sleep waits for d; it returns false if ctx is done first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/process/asyncwriter.go
+++ b/internal/process/asyncwriter.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// asyncWriterLines is how many lines may wait for a reader: some four seconds of the most that a gateway logs.
-const asyncWriterLines = 4096
+// asyncWriterCapacity is the number of buffered lines: about four seconds at a gateway's maximum log rate.
+const asyncWriterCapacity = 4096
 
-// AsyncWriter writes lines in a goroutine of its own.
+// AsyncWriter writes lines in a separate goroutine.
 //
-// It guards against a reader of the logs that stops: a pipe that is full blocks whoever writes to it, and with the logger's
-// lock every request of the process. Lines that find no room are dropped, and the next one that is written says how many.
+// If the reader of the logs stops reading, writes to a full pipe block, and because of the logger's lock they would block
+// every request of the process. AsyncWriter drops lines when its buffer is full and then logs the number of dropped lines.
 type AsyncWriter struct {
 	lines chan []byte
 	done  chan struct{}
@@ -22,13 +22,13 @@
 	dropped int
 }
 
-// NewAsyncWriter returns a writer to w; Close ends it.
+// NewAsyncWriter returns a writer to w; it must be closed with Close.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
-	a := &AsyncWriter{lines: make(chan []byte, asyncWriterLines), done: make(chan struct{})}
+	a := &AsyncWriter{lines: make(chan []byte, asyncWriterCapacity), done: make(chan struct{})}
 	go func() {
 		defer close(a.done)
 		for line := range a.lines {
-			// There is nobody to tell of a failed write: this is where failures are told.
+			// A failed write of the log itself cannot be logged.
 			_, _ = w.Write(line)
 		}
 	}()
@@ -54,8 +54,8 @@
 	return len(line), nil
 }
 
-// Close waits until what was taken is written, or until giveUp is closed.
-func (a *AsyncWriter) Close(giveUp <-chan struct{}) {
+// Close waits until all buffered lines are written or abort is closed. Later writes are discarded.
+func (a *AsyncWriter) Close(abort <-chan struct{}) {
 	a.mu.Lock()
 	if !a.closed {
 		a.closed = true
@@ -64,6 +64,6 @@
 	a.mu.Unlock()
 	select {
 	case <-a.done:
-	case <-giveUp:
+	case <-abort:
 	}
 }
--- a/internal/process/asyncwriter_test.go
+++ b/internal/process/asyncwriter_test.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Story: whoever reads the logs stops reading. The pipe fills up, and without a writer of its own each request that logs a line
-// hangs until the reader is back. Lines must be lost instead, and their number told.
+// The reader of the logs stops reading and the pipe fills up. Writes must not block; lines must be dropped instead, and
+// their number logged once the reader resumes.
 func TestStoppedReaderCostsLinesOnly(t *testing.T) {
 	reader, writer := io.Pipe()
 	a := NewAsyncWriter(writer)
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		for range 2 * asyncWriterLines {
+		for range 2 * asyncWriterCapacity {
 			_, _ = a.Write([]byte("line\n"))
 		}
 	}()
 	select {
 	case <-written:
 	case <-time.After(5 * time.Second):
-		t.Fatal("writes block while nobody reads")
+		t.Fatal("Write blocked on a full pipe")
 	}
 	var got bytes.Buffer
 	read := make(chan struct{})
@@ -36,13 +36,13 @@
 		time.Sleep(time.Millisecond)
 	}
 	_, _ = a.Write([]byte("after\n"))
-	giveUp := make(chan struct{})
-	time.AfterFunc(5*time.Second, func() { close(giveUp) })
-	a.Close(giveUp)
+	abort := make(chan struct{})
+	time.AfterFunc(5*time.Second, func() { close(abort) })
+	a.Close(abort)
 	_ = writer.Close()
 	<-read
 	text := got.String()
 	if !strings.Contains(text, `"event":"log_dropped"`) || !strings.HasSuffix(text, "after\n") {
-		t.Errorf("after the reader is back the last lines are %q, want the number dropped and the new line", text[max(0, len(text)-200):])
+		t.Errorf("the last lines are %q, want the number of dropped lines and the new line", text[max(0, len(text)-200):])
 	}
 }
--- a/internal/process/doc.go
+++ b/internal/process/doc.go
@@ -1,3 +1,3 @@
-// Package process holds what every process of the product offers beside its duty: liveness, readiness with its reasons,
-// metrics, the time line over HTTP, a logger, and an HTTP server that stops without cutting a request.
+// Package process provides what all processes have in common: liveness, readiness with reasons, metrics, the timeline over
+// HTTP, a logger, and an HTTP server with graceful shutdown.
 package process
--- a/internal/process/logger.go
+++ b/internal/process/logger.go
@@ -8,30 +8,30 @@
 	"github.com/pkg/errors"
 )
 
-// LogFormat is how log records are written.
+// LogFormat is the format of log records.
 type LogFormat string
 
-// The formats of a log.
+// The log formats.
 const (
 	LogText LogFormat = "text"
 	LogJSON LogFormat = "json"
 )
 
 var (
-	// ErrLogLevel says that a log level has an unknown name.
+	// ErrLogLevel reports an unknown log level.
 	ErrLogLevel = errors.New("process: unknown log level (allowed: debug, info, warn, error)")
-	// ErrLogFormat says that a log format has an unknown name.
+	// ErrLogFormat reports an unknown log format.
 	ErrLogFormat = errors.New("process: unknown log format (allowed: text, json)")
 )
 
-// NewLogger returns a logger that writes records of the named level and above to w. It fails with ErrLogLevel or
+// NewLogger returns a logger that writes records of the named level and above to w. Its errors wrap ErrLogLevel or
 // ErrLogFormat.
 func NewLogger(level string, format LogFormat, w io.Writer) (*slog.Logger, error) {
 	parsed, err := parseLevel(level)
 	if err != nil {
 		return nil, err
 	}
-	options := &slog.HandlerOptions{Level: parsed, ReplaceAttr: plainErrors}
+	options := &slog.HandlerOptions{Level: parsed, ReplaceAttr: errorsAsMessages}
 	switch format {
 	case LogText:
 		return slog.New(slog.NewTextHandler(w, options)), nil
@@ -42,15 +42,16 @@
 	}
 }
 
-// plainErrors writes an error as its message: the stack that pkg/errors keeps would make each record a page long.
-func plainErrors(_ []string, a slog.Attr) slog.Attr {
+// errorsAsMessages replaces an error attribute by its message; otherwise the stack trace of a pkg/errors error would make
+// a record about a page long.
+func errorsAsMessages(_ []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		a.Value = slog.StringValue(err.Error())
 	}
 	return a
 }
 
-// parseLevel accepts the four plain names only, not slog's offsets such as "info+2".
+// parseLevel accepts only the four level names, not slog's offsets such as "info+2".
 func parseLevel(name string) (slog.Level, error) {
 	switch strings.ToLower(name) {
 	case "debug":
--- a/internal/process/metrics.go
+++ b/internal/process/metrics.go
@@ -9,11 +9,11 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metricsInFlight bounds the scrapes that are answered at once; more are refused with 503, so that a stuck scraper does
-// not pile up memory.
-const metricsInFlight = 4
+// maxConcurrentScrapes bounds concurrent scrapes; further ones get status 503, so that stuck scrapers do not accumulate
+// memory.
+const maxConcurrentScrapes = 4
 
-// NewRegistry returns a registry with the collectors of the Go runtime and of the process.
+// NewRegistry returns a registry with the Go runtime and process collectors.
 func NewRegistry() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -23,11 +23,11 @@
 	return registry
 }
 
-// MetricsHandler serves what the gatherer holds. A collector that fails is logged and left out of the answer.
+// MetricsHandler serves the gatherer's metrics. The error of a failed collector is logged and its metrics are omitted.
 func MetricsHandler(gatherer prometheus.Gatherer, logger *slog.Logger) http.Handler {
 	return promhttp.HandlerFor(gatherer, promhttp.HandlerOpts{
 		ErrorLog:            slog.NewLogLogger(logger.Handler(), slog.LevelWarn),
 		ErrorHandling:       promhttp.ContinueOnError,
-		MaxRequestsInFlight: metricsInFlight,
+		MaxRequestsInFlight: maxConcurrentScrapes,
 	})
 }
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -39,7 +39,7 @@
 				t.Fatal(err)
 			}
 			if got.Process != "entry-1" || len(got.Reasons) != len(c.reasons) {
-				t.Fatalf("answer %+v, want the reasons %q", got, c.reasons)
+				t.Fatalf("got %+v, want reasons %q", got, c.reasons)
 			}
 		})
 	}
@@ -114,46 +114,46 @@
 	}
 }
 
-// serving is a running Serve.
-type serving struct {
+// testServer is a running Serve call.
+type testServer struct {
 	url  string
 	stop context.CancelFunc
 	done chan error
 }
 
-func startServing(t *testing.T, handler http.HandlerFunc, options ServeOptions) *serving {
+func startServer(t *testing.T, handler http.HandlerFunc, options ServeOptions) *testServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	s := &serving{url: "http://" + listener.Addr().String(), stop: cancel, done: make(chan error, 1)}
+	s := &testServer{url: "http://" + listener.Addr().String(), stop: cancel, done: make(chan error, 1)}
 	go func() { s.done <- Serve(ctx, listener, handler, options) }()
 	return s
 }
 
-// newClient returns a client whose connections are gone at the end of the test.
+// newClient returns a client whose idle connections are closed at the end of the test.
 func newClient(t *testing.T) *http.Client {
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
 }
 
-// A process is stopped while it answers a request and while the balancer still sends it others. The first must end
-// whole; the others must be answered and told to come over another connection next time, because kept connections are
-// closed at the end and a request just sent on one would be lost.
+// A process is stopped while a request is in flight and the load balancer still sends others. The request in flight must
+// complete. The others must be answered with "Connection: close", because shutdown closes idle connections and a request
+// just sent on one would be lost.
 func TestStopCutsNoRequest(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	begun, release, stopping := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	started, release, stopping := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
-			close(begun)
+			close(started)
 			<-release
 		}
 		_, _ = io.WriteString(w, "whole")
 	}
-	s := startServing(t, handler, ServeOptions{
+	s := startServer(t, handler, ServeOptions{
 		LameDuck: 500 * time.Millisecond, OnStop: func() { close(stopping) },
 	})
 	client := newClient(t)
@@ -161,33 +161,33 @@
 	go func() {
 		body, _, err := fetch(client, s.url+"/slow")
 		if err == nil && body != "whole" {
-			err = errors.Errorf("answer %q", body)
+			err = errors.Errorf("body %q, want the complete response", body)
 		}
 		slow <- err
 	}()
-	<-begun
+	<-started
 	if _, closes, err := fetch(client, s.url); err != nil || closes {
-		t.Fatalf("before the stop: closes %v, %v; want a kept connection", closes, err)
+		t.Fatalf("before the stop: connection closed %v, error %v; want a reusable connection", closes, err)
 	}
 	s.stop()
 	<-stopping
 	if _, closes, err := fetch(client, s.url); err != nil || !closes {
-		t.Fatalf("in the lame-duck time: closes %v, %v; want an answer that closes", closes, err)
+		t.Fatalf("in the lame-duck period: connection closed %v, error %v; want a response with Connection: close", closes, err)
 	}
 	for err := error(nil); err == nil; {
-		_, _, err = fetch(client, s.url) // Until the listener is closed: the drain has begun.
+		_, _, err = fetch(client, s.url) // Repeat until the listener is closed, which means that draining has started.
 	}
 	close(release)
 	if err := <-slow; err != nil {
 		t.Fatalf("the request in flight: %v", err)
 	}
 	if err := <-s.done; err != nil {
-		t.Fatalf("stopped with %v", err)
+		t.Fatalf("Serve returned %v", err)
 	}
 	client.CloseIdleConnections()
 }
 
-// fetch returns an answer's body and whether the server closes the connection after it.
+// fetch returns a response's body and whether the server closes the connection after it.
 func fetch(client *http.Client, url string) (string, bool, error) {
 	response, err := client.Get(url)
 	if err != nil {
@@ -198,19 +198,19 @@
 	return string(body), response.Close, err
 }
 
-// A request never ends. The stop must not wait for it for ever, and must say that it was cut.
+// A request never completes. Shutdown must stop waiting for it after DrainTimeout and report ErrDrainTimeout.
 func TestDrainIsBounded(t *testing.T) {
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	handler := func(_ http.ResponseWriter, r *http.Request) {
-		close(begun)
+		close(started)
 		<-r.Context().Done()
 	}
-	s := startServing(t, handler, ServeOptions{DrainTimeout: 50 * time.Millisecond})
+	s := startServer(t, handler, ServeOptions{DrainTimeout: 50 * time.Millisecond})
 	go func() { _, _, _ = fetch(http.DefaultClient, s.url) }()
-	<-begun
+	<-started
 	s.stop()
 	if err := <-s.done; !errors.Is(err, ErrDrainTimeout) {
-		t.Fatalf("stopped with %v, want ErrDrainTimeout", err)
+		t.Fatalf("Serve returned %v, want ErrDrainTimeout", err)
 	}
 }
 
@@ -228,9 +228,9 @@
 	}
 }
 
-// A client sends half of a header and waits: it must not hold its connection for longer than the bound.
+// A client sends an incomplete header and stalls: its connection must be closed after ReadHeaderTimeout.
 func TestSlowHeaderIsCut(t *testing.T) {
-	s := startServing(t, func(http.ResponseWriter, *http.Request) {}, ServeOptions{ReadHeaderTimeout: 50 * time.Millisecond})
+	s := startServer(t, func(http.ResponseWriter, *http.Request) {}, ServeOptions{ReadHeaderTimeout: 50 * time.Millisecond})
 	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -243,7 +243,7 @@
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(conn); errors.Is(err, context.DeadlineExceeded) || isTimeout(err) {
-		t.Fatalf("the connection was held: %v", err)
+		t.Fatalf("the connection was not closed: %v", err)
 	}
 	s.stop()
 	if err := <-s.done; err != nil {
--- a/internal/process/serve.go
+++ b/internal/process/serve.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// The default bounds of Serve.
+// Default limits of Serve.
 const (
 	DefaultReadHeaderTimeout = 10 * time.Second
 	DefaultIdleTimeout       = 2 * time.Minute
@@ -20,39 +20,39 @@
 )
 
 var (
-	// ErrServe says that the server could not go on accepting.
+	// ErrServe reports that the server could no longer accept connections or could not shut down.
 	ErrServe = errors.New("process: serving failed")
-	// ErrDrainTimeout says that requests were still running when the time to drain was over, and were cut.
-	ErrDrainTimeout = errors.New("process: requests were cut at the end of the drain timeout")
+	// ErrDrainTimeout reports that requests still running at the end of the drain timeout were aborted.
+	ErrDrainTimeout = errors.New("process: requests aborted at the end of the drain timeout")
 )
 
-// ServeOptions are the settings of Serve. A zero value takes the default.
+// ServeOptions are the settings of Serve. Zero values are replaced by the defaults.
 type ServeOptions struct {
-	// ReadHeaderTimeout bounds the reading of one request's header, so that a slow sender holds no connection for long.
+	// ReadHeaderTimeout bounds reading a request's header, so that slow clients cannot hold connections.
 	ReadHeaderTimeout time.Duration
-	// IdleTimeout bounds the time for which a connection is kept between requests. It must exceed the idle timeout of
-	// the balancer in front, or the balancer may pick a connection that is being closed.
+	// IdleTimeout bounds the time for which a connection is kept open between requests. It must exceed the idle timeout
+	// of a load balancer in front; otherwise the balancer may send a request on a connection that is being closed.
 	IdleTimeout time.Duration
-	// LameDuck is the time for which a stopping server still accepts requests, so that a balancer that checks readiness
-	// sends elsewhere first. Zero means none.
+	// LameDuck is the time for which a stopping server still accepts requests, so that a load balancer that checks
+	// readiness can move traffic elsewhere first. Zero means none.
 	LameDuck time.Duration
-	// DrainTimeout bounds the time after LameDuck for which running requests are awaited.
+	// DrainTimeout bounds the wait for running requests after LameDuck.
 	DrainTimeout time.Duration
 	// MaxHeaderBytes bounds a request's header.
 	MaxHeaderBytes int
-	// OnStop is called once when the stop begins, before LameDuck; a process fails its readiness there.
+	// OnStop is called once when the shutdown begins, before LameDuck; a process reports not ready from then on.
 	OnStop func()
-	// Logger receives the server's own errors; nil discards them.
+	// Logger receives the HTTP server's errors; nil discards them.
 	Logger *slog.Logger
 }
 
-// Serve answers on the listener until ctx ends, then stops without cutting a request: it keeps accepting for LameDuck,
-// with "Connection: close" on each answer, and then waits for running requests. It closes the listener. It returns nil
-// after a clean stop, ErrDrainTimeout when requests had to be cut, or ErrServe.
+// Serve serves HTTP on the listener until ctx is done and then shuts down gracefully: it keeps accepting requests for
+// LameDuck, with "Connection: close" on each response, and then waits for running requests. It closes the listener. It
+// returns nil after a clean shutdown, ErrDrainTimeout if requests had to be aborted, or an error that wraps ErrServe.
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler, options ServeOptions) error {
 	options = options.withDefaults()
 	stopping := &atomic.Bool{}
-	server := newHTTPServer(closeWhile(stopping, handler), options)
+	server := newHTTPServer(withConnectionClose(stopping, handler), options)
 
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
@@ -101,12 +101,12 @@
 	}
 }
 
-// closeWhile asks clients to give up their connections while stopping is set.
+// withConnectionClose adds "Connection: close" to responses while stopping is set.
 //
-// It guards against a request that is lost in a planned stop: http.Server.Shutdown closes idle connections at once, and
-// a client that has just sent a request on one of them sees it reset. With "Connection: close" on the answers of the
-// lame-duck time, clients have left those connections before Shutdown runs.
-func closeWhile(stopping *atomic.Bool, next http.Handler) http.Handler {
+// http.Server.Shutdown closes idle connections immediately, so a client that has just sent a request on one of them sees a
+// reset. With "Connection: close" on the responses of the lame-duck period, clients stop reusing their connections before
+// Shutdown runs.
+func withConnectionClose(stopping *atomic.Bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if stopping.Load() {
 			w.Header().Set("Connection", "close")
@@ -115,7 +115,7 @@
 	})
 }
 
-// lameDuck waits while the server goes on accepting.
+// lameDuck waits for d while the server keeps accepting requests.
 func lameDuck(d time.Duration, failed <-chan error) error {
 	if d <= 0 {
 		return nil
@@ -130,7 +130,7 @@
 	}
 }
 
-// drain waits for running requests and cuts those that remain at the end.
+// drain waits for running requests and aborts those that remain after the timeout.
 func drain(server *http.Server, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/process/server.go
+++ b/internal/process/server.go
@@ -19,10 +19,10 @@
 	TimelinePath = timeline.Path
 )
 
-// ReadyFunc returns the reasons for which a process is not ready; none means ready. It must not block.
+// ReadyFunc returns the reasons why a process is not ready; none means ready. It must not block.
 type ReadyFunc func() []string
 
-// Readiness is the body of an answer under ReadyPath.
+// Readiness is the response body of ReadyPath.
 type Readiness struct {
 	Process string   `json:"process"`
 	Ready   bool     `json:"ready"`
@@ -31,19 +31,19 @@
 
 // Options are the settings of a Server.
 type Options struct {
-	// Name names the process in its answers.
+	// Name is the process name in responses.
 	Name string
-	// Ready tells the readiness; nil means always ready.
+	// Ready reports the readiness; nil means always ready.
 	Ready ReadyFunc
-	// Metrics is served under MetricsPath; nil leaves the path out. NewRegistry makes one.
+	// Metrics is served under MetricsPath, for example from NewRegistry; nil disables the path.
 	Metrics prometheus.Gatherer
-	// Timeline serves TimelinePath; nil leaves the path out.
+	// Timeline is served under TimelinePath; nil disables the path.
 	Timeline *timeline.Recorder
-	// Logger receives what goes wrong; nil discards it.
+	// Logger receives errors; nil discards them.
 	Logger *slog.Logger
 }
 
-// Server answers the operators' HTTP requests to one process. It implements http.Handler.
+// Server serves the operational HTTP paths of one process. It implements http.Handler.
 type Server struct {
 	options Options
 	router  chi.Router
@@ -69,17 +69,17 @@
 	return s
 }
 
-// Router returns the router, so that a process adds its own paths before it serves.
+// Router returns the router, to which a process may add its own paths before it starts serving.
 func (s *Server) Router() chi.Router { return s.router }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// health answers as long as the process can answer at all.
+// health reports that the process is alive.
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	if _, err := w.Write([]byte("ok\n")); err != nil {
-		s.options.Logger.Debug("answer not written", "path", HealthPath, "error", err)
+		s.options.Logger.Debug("writing response failed", "path", HealthPath, "error", err)
 	}
 }
 
@@ -94,6 +94,6 @@
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(answer); err != nil {
-		s.options.Logger.Debug("answer not written", "path", ReadyPath, "error", err)
+		s.options.Logger.Debug("writing response failed", "path", ReadyPath, "error", err)
 	}
 }
--- a/internal/texttable/texttable.go
+++ b/internal/texttable/texttable.go
@@ -1,4 +1,4 @@
-// Package texttable writes aligned columns for people.
+// Package texttable writes text tables with aligned columns.
 package texttable
 
 import (
@@ -10,7 +10,7 @@
 // columnPadding is the number of spaces between two columns.
 const columnPadding = 2
 
-// Table writes rows of aligned columns. It keeps the first error for Flush.
+// Table writes rows of aligned columns. Flush returns the first error.
 type Table struct {
 	writer *tabwriter.Writer
 	err    error
@@ -21,14 +21,14 @@
 	return &Table{writer: tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)}
 }
 
-// Row adds one line; tabs part the columns.
+// Row adds one formatted line; columns are separated by tabs.
 func (t *Table) Row(format string, args ...any) {
 	if t.err == nil {
 		_, t.err = fmt.Fprintf(t.writer, format+"\n", args...)
 	}
 }
 
-// Flush writes what was added and returns the first error of the writer below.
+// Flush writes the added rows and returns the first error of formatting or writing.
 func (t *Table) Flush() error {
 	if t.err == nil {
 		t.err = t.writer.Flush()
