--- a/internal/load/answer.go
+++ b/internal/load/answer.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// The bounds of what is read of an answer.
+// Limits for reading responses.
 const (
 	maxAnswerBytes = 64 << 20
 	maxErrorBytes  = 64 << 10
@@ -26,19 +26,19 @@
 	doneEvent = "[DONE]"
 )
 
-// errTruncated says that an answer ended before it was complete.
-var errTruncated = errors.New("load: truncated answer")
+// errTruncated reports that a response ended before it was complete.
+var errTruncated = errors.New("load: truncated response")
 
-// answer is what was read of a whole answer or a stream.
-type answer struct {
+// responseContent is the text and timing read from a whole response or a stream.
+type responseContent struct {
 	text strings.Builder
-	// firstToken and lastToken are when text came, and gaps the times between tokens.
+	// firstToken and lastToken are the arrival times of the first and latest token, and gaps the times between tokens.
 	firstToken, lastToken time.Time
 	gaps                  []time.Duration
 }
 
-// token notes a piece of text that came now.
-func (a *answer) token(text string) {
+// addToken records a token that has just arrived.
+func (a *responseContent) addToken(text string) {
 	now := time.Now()
 	if a.firstToken.IsZero() {
 		a.firstToken = now
@@ -49,7 +49,7 @@
 	a.text.WriteString(text)
 }
 
-// completion is the part of a chat completion, or of one event of its stream, that is looked at.
+// completion holds the fields used of a chat completion or of one event of its stream.
 type completion struct {
 	Choices []struct {
 		Delta   chatMessage `json:"delta"`
@@ -57,8 +57,9 @@
 	} `json:"choices"`
 }
 
-// readStream reads server-sent events up to the one that ends a complete answer; opened is called at the first token.
-func (a *answer) readStream(body io.Reader, opened func()) error {
+// readStream reads server-sent events up to the final event of a complete response. It calls onFirstToken at the first
+// token.
+func (a *responseContent) readStream(body io.Reader, onFirstToken func()) error {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, eventBuffer), maxEventBytes)
 	for scanner.Scan() {
@@ -68,7 +69,7 @@
 		}
 		data = bytes.TrimSpace(data)
 		if string(data) == doneEvent {
-			return drainRest(body)
+			return drain(body)
 		}
 		var event completion
 		if err := json.Unmarshal(data, &event); err != nil {
@@ -78,18 +79,18 @@
 			continue
 		}
 		if a.firstToken.IsZero() {
-			opened()
+			onFirstToken()
 		}
-		a.token(event.Choices[0].Delta.Content)
+		a.addToken(event.Choices[0].Delta.Content)
 	}
 	if err := scanner.Err(); err != nil {
 		return errors.Wrap(errTruncated, err.Error())
 	}
-	return errors.Wrap(errTruncated, "the stream ended without its last event")
+	return errors.Wrap(errTruncated, "the stream ended without the final event")
 }
 
-// drainRest reads to the end of the body: an answer is whole only if the connection says so too.
-func drainRest(body io.Reader) error {
+// drain reads to the end of the body: a response is complete only if the body ends without an error.
+func drain(body io.Reader) error {
 	if _, err := io.Copy(io.Discard, io.LimitReader(body, maxAnswerBytes)); err != nil {
 		return errors.Wrap(errTruncated, err.Error())
 	}
@@ -97,7 +98,7 @@
 }
 
 // readCompletion reads a whole chat completion.
-func (a *answer) readCompletion(body io.Reader) error {
+func (a *responseContent) readCompletion(body io.Reader) error {
 	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
 	if err != nil {
 		return errors.Wrap(errTruncated, err.Error())
@@ -107,35 +108,35 @@
 		return errors.Wrap(errTruncated, err.Error())
 	}
 	if len(whole.Choices) == 0 {
-		return errors.Wrap(errTruncated, "no choice")
+		return errors.Wrap(errTruncated, "no choices")
 	}
-	a.token(whole.Choices[0].Message.Content)
+	a.addToken(whole.Choices[0].Message.Content)
 	return nil
 }
 
-// readPlain reads the answer to a plain call.
-func (a *answer) readPlain(body io.Reader) error {
+// readPlain reads the response to a plain call.
+func (a *responseContent) readPlain(body io.Reader) error {
 	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
 	if err != nil {
 		return errors.Wrap(errTruncated, err.Error())
 	}
-	a.token(string(data))
+	a.addToken(string(data))
 	return nil
 }
 
-// read reads an answer of the kind that the call asked for.
-func (a *answer) read(call Call, body io.Reader, opened func()) error {
+// read reads a response of the kind that the call requested.
+func (a *responseContent) read(call Call, body io.Reader, onFirstToken func()) error {
 	switch {
 	case call.Target.Model == "":
 		return a.readPlain(body)
 	case call.Target.Stream:
-		return a.readStream(body, opened)
+		return a.readStream(body, onFirstToken)
 	default:
 		return a.readCompletion(body)
 	}
 }
 
-// errorBody is an error answer, in either of the usual forms.
+// errorBody is an error response, in either of the supported formats.
 type errorBody struct {
 	Code  string `json:"code"`
 	Error struct {
@@ -144,7 +145,7 @@
 	} `json:"error"`
 }
 
-// errorCode returns the code in an error answer's body, or "" when there is none.
+// errorCode returns the code in an error response's body, or "" if there is none.
 func errorCode(response *http.Response) string {
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	if err != nil {
--- a/internal/load/hold.go
+++ b/internal/load/hold.go
@@ -15,22 +15,23 @@
 // HoldOptions are the settings of Hold.
 type HoldOptions struct {
 	Options
-	// Streams is how many streams are opened, at the rate of Options, and For how long they are held once all are open.
-	// Each target must ask for enough tokens to last that long.
+	// Streams is the number of streams opened at the rate of Options, and For the time for which they are held once all
+	// are open. Each target must request enough tokens to last that long.
 	Streams int
 	For     time.Duration
-	// AllOpen is called once, when every stream has had its first token or has ended; nil calls nothing.
-	AllOpen func()
+	// OnAllOpen, if not nil, is called once every stream has received its first token or has ended.
+	OnAllOpen func()
 }
 
 // HoldReport is the result of Hold.
 type HoldReport struct {
 	Streams int `json:"streams"`
-	// Open counts the streams that were open when all had settled, and Lost those of them that ended before the run
-	// closed them.
+	// Open is the number of streams open once each had received its first token or had ended. Lost is the number of those
+	// that ended before the run canceled them.
 	Open int `json:"open_at_once"`
 	Lost int `json:"lost_while_held"`
-	// OpenedIn is the time until all had settled and HeldFor the time from then on, in seconds.
+	// OpenedIn is the time until each stream had received its first token or had ended, and HeldFor the time from then
+	// until the run canceled them, in seconds.
 	OpenedIn float64 `json:"opened_in_seconds"`
 	HeldFor  float64 `json:"held_seconds"`
 	Report
@@ -47,7 +48,7 @@
 	return r.Report.Write(w)
 }
 
-// Hold opens many streams, keeps all of them open for a time and closes them. It fails like Run.
+// Hold opens many streams, keeps them open for a time and then cancels them. Its errors are those of Run.
 func Hold(ctx context.Context, options HoldOptions) (HoldReport, error) {
 	options, err := options.check()
 	if err != nil {
@@ -55,16 +56,16 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	into := newRecording(options.Targets)
-	w := &settling{open: map[int]bool{}}
-	r := newRunner(&options.Options, into, w)
+	stats := newRunStats(options.Targets)
+	w := &streamTracker{open: map[int]bool{}}
+	r := newRunner(&options.Options, stats, w)
 	defer r.transport.CloseIdleConnections()
 
 	r.dispatch(ctx)
 	w.pending.Wait()
 	report := HoldReport{Streams: options.Streams, Open: w.count(), OpenedIn: time.Since(r.start).Seconds()}
-	if options.AllOpen != nil {
-		options.AllOpen()
+	if options.OnAllOpen != nil {
+		options.OnAllOpen()
 	}
 	begin := time.Now()
 	clock.Pause(ctx, options.For)
@@ -72,14 +73,14 @@
 	report.HeldFor = time.Since(begin).Seconds()
 	cancel()
 	r.finish()
-	report.Report = into.report(&options.Options)
+	report.Report = stats.report(&options.Options)
 	return report, nil
 }
 
-// check derives the run's duration and its bound on calls in flight from the number of streams.
+// check derives the duration, concurrency and timeout of the run from the number of streams.
 func (o HoldOptions) check() (HoldOptions, error) {
 	if o.Streams <= 0 || o.For < 0 {
-		return o, errors.Wrap(ErrOptions, "a number of streams above 0 and a time to hold them are wanted")
+		return o, errors.Wrap(ErrOptions, "the number of streams must be positive and the hold time must not be negative")
 	}
 	if o.Rate == 0 {
 		o.Rate = DefaultRate
@@ -87,9 +88,9 @@
 	o.Burst = 0
 	o.Arrivals = ArrivalsConstant
 	o.Concurrency = o.Streams
-	// Half a gap more, so that the last stream falls within the duration.
+	// Half an interval more, so that the last stream falls within the duration.
 	o.Duration = time.Duration((float64(o.Streams) + 0.5) / o.Rate * float64(time.Second))
-	// A shorter timeout would cut the streams that are to be held.
+	// A shorter timeout would abort the streams while they are held.
 	o.Timeout = max(o.Timeout, o.Duration+o.For+DefaultTimeout)
 	checked, err := o.Options.check()
 	o.Options = checked
@@ -101,24 +102,24 @@
 	return o, err
 }
 
-// settling follows which streams are open and when each has opened or ended.
-type settling struct {
+// streamTracker tracks the open streams and the streams that have neither opened nor ended yet.
+type streamTracker struct {
 	pending sync.WaitGroup
 
 	mu   sync.Mutex
 	open map[int]bool
 }
 
-func (s *settling) planned(Call) { s.pending.Add(1) }
+func (s *streamTracker) planned(Call) { s.pending.Add(1) }
 
-func (s *settling) opened(call Call) {
+func (s *streamTracker) opened(call Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open[call.Index] = true
 	s.pending.Done()
 }
 
-func (s *settling) ended(call Call) {
+func (s *streamTracker) ended(call Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.open[call.Index] {
@@ -129,7 +130,7 @@
 }
 
 // count returns how many streams are open.
-func (s *settling) count() int {
+func (s *streamTracker) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// serveOn starts a server and returns its URL.
-func serveOn(t *testing.T, handler http.HandlerFunc) string {
+// startServer starts a server and returns its URL.
+func startServer(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return server.URL
 }
 
-// event writes one token of a stream.
-func event(w http.ResponseWriter, token string) {
+// writeToken writes one token of a stream.
+func writeToken(w http.ResponseWriter, token string) {
 	fmt.Fprintf(w, "data: {\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", token)
 	_ = http.NewResponseController(w).Flush()
 }
@@ -32,8 +32,8 @@
 	}
 	stream := func(end string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
-			event(w, "ri")
-			event(w, "ght")
+			writeToken(w, "ri")
+			writeToken(w, "ght")
 			fmt.Fprint(w, end)
 		}
 	}
@@ -45,45 +45,45 @@
 	}{
 		{name: "whole served", handler: whole, want: Part{Served: 3}},
 		{name: "stream served", stream: true, handler: stream("data: [DONE]\n\n"), want: Part{Served: 3}},
-		{name: "stream without its end", stream: true, handler: stream(""), want: Part{Truncated: 3}},
+		{name: "stream without the final event", stream: true, handler: stream(""), want: Part{Truncated: 3}},
 		{
-			name: "connection cut in a stream", stream: true, want: Part{Truncated: 3},
+			name: "connection aborted within a stream", stream: true, want: Part{Truncated: 3},
 			handler: func(w http.ResponseWriter, _ *http.Request) {
-				event(w, "ri")
+				writeToken(w, "ri")
 				panic(http.ErrAbortHandler)
 			},
 		},
 		{
-			name: "connection cut after the last event", stream: true, want: Part{Truncated: 3},
+			name: "connection aborted after the final event", stream: true, want: Part{Truncated: 3},
 			handler: func(w http.ResponseWriter, _ *http.Request) {
-				event(w, "right")
+				writeToken(w, "right")
 				fmt.Fprint(w, "data: [DONE]\n\n")
 				_ = http.NewResponseController(w).Flush()
 				panic(http.ErrAbortHandler)
 			},
 		},
 		{
-			name: "whole answer cut", want: Part{Truncated: 3},
+			name: "truncated response", want: Part{Truncated: 3},
 			handler: func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Content-Length", "100")
 				fmt.Fprint(w, `{"choices":`)
 			},
 		},
 		{
-			name: "answer to another request", want: Part{Wrong: 3},
+			name: "response to another request", want: Part{Wrong: 3},
 			handler: func(w http.ResponseWriter, _ *http.Request) {
 				fmt.Fprint(w, `{"choices":[{"message":{"content":"other"}}]}`)
 			},
 		},
 		{
-			name: "no answer", want: Part{Broken: 3},
+			name: "no response", want: Part{Broken: 3},
 			handler: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 		},
 		{
-			name: "a redirect is not followed", want: Part{Refused: 3, Refusals: []CodeCount{{Status: 307, Count: 3}}},
+			name: "a redirect is not followed", want: Part{Refused: 3, Refusals: []RefusalCount{{Status: 307, Count: 3}}},
 			handler: func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path != chatPath {
-					t.Errorf("sent again to %s", r.URL)
+					t.Errorf("redirected request sent to %s", r.URL)
 				}
 				w.Header().Set("Location", "/elsewhere")
 				w.WriteHeader(http.StatusTemporaryRedirect)
@@ -91,8 +91,8 @@
 		},
 		{
 			name: "refused", want: Part{
-				Refused: 3, WithComeBack: 3,
-				Refusals: []CodeCount{{Status: 503, Code: "no_capacity", Outcome: "not_run", Count: 3}},
+				Refused: 3, WithRetryAfter: 3,
+				Refusals: []RefusalCount{{Status: 503, Code: "no_capacity", Outcome: "not_run", Count: 3}},
 			},
 			handler: func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Retry-After", "1")
@@ -105,7 +105,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			report, err := Run(t.Context(), Options{
-				URL: serveOn(t, c.handler), Burst: 3,
+				URL: startServer(t, c.handler), Burst: 3,
 				Targets:  []Target{{Model: "m", Stream: c.stream}},
 				Expected: func(Call) string { return "right" },
 			})
@@ -115,7 +115,7 @@
 			got := report.Total
 			if got.Sent != 3 || got.Served != c.want.Served || got.Truncated != c.want.Truncated ||
 				got.Wrong != c.want.Wrong || got.Broken != c.want.Broken || got.Refused != c.want.Refused ||
-				got.WithComeBack != c.want.WithComeBack || fmt.Sprint(got.Refusals) != fmt.Sprint(c.want.Refusals) {
+				got.WithRetryAfter != c.want.WithRetryAfter || fmt.Sprint(got.Refusals) != fmt.Sprint(c.want.Refusals) {
 				t.Fatalf("got %+v, want %+v", got, c.want)
 			}
 			if m := got.FirstMismatch; (m != nil) != (c.want.Wrong > 0) || m != nil && (m.Want != "right" || m.Got != "other") {
@@ -125,22 +125,22 @@
 	}
 }
 
-// An entry has stopped: what finds no connection was certainly not sent, and must not look like a request that was cut.
+// Calls that cannot connect to a stopped entry were certainly not sent and must not be counted as broken requests.
 func TestNoConnectionIsNotACutRequest(t *testing.T) {
-	gone := httptest.NewServer(nil)
-	gone.Close()
-	report, err := Run(t.Context(), Options{URL: gone.URL, Burst: 3, Targets: []Target{{Path: "/"}}})
+	stopped := httptest.NewServer(nil)
+	stopped.Close()
+	report, err := Run(t.Context(), Options{URL: stopped.URL, Burst: 3, Targets: []Target{{Path: "/"}}})
 	if err != nil || report.Total.Unreachable != 3 || report.Total.Sent != 0 || report.Total.Broken != 0 {
-		t.Fatalf("got %+v, %v; want 3 without a connection", report.Total, err)
+		t.Fatalf("got %+v, %v; want 3 unreachable", report.Total, err)
 	}
 }
 
-// A server stalls for its first answer while requests keep coming due. A closed loop would send nothing meanwhile and
-// report one slow request; the callers of an open loop all wait, and the report must say so.
+// A server stalls on its first response while further requests become due. A closed-loop generator would report a single
+// slow request; an open-loop one must include the waiting time of all requests due during the stall.
 func TestStallIsChargedToAllThatWaited(t *testing.T) {
 	const stall = 400 * time.Millisecond
 	var stalled atomic.Bool
-	url := serveOn(t, func(w http.ResponseWriter, _ *http.Request) {
+	url := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		if stalled.CompareAndSwap(false, true) {
 			time.Sleep(stall)
 		}
@@ -154,14 +154,15 @@
 		t.Fatal(err)
 	}
 	if report.Total.Served != report.Planned || report.Planned < 30 {
-		t.Fatalf("served %d of %d planned, want all of 30 and more", report.Total.Served, report.Planned)
+		t.Fatalf("served %d of %d planned, want all of at least 30", report.Total.Served, report.Planned)
 	}
 	if report.Total.FirstByte.P50 < 100 {
-		t.Fatalf("p50 to the first byte is %.1f ms: the requests that waited are not charged", report.Total.FirstByte.P50)
+		t.Fatalf("p50 to the first byte is %.1f ms, want at least 100 ms: the stall is missing from the latencies", report.Total.FirstByte.P50)
 	}
 }
 
-// A stream has to begin by its deadline and may go on; any other answer, a refusal too, has to end by it.
+// A stream must start before its deadline and may continue after it; any other response, including a refusal, must end
+// before it.
 func TestLate(t *testing.T) {
 	whole := &Target{Deadline: 100 * time.Millisecond}
 	stream := &Target{Deadline: 100 * time.Millisecond, Stream: true}
@@ -175,18 +176,18 @@
 		{"refused late", outcome{target: stream, result: ResultRefused, whole: 101 * time.Millisecond}, 1},
 		{"broken late", outcome{target: stream, result: ResultBroken, whole: 101 * time.Millisecond}, 1},
 		{
-			"stream goes on after its deadline",
+			"stream continues after its deadline",
 			outcome{target: stream, result: ResultServed, firstToken: 99 * time.Millisecond, whole: time.Second}, 0,
 		},
 		{
-			"stream begins late",
+			"stream starts late",
 			outcome{target: stream, result: ResultServed, firstToken: 101 * time.Millisecond, whole: time.Second}, 1,
 		},
 		{"no deadline", outcome{target: &Target{}, result: ResultServed, whole: time.Hour}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRecorder("")
+			r := newTargetStats("")
 			r.add(&c.outcome)
 			if r.late != c.wantLate {
 				t.Fatalf("late %d, want %d", r.late, c.wantLate)
@@ -196,7 +197,7 @@
 }
 
 func TestClassAndDeadlineAreSent(t *testing.T) {
-	url := serveOn(t, func(w http.ResponseWriter, r *http.Request) {
+	url := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		left, err := strconv.Atoi(r.Header.Get(DefaultDeadlineHeader))
 		if err != nil || left <= 0 || left > 60_000 || r.Header.Get(DefaultClassHeader) != "batch" {
 			w.WriteHeader(http.StatusBadRequest)
@@ -210,21 +211,21 @@
 	}
 }
 
-// Streams are opened and stay open. One is refused and one breaks while held: both must show, and the run must neither
-// wait for them for ever nor count them as open.
+// Many streams are held open; one is refused and one fails while held. Both must be reported, and the run must neither
+// wait for them indefinitely nor count them as held.
 func TestHoldKeepsStreamsOpen(t *testing.T) {
 	var arrived atomic.Int64
 	release := make(chan struct{})
-	url := serveOn(t, func(w http.ResponseWriter, r *http.Request) {
+	url := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		switch arrived.Add(1) {
 		case 1:
 			http.Error(w, "full", http.StatusServiceUnavailable)
 		case 2:
-			event(w, "x")
+			writeToken(w, "x")
 			<-release
 			panic(http.ErrAbortHandler)
 		default:
-			event(w, "x")
+			writeToken(w, "x")
 			<-r.Context().Done()
 		}
 	})
@@ -232,7 +233,7 @@
 	defer cancel()
 	report, err := Hold(ctx, HoldOptions{
 		Options: Options{URL: url, Rate: 1000, Targets: []Target{{Model: "m", Stream: true}}},
-		Streams: 20, For: 500 * time.Millisecond, AllOpen: func() { close(release) },
+		Streams: 20, For: 500 * time.Millisecond, OnAllOpen: func() { close(release) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -255,10 +256,10 @@
 	}
 	comparison, err := Compare(t.Context(), CompareOptions{
 		Via: Options{
-			URL: serveOn(t, answer(added, "/ledger/notices")), Rate: 100, Duration: 200 * time.Millisecond,
+			URL: startServer(t, answer(added, "/ledger/notices")), Rate: 100, Duration: 200 * time.Millisecond,
 			Targets: []Target{{Path: "/ledger/notices"}},
 		},
-		DirectURL: serveOn(t, answer(0, "/notices")), DirectPrefix: "/ledger/", Rounds: 2,
+		DirectURL: startServer(t, answer(0, "/notices")), DirectPrefix: "/ledger/", Rounds: 2,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -267,10 +268,10 @@
 	if err := comparison.Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	for _, a := range comparison.Added {
+	for _, a := range comparison.Overheads {
 		if a.Measure == "whole answer" && a.P50 >= millis(added.Microseconds())/2 && a.P50Min <= a.P50Max {
 			return
 		}
 	}
-	t.Fatalf("the added time is not shown:\n%s", text.String())
+	t.Fatalf("the report does not show the added latency:\n%s", text.String())
 }
--- a/internal/load/loopback.go
+++ b/internal/load/loopback.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// ErrNotLoopback says that a target is not on this machine's loopback interface; nothing was sent.
+// ErrNotLoopback reports that a target is not on this machine's loopback interface; nothing was sent.
 var ErrNotLoopback = errors.New("load: only loopback addresses are allowed")
 
 const (
@@ -27,7 +27,7 @@
 		return errors.Wrap(ErrOptions, err.Error())
 	}
 	if parsed.Scheme != "http" {
-		return errors.Wrapf(ErrOptions, "%q: a URL that begins with http:// is wanted", target)
+		return errors.Wrapf(ErrOptions, "%q: the URL must begin with http://", target)
 	}
 	if parsed.Hostname() == localhost {
 		return nil
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// newDialer returns a dialer that checks each address once more before it connects: "localhost" may resolve to another
-// machine, which the load must never reach.
+// newDialer returns a dialer that checks each resolved address before it connects, because "localhost" may resolve to
+// another machine, to which no load may be sent.
 func newDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: dialTimeout,
--- a/internal/load/options.go
+++ b/internal/load/options.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrOptions says that the options of a run are wrong; nothing was sent.
-var ErrOptions = errors.New("load: wrong options")
+// ErrOptions reports invalid options of a run; nothing was sent.
+var ErrOptions = errors.New("load: invalid options")
 
 // The defaults of Options.
 const (
@@ -17,50 +17,50 @@
 	DefaultConcurrency = 1000
 	DefaultTimeout     = 2 * time.Minute
 	DefaultMaxTokens   = 16
-	// DefaultClassHeader takes a class by name, DefaultDeadlineHeader a whole number of milliseconds.
+	// DefaultClassHeader carries the name of a class, DefaultDeadlineHeader a whole number of milliseconds.
 	DefaultClassHeader    = "X-Request-Class"
 	DefaultDeadlineHeader = "X-Deadline-Ms"
 )
 
-// Arrivals says how planned times follow each other.
+// Arrivals is the arrival process of planned requests.
 type Arrivals string
 
-// The kinds of arrivals.
+// The arrival processes.
 const (
-	// ArrivalsPoisson draws independent gaps, as many independent callers make them.
+	// ArrivalsPoisson draws independent, exponentially distributed gaps, as many independent callers produce.
 	ArrivalsPoisson Arrivals = "poisson"
-	// ArrivalsConstant sets equal gaps.
+	// ArrivalsConstant uses equal gaps.
 	ArrivalsConstant Arrivals = "constant"
 )
 
 // Call is one planned request.
 type Call struct {
 	Index int
-	// Target is the one with the index TargetIndex in the options.
+	// Target is Options.Targets[TargetIndex].
 	Target      *Target
 	TargetIndex int
-	// At is the planned time, from the start of the run.
+	// At is the planned time, relative to the start of the run.
 	At time.Duration
-	// Message is the text sent; it differs from call to call, so that an answer to another one shows.
+	// Message is the text sent; it is unique to the call, so that a response to another call can be detected.
 	Message string
 }
 
-// Options are the settings of a run. A zero takes the default of that name.
+// Options are the settings of a run. Zero values are replaced by the defaults.
 type Options struct {
 	// URL is the base URL to send to, with a loopback address.
 	URL     string
 	Targets []Target
-	// Rate is the number of requests a second, and Duration the time for which they are planned.
+	// Rate is the number of requests per second, and Duration the time for which they are planned.
 	Rate     float64
 	Duration time.Duration
 	Arrivals Arrivals
-	// Burst is a number of further requests that are all planned for the start.
+	// Burst is the number of additional requests planned for the start of the run.
 	Burst int
-	// Concurrency bounds the requests in flight. Those that are due while it is reached wait, and their latency grows.
+	// Concurrency bounds the requests in flight. Requests beyond it wait, which counts towards their latency.
 	Concurrency int
 	// Timeout bounds one request, from its planned time.
 	Timeout time.Duration
-	// Seed seeds the gaps and the choice among targets.
+	// Seed seeds the random gaps and the choice of targets.
 	Seed uint64
 
 	// Header is sent with each request.
@@ -68,7 +68,7 @@
 	// ClassHeader and DeadlineHeader name the headers for a target's class and deadline in milliseconds.
 	ClassHeader    string
 	DeadlineHeader string
-	// Expected returns the right text of an answer; nil leaves contents unchecked.
+	// Expected returns the expected text of a response; nil disables the check.
 	Expected func(Call) string
 }
 
@@ -78,7 +78,7 @@
 		return o, err
 	}
 	if len(o.Targets) == 0 {
-		return o, errors.Wrap(ErrOptions, "no target: a model or a path is wanted")
+		return o, errors.Wrap(ErrOptions, "no target: a model or a path is required")
 	}
 	if o.Rate < 0 || o.Duration < 0 || o.Burst < 0 || o.Concurrency < 0 || o.Timeout < 0 {
 		return o, errors.Wrap(ErrOptions, "rate, duration, burst, concurrency and timeout must not be negative")
--- a/internal/load/options_test.go
+++ b/internal/load/options_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// "localhost" may resolve to another machine: the dialer has to refuse what the check of the URL let through.
+// "localhost" passes the check of the URL but may resolve to another machine, which the dialer must reject.
 func TestDialerRefusesOtherMachines(t *testing.T) {
 	cases := []struct {
 		address string
@@ -84,7 +84,7 @@
 				call, ok := first.call()
 				again, _ := second.call()
 				if call != again {
-					t.Fatalf("the same options planned %+v and %+v", call, again)
+					t.Fatalf("the same options generated %+v and %+v", call, again)
 				}
 				if !ok {
 					break
@@ -93,7 +93,7 @@
 					zero++
 				}
 				if int(call.At) < last {
-					t.Fatalf("call %d is planned before the one before it", n)
+					t.Fatalf("call %d is planned before its predecessor", n)
 				}
 				last = int(call.At)
 				n++
@@ -118,7 +118,7 @@
 		chosen[call.TargetIndex]++
 	}
 	if share := chosen[0] / 4000; math.Abs(share-0.75) > 0.03 {
-		t.Fatalf("the target of weight 3 of 4 got a share of %.3f", share)
+		t.Fatalf("the target with weight 3 of 4 got a share of %.3f, want 0.75", share)
 	}
 }
 
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -9,25 +9,27 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of recorded times, in microseconds, and their precision.
+// The range of recorded times, in microseconds, and their precision in significant digits.
 const (
-	lowestMicros  = 1
-	highestMicros = int64(30 * time.Minute / time.Microsecond)
-	digits        = 3
+	lowestMicros      = 1
+	highestMicros     = int64(30 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// series is the distribution of one measure.
-type series struct{ histogram *hdrhistogram.Histogram }
+// distribution is the histogram of one measure.
+type distribution struct{ histogram *hdrhistogram.Histogram }
 
-func newSeries() series { return series{hdrhistogram.New(lowestMicros, highestMicros, digits)} }
+func newDistribution() distribution {
+	return distribution{hdrhistogram.New(lowestMicros, highestMicros, significantDigits)}
+}
 
-// add records a time; one above the range counts as the highest.
-func (s series) add(d time.Duration) {
+// add records a time, clamped to the range of the histogram.
+func (s distribution) add(d time.Duration) {
 	micros := min(max(d.Microseconds(), lowestMicros), highestMicros)
-	_ = s.histogram.RecordValue(micros) // Within the range by the line above.
+	_ = s.histogram.RecordValue(micros) // The clamped value is always within the range.
 }
 
-// Quantiles sums a distribution up, in milliseconds.
+// Quantiles summarizes a distribution, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -38,7 +40,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-func (s series) quantiles() Quantiles {
+func (s distribution) quantiles() Quantiles {
 	at := func(q float64) float64 { return millis(s.histogram.ValueAtQuantile(q)) }
 	return Quantiles{
 		Count: s.histogram.TotalCount(),
@@ -55,57 +57,58 @@
 	return float64(micros) / float64(time.Millisecond/time.Microsecond)
 }
 
-// refusal is what refusals are counted by.
-type refusal struct {
+// refusalKey is the key by which refusals are counted.
+type refusalKey struct {
 	status  int
 	code    string
 	outcome string
 }
 
-// recorder gathers the outcomes of one target or of all.
-type recorder struct {
-	name     string
-	counts   map[Result]int
-	refusals map[refusal]int
-	comeBack int
-	late     int
-	overrun  time.Duration
-	tokens   int
-	// mismatch is the first one.
+// targetStats collects the outcomes of one target or of all targets.
+type targetStats struct {
+	name           string
+	counts         map[Result]int
+	refusals       map[refusalKey]int
+	withRetryAfter int
+	late           int
+	worstOverrun   time.Duration
+	tokens         int
+	// mismatch is the first mismatch.
 	mismatch *Mismatch
 
-	lag, firstByte, firstByteFromSend, firstToken, betweenTokens, whole, refused series
+	sendLag, firstByte, firstByteFromSend, firstToken, betweenTokens, whole, refusedAfter distribution
 }
 
-func newRecorder(name string) *recorder {
-	return &recorder{
+func newTargetStats(name string) *targetStats {
+	return &targetStats{
 		name:              name,
 		counts:            map[Result]int{},
-		refusals:          map[refusal]int{},
-		lag:               newSeries(),
-		firstByte:         newSeries(),
-		firstByteFromSend: newSeries(),
-		firstToken:        newSeries(),
-		betweenTokens:     newSeries(),
-		whole:             newSeries(),
-		refused:           newSeries(),
+		refusals:          map[refusalKey]int{},
+		sendLag:           newDistribution(),
+		firstByte:         newDistribution(),
+		firstByteFromSend: newDistribution(),
+		firstToken:        newDistribution(),
+		betweenTokens:     newDistribution(),
+		whole:             newDistribution(),
+		refusedAfter:      newDistribution(),
 	}
 }
 
-// add records one call. Times of answers are recorded of served calls only, so that quick refusals cannot improve them.
-func (r *recorder) add(o *outcome) {
+// add records one call. Response times are recorded only for served and held calls, so that fast refusals cannot improve
+// them.
+func (r *targetStats) add(o *outcome) {
 	r.counts[o.result]++
 	if o.result == ResultUnsent {
 		return
 	}
-	r.lag.add(o.lag)
+	r.sendLag.add(o.sendLag)
 	r.addLate(o)
 	switch o.result {
 	case ResultRefused:
-		r.refusals[refusal{o.status, o.code, o.outcome}]++
-		r.refused.add(o.whole)
-		if o.comeBack {
-			r.comeBack++
+		r.refusals[refusalKey{o.status, o.code, o.outcome}]++
+		r.refusedAfter.add(o.whole)
+		if o.retryAfter {
+			r.withRetryAfter++
 		}
 	case ResultWrong:
 		r.mismatch = cmp.Or(r.mismatch, o.mismatch)
@@ -114,19 +117,19 @@
 	}
 }
 
-// addLate counts a call that was answered, whatever the answer, after its deadline.
-func (r *recorder) addLate(o *outcome) {
-	overrun := o.answered() - o.target.Deadline
+// addLate counts a call that ended, with any result, after its deadline.
+func (r *targetStats) addLate(o *outcome) {
+	overrun := o.latency() - o.target.Deadline
 	if o.target.Deadline == 0 || overrun <= 0 || o.result == ResultHeld {
 		return
 	}
 	r.late++
-	r.overrun = max(r.overrun, overrun)
+	r.worstOverrun = max(r.worstOverrun, overrun)
 }
 
-func (r *recorder) addServed(o *outcome) {
+func (r *targetStats) addServed(o *outcome) {
 	r.firstByte.add(o.firstByte)
-	r.firstByteFromSend.add(o.firstByte - o.lag)
+	r.firstByteFromSend.add(o.firstByte - o.sendLag)
 	if o.firstToken > 0 {
 		r.firstToken.add(o.firstToken)
 		r.tokens++
@@ -140,50 +143,50 @@
 	}
 }
 
-// recording gathers the outcomes of a run, or of several that are summed up. It is safe for concurrent use.
-type recording struct {
+// runStats collects the outcomes of one run or of several merged runs. It is safe for concurrent use except for merge.
+type runStats struct {
 	mu      sync.Mutex
-	total   *recorder
-	targets []*recorder
+	total   *targetStats
+	targets []*targetStats
 	planned int
 	elapsed time.Duration
 }
 
-// allTargets names the sum over all targets.
+// allTargets is the name of the total over all targets.
 const allTargets = "all"
 
-func newRecording(targets []Target) *recording {
-	r := &recording{total: newRecorder(allTargets)}
+func newRunStats(targets []Target) *runStats {
+	r := &runStats{total: newTargetStats(allTargets)}
 	for _, target := range targets {
-		r.targets = append(r.targets, newRecorder(target.Name))
+		r.targets = append(r.targets, newTargetStats(target.Name))
 	}
 	return r
 }
 
 // add records the outcome of a call to the target with the given index.
-func (r *recording) add(index int, o *outcome) {
+func (r *runStats) add(index int, o *outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.total.add(o)
 	r.targets[index].add(o)
 }
 
-// plan counts a planned call.
-func (r *recording) plan() {
+// addPlanned counts a planned call.
+func (r *runStats) addPlanned() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.planned++
 }
 
-// pass adds to the time that the runs took.
-func (r *recording) pass(d time.Duration) {
+// addElapsed adds to the total duration of the runs.
+func (r *runStats) addElapsed(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.elapsed += d
 }
 
-// merge adds another recording of the same targets, which must have ended.
-func (r *recording) merge(other *recording) {
+// merge adds the statistics of another run with the same targets. Both runs must have ended.
+func (r *runStats) merge(other *runStats) {
 	r.planned += other.planned
 	r.elapsed += other.elapsed
 	r.total.merge(other.total)
@@ -192,38 +195,38 @@
 	}
 }
 
-func (r *recorder) merge(other *recorder) {
+func (r *targetStats) merge(other *targetStats) {
 	for result, n := range other.counts {
 		r.counts[result] += n
 	}
 	for key, n := range other.refusals {
 		r.refusals[key] += n
 	}
-	r.comeBack += other.comeBack
+	r.withRetryAfter += other.withRetryAfter
 	r.late += other.late
-	r.overrun = max(r.overrun, other.overrun)
+	r.worstOverrun = max(r.worstOverrun, other.worstOverrun)
 	r.tokens += other.tokens
 	r.mismatch = cmp.Or(r.mismatch, other.mismatch)
-	from := other.all()
-	for i, s := range r.all() {
+	from := other.distributions()
+	for i, s := range r.distributions() {
 		s.histogram.Merge(from[i].histogram)
 	}
 }
 
-// all returns the recorder's distributions.
-func (r *recorder) all() []series {
-	return []series{
-		r.lag, r.firstByte, r.firstByteFromSend, r.firstToken, r.betweenTokens, r.whole, r.refused,
+// distributions returns all distributions in a fixed order.
+func (r *targetStats) distributions() []distribution {
+	return []distribution{
+		r.sendLag, r.firstByte, r.firstByteFromSend, r.firstToken, r.betweenTokens, r.whole, r.refusedAfter,
 	}
 }
 
-// sortedRefusals returns the refusals in order of status and code.
-func (r *recorder) sortedRefusals() []CodeCount {
-	var counts []CodeCount
+// sortedRefusals returns the refusal counts sorted by status, code and outcome.
+func (r *targetStats) sortedRefusals() []RefusalCount {
+	var counts []RefusalCount
 	for key, n := range r.refusals {
-		counts = append(counts, CodeCount{Status: key.status, Code: key.code, Outcome: key.outcome, Count: n})
+		counts = append(counts, RefusalCount{Status: key.status, Code: key.code, Outcome: key.outcome, Count: n})
 	}
-	slices.SortFunc(counts, func(a, b CodeCount) int {
+	slices.SortFunc(counts, func(a, b RefusalCount) int {
 		return cmp.Or(cmp.Compare(a.Status, b.Status), cmp.Compare(a.Code, b.Code), cmp.Compare(a.Outcome, b.Outcome))
 	})
 	return counts
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -10,47 +10,48 @@
 	"balsamsail/internal/texttable"
 )
 
-// ErrOutput says that a report could not be written.
-var ErrOutput = errors.New("load: report not written")
+// ErrOutput reports that a report could not be written.
+var ErrOutput = errors.New("load: writing report failed")
 
-// CodeCount counts refusals with one status, code and outcome.
-type CodeCount struct {
+// RefusalCount is the number of refusals with one status, code and outcome.
+type RefusalCount struct {
 	Status int    `json:"status"`
 	Code   string `json:"code,omitempty"`
-	// Outcome says of the call's effect, such as "not_run".
+	// Outcome states whether the call was executed, such as "not_run".
 	Outcome string `json:"outcome,omitempty"`
 	Count   int    `json:"count"`
 }
 
-// Part reports on one target or on all.
+// Part is the report on one target or on all targets.
 type Part struct {
-	Name      string      `json:"name"`
-	Sent      int         `json:"sent"`
-	Served    int         `json:"served"`
-	Held      int         `json:"held,omitempty"`
-	Refused   int         `json:"refused"`
-	Refusals  []CodeCount `json:"refusals,omitempty"`
-	Truncated int         `json:"truncated"`
-	Wrong     int         `json:"wrong_content"`
-	// Unreachable counts calls that found no connection and were not sent, Broken those that got no answer.
+	Name      string         `json:"name"`
+	Sent      int            `json:"sent"`
+	Served    int            `json:"served"`
+	Held      int            `json:"held,omitempty"`
+	Refused   int            `json:"refused"`
+	Refusals  []RefusalCount `json:"refusals,omitempty"`
+	Truncated int            `json:"truncated"`
+	Wrong     int            `json:"wrong_content"`
+	// Unreachable counts calls that could not connect and were not sent, Broken those whose connection failed before a
+	// response.
 	Unreachable int `json:"no_connection"`
 	Broken      int `json:"no_answer"`
 	TimedOut    int `json:"timed_out"`
 	Unsent      int `json:"not_sent"`
-	// FirstMismatch shows the first answer with wrong content.
+	// FirstMismatch shows the first response with wrong content.
 	FirstMismatch *Mismatch `json:"first_mismatch,omitempty"`
-	// Late counts answers of any kind after the deadline (of a stream: its first token), the worst by WorstOverrun
-	// milliseconds.
+	// Late counts calls that ended with any result after the deadline (for a stream: whose first token was late), and
+	// WorstOverrun is the maximum delay past the deadline in milliseconds.
 	Late         int     `json:"late"`
 	WorstOverrun float64 `json:"worst_overrun_ms"`
-	// WithComeBack counts refusals that say when to try again.
-	WithComeBack    int     `json:"refused_with_time_to_come_back"`
+	// WithRetryAfter counts refusals with a Retry-After header.
+	WithRetryAfter  int     `json:"refused_with_time_to_come_back"`
 	ServedPerSecond float64 `json:"served_per_second"`
 	TokensPerSecond float64 `json:"tokens_per_second"`
 
-	// SendLag is how late the load itself was in sending.
+	// SendLag is the delay between the planned and the actual send time.
 	SendLag Quantiles `json:"send_lag"`
-	// FirstByte counts from the planned time, FirstByteFromSend from the actual one.
+	// FirstByte is measured from the planned time, FirstByteFromSend from the actual send time.
 	FirstByte         Quantiles `json:"first_byte"`
 	FirstByteFromSend Quantiles `json:"first_byte_from_send"`
 	FirstToken        Quantiles `json:"first_token"`
@@ -70,11 +71,11 @@
 	// Elapsed is the time from the start to the end of the last call, in seconds.
 	Elapsed float64 `json:"elapsed_seconds"`
 	Total   Part    `json:"total"`
-	// Targets reports on each target where there are several.
+	// Targets holds the reports on single targets if there are several.
 	Targets []Part `json:"targets,omitempty"`
 }
 
-func (r *recording) report(options *Options) Report {
+func (r *runStats) report(options *Options) Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	report := Report{
@@ -94,7 +95,7 @@
 	return report
 }
 
-func (r *recorder) part(elapsed time.Duration) Part {
+func (r *targetStats) part(elapsed time.Duration) Part {
 	p := Part{
 		Name:              r.name,
 		Served:            r.counts[ResultServed],
@@ -109,15 +110,15 @@
 		Unsent:            r.counts[ResultUnsent],
 		FirstMismatch:     r.mismatch,
 		Late:              r.late,
-		WorstOverrun:      millis(r.overrun.Microseconds()),
-		WithComeBack:      r.comeBack,
-		SendLag:           r.lag.quantiles(),
+		WorstOverrun:      millis(r.worstOverrun.Microseconds()),
+		WithRetryAfter:    r.withRetryAfter,
+		SendLag:           r.sendLag.quantiles(),
 		FirstByte:         r.firstByte.quantiles(),
 		FirstByteFromSend: r.firstByteFromSend.quantiles(),
 		FirstToken:        r.firstToken.quantiles(),
 		BetweenTokens:     r.betweenTokens.quantiles(),
 		Whole:             r.whole.quantiles(),
-		RefusedAfter:      r.refused.quantiles(),
+		RefusedAfter:      r.refusedAfter.quantiles(),
 	}
 	p.Sent = p.Served + p.Held + p.Refused + p.Truncated + p.Wrong + p.Broken + p.TimedOut
 	if elapsed > 0 {
@@ -155,13 +156,13 @@
 	t.Row("served/s\t%.1f\ttokens/s\t%.1f", p.ServedPerSecond, p.TokensPerSecond)
 	for _, refusal := range p.Refusals {
 		t.Row("refused\t%d\tstatus\t%d\tcode\t%s\toutcome\t%s",
-			refusal.Count, refusal.Status, orNone(refusal.Code), orNone(refusal.Outcome))
+			refusal.Count, refusal.Status, orPlaceholder(refusal.Code), orPlaceholder(refusal.Outcome))
 	}
 	if m := p.FirstMismatch; m != nil {
 		t.Row("first wrong content: call %d, want %q, got %q", m.Call, m.Want, m.Got)
 	}
 	if p.Refused > 0 {
-		t.Row("refused with a time to come back\t%d", p.WithComeBack)
+		t.Row("refused with a time to come back\t%d", p.WithRetryAfter)
 	}
 	if p.Late > 0 {
 		t.Row("worst overrun of a deadline\t%.3f ms", p.WorstOverrun)
@@ -176,15 +177,15 @@
 	writeQuantiles(t, "send lag", p.SendLag)
 }
 
-// orNone stands in for an empty cell.
-func orNone(s string) string {
+// orPlaceholder replaces an empty cell by "-".
+func orPlaceholder(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-// writeQuantiles writes one distribution, if anything was recorded.
+// writeQuantiles writes one distribution unless it is empty.
 func writeQuantiles(t *texttable.Table, name string, q Quantiles) {
 	if q.Count > 0 {
 		t.Row("%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d", name, q.P50, q.P90, q.P99, q.P999, q.Max, q.Count)
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -15,7 +15,7 @@
 
 const chatPath = "/v1/chat/completions"
 
-// chatRequest is a chat completion request in the form that callers use.
+// chatRequest is the body of a chat completion request.
 type chatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages"`
@@ -28,8 +28,8 @@
 	Content string `json:"content"`
 }
 
-// newRequest builds the HTTP request of a call that has the given time left.
-func newRequest(ctx context.Context, options *Options, call Call, left time.Duration) (*http.Request, error) {
+// newRequest builds the HTTP request of a call with the given time remaining until its deadline.
+func newRequest(ctx context.Context, options *Options, call Call, remaining time.Duration) (*http.Request, error) {
 	method, path, body, err := content(call)
 	if err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 		request.Header.Set(options.ClassHeader, target.Class)
 	}
 	if target.Deadline > 0 {
-		request.Header.Set(options.DeadlineHeader, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
+		request.Header.Set(options.DeadlineHeader, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	}
 	return request, nil
 }
@@ -72,7 +72,7 @@
 	return http.MethodPost, chatPath, bytes.NewReader(data), nil
 }
 
-// plainBody repeats the call's message up to the length that is asked for.
+// plainBody repeats the call's message up to the target's BodyBytes.
 func plainBody(call Call) string {
 	n := call.Target.BodyBytes
 	if n == 0 {
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// The streams of the seeded random source, so that the choice of targets does not change with the arrivals.
+// Stream numbers of the seeded random source; separate streams make the choice of targets independent of the arrivals.
 const (
 	arrivalStream = 1
 	targetStream  = 2
 )
 
-// schedule plans the calls of a run, one by one. The same options give the same calls.
+// schedule generates the calls of a run one at a time. The same options generate the same calls.
 type schedule struct {
 	options  *Options
 	arrivals *rand.Rand
@@ -22,7 +22,7 @@
 	next     time.Duration
 }
 
-// newSchedule takes checked options.
+// newSchedule returns the schedule for checked options.
 func newSchedule(options *Options) *schedule {
 	s := &schedule{
 		options:  options,
@@ -36,7 +36,7 @@
 	return s
 }
 
-// call returns the next planned call, or false when there is none left.
+// call returns the next planned call, or false if there are no more.
 func (s *schedule) call() (Call, bool) {
 	at := time.Duration(0)
 	if s.index >= s.options.Burst {
@@ -58,7 +58,7 @@
 	return call, true
 }
 
-// gap returns the time between two arrivals; it is longer than the run when the rate is 0.
+// gap returns the time until the next arrival; if the rate is 0 it is the duration of the run, so that none occurs.
 func (s *schedule) gap() time.Duration {
 	if s.options.Rate == 0 {
 		return s.options.Duration
@@ -70,7 +70,7 @@
 	return time.Duration(gap)
 }
 
-// target draws the index of a target by the weights.
+// target picks a random target index, weighted by Target.Weight.
 func (s *schedule) target() int {
 	rest := s.choices.Float64() * s.weight
 	for i := range s.options.Targets {
--- a/internal/load/target.go
+++ b/internal/load/target.go
@@ -9,31 +9,32 @@
 	"github.com/pkg/errors"
 )
 
-// Target is one kind of request of a run.
+// Target is one kind of request in a run.
 type Target struct {
-	// Name names the target in the report; the model or path when empty.
+	// Name is the target's name in the report; it defaults to the model or path.
 	Name string
-	// Weight is the target's share among all targets; 0 counts as 1.
+	// Weight is the target's relative share of the requests; 0 means 1.
 	Weight float64
-	// Class and Deadline are sent in the headers that Options name; empty and 0 send none. The deadline is sent as the
-	// time left when the call leaves. A stream must begin by it, any other answer end.
+	// Class and Deadline are sent in the headers named in Options unless they are empty or 0. The header carries the time
+	// remaining when the call is sent. A stream must start before the deadline, any other response must end before it.
 	Class    string
 	Deadline time.Duration
 
-	// Model is asked for chat completions of MaxTokens tokens, as a stream or whole. Empty for a plain call.
+	// Model is the model of a chat completion of at most MaxTokens tokens, streamed if Stream is set. It is empty for a
+	// plain call.
 	Model string
-	// ServedAs is the model's name as the endpoint gets it ("name@version"); Model when empty.
+	// ServedAs is the model's name at the endpoint ("name@version"); it defaults to Model.
 	ServedAs  string
 	Stream    bool
 	MaxTokens int
 
-	// Path and Method make a plain call, with BodyBytes of body.
+	// Path and Method define a plain call with a body of BodyBytes.
 	Path      string
 	Method    string
 	BodyBytes int
 }
 
-// The settings of a target in the form that ParseTarget reads.
+// The keys accepted by ParseTarget.
 const (
 	keyWeight   = "weight"
 	keyClass    = "class"
@@ -46,8 +47,8 @@
 	keyServedAs = "served-as"
 )
 
-// ParseTarget reads a target from "MODEL,KEY=VALUE,..." or "/PATH,KEY=VALUE,...", with the keys name, weight, class,
-// deadline (a duration), stream (true or false), tokens, served-as, method and body (bytes). It fails with ErrOptions.
+// ParseTarget parses a target from "MODEL,KEY=VALUE,..." or "/PATH,KEY=VALUE,...", with the keys name, weight, class,
+// deadline (a duration), stream (true or false), tokens, served-as, method and body (bytes). Its errors wrap ErrOptions.
 func ParseTarget(text string) (Target, error) {
 	parts := strings.Split(text, ",")
 	target := Target{Model: parts[0]}
@@ -97,10 +98,10 @@
 
 func (t Target) check() (Target, error) {
 	if (t.Model == "") == (t.Path == "") {
-		return t, errors.Wrapf(ErrOptions, "target %q: either a model or a path is wanted", t.Name)
+		return t, errors.Wrapf(ErrOptions, "target %q: either a model or a path is required", t.Name)
 	}
 	if t.Weight < 0 || t.MaxTokens < 0 || t.BodyBytes < 0 || t.Deadline < 0 {
-		return t, errors.Wrapf(ErrOptions, "target %q: no setting may be negative", t.Name)
+		return t, errors.Wrapf(ErrOptions, "target %q: settings must not be negative", t.Name)
 	}
 	if t.Weight == 0 {
 		t.Weight = 1
