--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -9,22 +9,20 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of recorded times, in microseconds, and their precision in significant digits.
+// The range of recorded times, in microseconds, and their precision in significant decimal digits.
 const (
-	lowestMicros      = 1
-	highestMicros     = int64(30 * time.Minute / time.Microsecond)
-	significantDigits = 3
+	lowestMicros  = 1
+	highestMicros = int64(30 * time.Minute / time.Microsecond)
+	digits        = 3
 )
 
-// distribution is the histogram of one measure.
-type distribution struct{ histogram *hdrhistogram.Histogram }
+// timings is the distribution of one measured time.
+type timings struct{ histogram *hdrhistogram.Histogram }
 
-func newDistribution() distribution {
-	return distribution{hdrhistogram.New(lowestMicros, highestMicros, significantDigits)}
-}
+func newTimings() timings { return timings{hdrhistogram.New(lowestMicros, highestMicros, digits)} }
 
 // add records a time, clamped to the range of the histogram.
-func (s distribution) add(d time.Duration) {
+func (s timings) add(d time.Duration) {
 	micros := min(max(d.Microseconds(), lowestMicros), highestMicros)
 	_ = s.histogram.RecordValue(micros) // The clamped value is always within the range.
 }
@@ -40,7 +38,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-func (s distribution) quantiles() Quantiles {
+func (s timings) quantiles() Quantiles {
 	at := func(q float64) float64 { return millis(s.histogram.ValueAtQuantile(q)) }
 	return Quantiles{
 		Count: s.histogram.TotalCount(),
@@ -76,7 +74,7 @@
 	// mismatch is the first mismatch.
 	mismatch *Mismatch
 
-	sendLag, firstByte, firstByteFromSend, firstToken, betweenTokens, whole, refusedAfter distribution
+	sendLag, firstByte, firstByteFromSend, firstToken, betweenTokens, whole, refusedAfter timings
 }
 
 func newTargetStats(name string) *targetStats {
@@ -84,13 +82,13 @@
 		name:              name,
 		counts:            map[Result]int{},
 		refusals:          map[refusalKey]int{},
-		sendLag:           newDistribution(),
-		firstByte:         newDistribution(),
-		firstByteFromSend: newDistribution(),
-		firstToken:        newDistribution(),
-		betweenTokens:     newDistribution(),
-		whole:             newDistribution(),
-		refusedAfter:      newDistribution(),
+		sendLag:           newTimings(),
+		firstByte:         newTimings(),
+		firstByteFromSend: newTimings(),
+		firstToken:        newTimings(),
+		betweenTokens:     newTimings(),
+		whole:             newTimings(),
+		refusedAfter:      newTimings(),
 	}
 }
 
@@ -207,15 +205,15 @@
 	r.worstOverrun = max(r.worstOverrun, other.worstOverrun)
 	r.tokens += other.tokens
 	r.mismatch = cmp.Or(r.mismatch, other.mismatch)
-	from := other.distributions()
-	for i, s := range r.distributions() {
+	from := other.allTimings()
+	for i, s := range r.allTimings() {
 		s.histogram.Merge(from[i].histogram)
 	}
 }
 
-// distributions returns all distributions in a fixed order.
-func (r *targetStats) distributions() []distribution {
-	return []distribution{
+// allTimings returns all distributions in a fixed order.
+func (r *targetStats) allTimings() []timings {
+	return []timings{
 		r.sendLag, r.firstByte, r.firstByteFromSend, r.firstToken, r.betweenTokens, r.whole, r.refusedAfter,
 	}
 }
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -67,9 +67,9 @@
 		{name: "ready without a function", server: full, path: ReadyPath, wantStatus: 200, want: `"ready":true`},
 		{name: "runtime metrics", server: full, path: MetricsPath, wantStatus: 200, want: "go_goroutines"},
 		{name: "process metrics", server: full, path: MetricsPath, wantStatus: 200, want: "process_resident_memory_bytes"},
-		{name: "time line", server: full, path: TimelinePath, wantStatus: 200, want: `"kind":"process.started"`},
+		{name: "timeline", server: full, path: TimelinePath, wantStatus: 200, want: `"kind":"process.started"`},
 		{name: "no metrics given", server: bare, path: MetricsPath, wantStatus: 404},
-		{name: "no time line given", server: bare, path: TimelinePath, wantStatus: 404},
+		{name: "no timeline given", server: bare, path: TimelinePath, wantStatus: 404},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/wire/session_test.go
+++ b/internal/wire/session_test.go
@@ -101,7 +101,7 @@
 			receive(t, session.Closed(), "the session was not closed")
 			for _, e := range ended {
 				if err := receive(t, e, "a stream is still blocked"); !errors.Is(err, ErrBroken) && !errors.Is(err, ErrClosed) {
-					t.Fatalf("got %v", err)
+					t.Fatalf("got %v, want ErrBroken or ErrClosed", err)
 				}
 			}
 			// The expected time is about 0.1 s; the rest allows for a busy machine.
@@ -253,7 +253,7 @@
 			waitForFullWindow(t, writer)
 			c.end(writer, peer)
 			if err := receive(t, writing, "the writer is still blocked"); !errors.Is(err, ErrBroken) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("got %v, want ErrBroken", err)
 			}
 			_ = writer.Close()
 			receive(t, reading, "the reader is still blocked")
