--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -11,42 +11,42 @@
 	"balsamsail/internal/timeline"
 )
 
-// actions carries out the loading machine's actions and feeds their results back.
-type actions struct {
-	ctx   context.Context
-	agent *Agent
-	reads chan struct{}
-	rows  chan struct{}
-	// readID is the newest read of the engine's state that was asked for.
-	readID atomic.Uint64
+// orderExecutor executes the loading machine's actions and returns their results to the machine.
+type orderExecutor struct {
+	ctx        context.Context
+	agent      *Agent
+	readEngine chan struct{}
+	readRows   chan struct{}
+	// latestReadID identifies the latest requested read of the engine's state.
+	latestReadID atomic.Uint64
 }
 
-func newActions(ctx context.Context, a *Agent) *actions {
-	return &actions{ctx: ctx, agent: a, reads: make(chan struct{}, 1), rows: make(chan struct{}, 1)}
+func newOrderExecutor(ctx context.Context, a *Agent) *orderExecutor {
+	return &orderExecutor{ctx: ctx, agent: a, readEngine: make(chan struct{}, 1), readRows: make(chan struct{}, 1)}
 }
 
-// perform implements performer.
-func (x *actions) perform(list []loading.Action) {
+// execute implements actionExecutor.
+func (x *orderExecutor) execute(list []loading.Action) {
 	for _, action := range list {
-		x.performOne(action)
+		x.executeOne(action)
 	}
 }
 
-func (x *actions) performOne(action loading.Action) {
+func (x *orderExecutor) executeOne(action loading.Action) {
 	a := x.agent
 	switch action := action.(type) {
 	case loading.GiveOrder:
 		if isUnload(action.Order.Kind) {
 			a.unloads.enter()
 		}
-		go x.order(action)
+		go x.runOrder(action)
 	case loading.ReadEngine:
-		x.readID.Store(action.ID)
-		nudge(x.reads)
+		x.latestReadID.Store(action.ID)
+		notify(x.readEngine)
 	case loading.ReadRows:
-		nudge(x.rows)
+		notify(x.readRows)
 	case loading.AskPermit:
-		a.askPermit(action)
+		a.requestPermit(action)
 	case loading.EndPermit:
 		a.endPermit(action.ID)
 	case loading.ConfirmRelease:
@@ -56,24 +56,24 @@
 	}
 }
 
-// nudge wakes the receiver of a channel of capacity one.
-func nudge(c chan struct{}) {
+// notify wakes the receiver of a channel of capacity one.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// order gives one order and reports its result. The order is not cancelled when the agent stops: its answer would be
-// lost and the next agent would have to wait out the order's life.
-func (x *actions) order(g loading.GiveOrder) {
+// runOrder sends one order and reports its result. The order is not cancelled when the agent stops: its answer would be
+// lost, and the next agent would have to wait until the order can no longer take effect.
+func (x *orderExecutor) runOrder(g loading.GiveOrder) {
 	a := x.agent
 	if isUnload(g.Order.Kind) {
 		defer a.unloads.exit()
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), a.options.OrderTimeout)
 	defer cancel()
-	a.recordOrder(orderKinds[g.Order.Kind], g.Order, "")
+	a.recordOrder(orderEvents[g.Order.Kind], g.Order, "")
 	began := a.clock.Now()
 	err := a.engine.Do(ctx, g.Order)
 	took := a.clock.Now().Sub(began)
@@ -81,7 +81,7 @@
 	if err != nil {
 		a.logger.Warn("order failed", "kind", g.Order.Kind, "model", g.Order.Model, "adapter", g.Order.Adapter, "error", err)
 	}
-	a.recordOrder(resultKind(g.Order.Kind, err), g.Order, detail(err))
+	a.recordOrder(resultEvent(g.Order.Kind, err), g.Order, errorText(err))
 	a.core.step(loading.OrderDone{ID: g.Order.ID, Err: err})
 }
 
@@ -89,16 +89,16 @@
 	return kind == endpoint.OrderUnload || kind == endpoint.OrderUnloadAdapter
 }
 
-// orderKinds maps orders to the events of their sending.
-var orderKinds = map[endpoint.OrderKind]timeline.Kind{
+// orderEvents maps each kind of order to the timeline event recorded when it is sent.
+var orderEvents = map[endpoint.OrderKind]timeline.Kind{
 	endpoint.OrderLoad:          timeline.LoadOrdered,
 	endpoint.OrderLoadAdapter:   timeline.LoadOrdered,
 	endpoint.OrderUnload:        timeline.UnloadOrdered,
 	endpoint.OrderUnloadAdapter: timeline.UnloadOrdered,
 }
 
-// resultKind is the event of an order's end.
-func resultKind(kind endpoint.OrderKind, err error) timeline.Kind {
+// resultEvent returns the timeline event for the result of an order.
+func resultEvent(kind endpoint.OrderKind, err error) timeline.Kind {
 	load := kind == endpoint.OrderLoad || kind == endpoint.OrderLoadAdapter
 	unknown := errors.Is(err, endpoint.ErrOutcomeUnknown)
 	switch {
@@ -125,69 +125,69 @@
 	a.recorder.Record(timeline.Event{Kind: kind, Model: model, Endpoint: a.options.Endpoint, Detail: detail})
 }
 
-func detail(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-// runEngineReads reads the engine's state whenever the machine asks.
+// runEngineReads reads the engine's state whenever the machine asks for it.
 //
-// Each answer names the read that was asked for when it began. After a long freeze the machine asks again for a read that
-// is still under way, and both are made. Without the name the second one, which nobody waits for, would pass for the
-// answer to the next question, although it began before: a model whose load had ended in between would count as absent,
-// and its memory would be handed out twice.
+// Each result carries the ID of the latest read requested when it began. After a long freeze the machine asks again
+// while a read is still in flight, and both are executed. Without the ID, the result of the second, which nothing waits
+// for, would be taken as the answer to the next request although it began earlier: a model whose load finished in
+// between would count as absent, and its memory would be assigned twice.
 func (a *Agent) runEngineReads(ctx context.Context) {
-	x := a.core.perform.(*actions)
-	nudge(x.reads)
-	var watch engineWatch
+	x := a.core.executor.(*orderExecutor)
+	notify(x.readEngine)
+	var monitor engineMonitor
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-x.reads:
+		case <-x.readEngine:
 		}
-		id := x.readID.Load()
+		id := x.latestReadID.Load()
 		readCtx, cancel := context.WithTimeout(ctx, a.options.OrderTimeout)
 		state, err := a.engine.State(readCtx)
 		cancel()
 		if err != nil {
-			a.logger.Debug("engine state not read", "error", err)
-			watch.lost(a)
+			a.logger.Debug("reading the engine state failed", "error", err)
+			monitor.recordLost(a)
 			a.core.step(loading.EngineLost{ID: id})
 			continue
 		}
-		watch.read(a, state.Incarnation)
+		monitor.recordRead(a, state.Incarnation)
 		a.core.step(loading.EngineRead{ID: id, State: state})
 	}
 }
 
-// engineWatch tells the time line when the engine is lost, is back, or has restarted.
-type engineWatch struct {
-	missing     bool
+// engineMonitor records in the timeline when the engine becomes unreachable, is reachable again, or has restarted.
+type engineMonitor struct {
+	unreachable bool
 	incarnation string
 }
 
-func (w *engineWatch) lost(a *Agent) {
-	if !w.missing {
+func (w *engineMonitor) recordLost(a *Agent) {
+	if !w.unreachable {
 		a.recorder.Record(timeline.Event{Kind: timeline.EngineLost, Endpoint: a.options.Endpoint})
 	}
-	w.missing = true
+	w.unreachable = true
 }
 
-func (w *engineWatch) read(a *Agent, incarnation string) {
-	if w.missing || w.incarnation == "" {
+func (w *engineMonitor) recordRead(a *Agent, incarnation string) {
+	if w.unreachable || w.incarnation == "" {
 		a.recorder.Record(timeline.Event{Kind: timeline.EngineRead, Endpoint: a.options.Endpoint, Detail: incarnation})
 	}
 	if w.incarnation != "" && w.incarnation != incarnation {
 		a.recorder.Record(timeline.Event{Kind: timeline.EngineRestarted, Endpoint: a.options.Endpoint, Detail: incarnation})
 	}
-	w.missing = false
+	w.unreachable = false
 	w.incarnation = incarnation
 }
 
-// runProbe checks that a plain service answers.
+// runProbe periodically checks whether a plain service is up.
 func (a *Agent) runProbe(ctx context.Context) {
 	timer := a.clock.NewTimer(0)
 	defer timer.Stop()
@@ -197,7 +197,7 @@
 			return
 		case <-timer.C():
 		}
-		a.core.setUp(a.probe(ctx))
+		a.core.setServiceUp(a.probe(ctx))
 		timer.Reset(a.options.ProbeInterval)
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,8 +1,9 @@
-// Package agent is the process beside one endpoint: the only one that gives the endpoint orders. It queues the requests
-// that entries offer, loads and unloads models within the granted slots, and drains when the endpoint leaves.
+// Package agent implements the process that runs beside one endpoint and is the only one that sends it orders. It
+// queues the requests that entries offer, loads and unloads models within the granted slots, and drains when the
+// endpoint leaves.
 //
-// core joins the deciding slices under one lock; the rest of the package is the shell around it: request streams,
-// control streams, orders, and the reads of the engine's state and of the table.
+// core combines the admission queue and the loading state machine under one lock, without I/O. The rest of the package
+// does the I/O around it: request streams, control streams, orders, and reads of the engine's state and of the table.
 package agent
 
 import (
@@ -27,7 +28,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// ErrDrainTimeout says that requests were still running when the time for draining was over.
+// ErrDrainTimeout is returned when requests were still running at the end of the drain timeout.
 var ErrDrainTimeout = errors.New("agent: requests still running at the end of the drain time")
 
 // The kinds of endpoints.
@@ -44,36 +45,37 @@
 	Labels         map[string]string
 	// Host is the identifier of the host in the platform's list.
 	Host string
-	// OperatorAddress is where the agent serves metrics and the time line, told to the entries.
+	// OperatorAddress is where the agent serves metrics and the timeline. It is reported to the entries.
 	OperatorAddress string
-	// Incarnation rises with each start of the agent.
+	// Incarnation increases with each start of the agent.
 	Incarnation uint64
-	// Capacity is how many requests run at once where nothing else is declared.
+	// Capacity is the concurrency limit of a target that declares none.
 	Capacity int
 	Queue    admission.Options
-	// LongestHold bounds how long a batch request waits for others before it wakes a model.
+	// LongestHold is the longest time a batch request for a model that is not loaded is held so that one load serves
+	// several requests.
 	LongestHold time.Duration
 	Loading     loading.Options
 	Wire        wire.Options
 	// HeartbeatInterval is the longest time between batches on a control stream.
 	HeartbeatInterval time.Duration
-	// BatchDelay is how long changes are gathered before a batch is sent.
+	// BatchDelay is how long changes are collected before a batch is sent.
 	BatchDelay time.Duration
-	// OrderTimeout bounds the wait for an order's answer.
+	// OrderTimeout bounds an order and a read of the engine's state.
 	OrderTimeout time.Duration
-	// ProbeInterval is the time between checks that a plain service answers.
+	// ProbeInterval is the time between health checks of a plain service.
 	ProbeInterval time.Duration
 	// CommitTimeout bounds the wait for an entry's commit after Ready.
 	CommitTimeout time.Duration
-	// MaxAnswer bounds the time of one answer once begun.
+	// MaxAnswer bounds the duration of one endpoint call.
 	MaxAnswer time.Duration
-	// DrainTimeout bounds the wait for running requests at a stop.
+	// DrainTimeout bounds the wait for running requests during a shutdown.
 	DrainTimeout time.Duration
-	// TableRetry is the time between reads of the grants while the table does not answer.
+	// TableRetry is the delay between attempts to read the grants while the table is unavailable.
 	TableRetry time.Duration
 }
 
-// Dependencies are what an Agent works with.
+// Dependencies are the collaborators of an Agent.
 type Dependencies struct {
 	Engine     endpoint.Engine
 	Caller     endpoint.Caller
@@ -85,14 +87,14 @@
 	Recorder   *timeline.Recorder
 }
 
-// IdlePolicy is a loading.IdlePolicy whose weights the operators declare.
+// IdlePolicy is a loading.IdlePolicy with adjustable weights, which operators declare.
 type IdlePolicy interface {
 	loading.IdlePolicy
-	// SetWeights sets the cost of a second of a cold start and of a second in which an accelerator idles.
+	// SetWeights sets the cost of one second of cold start and of one second of an idle accelerator.
 	SetWeights(coldStart, idle float64)
 }
 
-// Agent is the process beside one endpoint.
+// Agent runs beside one endpoint and is the only process that sends it orders.
 type Agent struct {
 	options  Options
 	engine   endpoint.Engine
@@ -106,18 +108,20 @@
 	core     *core
 	receiver *declarations.Receiver
 	requests inflight
-	// unloads are the unload orders on their way.
+	// unloads counts the unload orders in flight.
 	unloads inflight
-	// calls ends when the time to drain is over: a call that hangs at the endpoint must not hold the stop up any longer.
-	calls context.Context
-	// offers counts the offers, to tell them from each other.
-	offers atomic.Uint64
+	// callsCtx is the parent context of endpoint calls. It is cancelled when the drain has ended or timed out, so that
+	// a hanging call cannot delay the shutdown further.
+	callsCtx context.Context
+	// offerCount numbers the offers, to make their queue keys unique.
+	offerCount atomic.Uint64
 
-	// declaring is held while declarations are put in force.
-	declaring sync.Mutex
+	// declareMu is held while declarations are received and applied to the core.
+	declareMu sync.Mutex
 
 	mu sync.Mutex
-	// streams are the control streams. An entry that gave one up may have another one here before the first has ended.
+	// streams are the open control streams. An entry that reconnects may have a second one here before the first has
+	// ended.
 	streams  map[*controlStream]struct{}
 	released map[string]uint64
 }
@@ -143,11 +147,12 @@
 	}
 	a.core = newCore(d.Clock, admission.NewQueue(o.Queue), machine, d.Policy, o.Capacity)
 	a.core.longestHold = o.LongestHold
-	a.core.changed = a.stir
+	a.core.onChange = a.wakeWriters
 	return a
 }
 
-// Ready returns nil once the agent knows its endpoint's state and takes offers, else what is missing.
+// Ready returns nil once the state of the endpoint has been read and offers are accepted, otherwise the missing
+// conditions.
 func (a *Agent) Ready() []string {
 	if a.core.isReady() {
 		return nil
@@ -155,28 +160,28 @@
 	return []string{"the endpoint's state is not known yet"}
 }
 
-// Leave stops the taking of new work; what runs is finished. It may be called more than once.
+// Leave stops accepting new work; running requests finish. It may be called more than once.
 func (a *Agent) Leave() {
 	a.recorder.Record(timeline.Event{Kind: timeline.DrainStarted, Endpoint: a.options.Endpoint})
 	a.core.leave()
 }
 
-// Run serves on the listener until ctx ends, then drains: it takes no new work, lets running requests end within the
-// drain time, and returns.
+// Run serves on the listener until ctx is done and then drains: it accepts no new work, waits up to the drain timeout
+// for running requests, and returns.
 //
-// The listener must have been made without address reuse among processes: that no second agent gives the same endpoint
-// orders rests on the kernel, which lets only one process hold the address for as long as that process exists, frozen or
-// not. So nothing is ordered before the listener is held.
+// The listener must not share its address with other processes (no SO_REUSEPORT). The kernel lets only one process hold
+// the address for as long as that process exists, even while it is frozen, and this is what prevents a second agent
+// from sending orders to the same endpoint. Hence no order is sent before the listener is held.
 func (a *Agent) Run(ctx context.Context, listener net.Listener) error {
 	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopServing()
-	calls, cutCalls := context.WithCancel(context.WithoutCancel(ctx))
-	a.calls = calls
-	a.core.perform = newActions(serving, a)
+	callsCtx, cancelCalls := context.WithCancel(context.WithoutCancel(ctx))
+	a.callsCtx = callsCtx
+	a.core.executor = newOrderExecutor(serving, a)
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	defer stopServing()
-	defer cutCalls()
+	defer cancelCalls()
 	served := make(chan error, 1)
 	tasks.Go(func() { served <- wire.Serve(serving, listener, a.options.Wire, a.logger, a.serveStream) })
 	tasks.Go(func() { a.runTimer(serving) })
@@ -190,7 +195,7 @@
 	return a.drain()
 }
 
-// start begins the reads that the endpoint's kind needs.
+// start begins the background reads that the endpoint's kind needs.
 func (a *Agent) start(ctx context.Context, tasks *sync.WaitGroup) {
 	if a.options.Kind == KindService {
 		tasks.Go(func() { a.runProbe(ctx) })
@@ -201,16 +206,16 @@
 	tasks.Go(func() { a.runRowReads(ctx) })
 }
 
-// drainLinger is how long connections are kept after the last answer was written. A connection that is closed with
-// unread input, such as a heartbeat on its way, is reset, and a reset may overtake the answer's last bytes.
+// drainLinger is how long connections are kept open after the last answer was written. Closing a connection with unread
+// input, such as a heartbeat in transit, resets it, and the reset may discard the last bytes of the answer.
 const drainLinger = 500 * time.Millisecond
 
-// drain waits for the running requests.
+// drain waits for the running requests to finish.
 func (a *Agent) drain() error {
 	timer := a.clock.NewTimer(a.options.DrainTimeout)
 	defer timer.Stop()
 	select {
-	case <-a.requests.empty():
+	case <-a.requests.drained():
 	case <-timer.C():
 		return ErrDrainTimeout
 	}
@@ -222,14 +227,14 @@
 	return nil
 }
 
-// awaitUnloads waits for the unloads that are on their way, as long as there is time. One that reached an engine without a
-// check of fencing numbers after the next agent has begun to serve would cut that agent's requests. Loads cut nothing, and
-// would hold the stop up for long.
+// awaitUnloads waits for the unload orders in flight until the drain timeout. If an unload reached an engine that does
+// not check fencing tokens after the next agent had begun to serve, it would abort that agent's requests. Loads abort
+// nothing and would delay the shutdown for long, so they are not awaited.
 func (a *Agent) awaitUnloads(timer clock.Timer) {
 	select {
-	case <-a.unloads.empty():
+	case <-a.unloads.drained():
 	case <-timer.C():
-		a.logger.Warn("stopped with an unload on its way")
+		a.logger.Warn("stopping with unload orders still in flight")
 	}
 }
 
@@ -243,13 +248,13 @@
 	case wirepb.StreamKind_CONTROL:
 		a.serveControl(ctx, header, stream)
 	default:
-		a.logger.Warn("stream of an unknown kind", "kind", header.Kind, "entry", header.Entry)
+		a.logger.Warn("stream of unknown kind", "kind", header.Kind, "entry", header.Entry)
 	}
 }
 
-// runTimer lets time pass in the core.
+// runTimer periodically expires requests and ticks the loading machine.
 func (a *Agent) runTimer(ctx context.Context) {
-	const longest = 250 * time.Millisecond
+	const maxInterval = 250 * time.Millisecond
 	timer := a.clock.NewTimer(0)
 	defer timer.Stop()
 	var meter idleMeter
@@ -260,19 +265,19 @@
 		case <-timer.C():
 		}
 		meter.observe(a.clock.Now(), a.core.status(), a.metrics.addIdle)
-		wait := longest
+		wait := maxInterval
 		if next := a.core.expire(); !next.IsZero() {
-			wait = min(longest, max(time.Millisecond, next.Sub(a.clock.Now())))
+			wait = min(maxInterval, max(time.Millisecond, next.Sub(a.clock.Now())))
 		}
 		timer.Reset(wait)
 	}
 }
 
-// stir wakes the control streams' writers.
-func (a *Agent) stir() {
+// wakeWriters wakes the writers of all control streams.
+func (a *Agent) wakeWriters() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for s := range a.streams {
-		s.stir()
+		s.wakeWriter()
 	}
 }
--- a/internal/agent/body.go
+++ b/internal/agent/body.go
@@ -5,8 +5,9 @@
 	"sync"
 )
 
-// bodyReader is the request's body as it arrives in frames. It holds at most one frame: add blocks until the endpoint has
-// taken the one before, so that a slow endpoint slows the caller and not the agent's memory grows.
+// bodyReader reads a request's body as it arrives in frames. It buffers at most one frame: add blocks until the
+// endpoint has read the previous one, so that a slow endpoint applies backpressure to the caller instead of growing the
+// agent's memory.
 type bodyReader struct {
 	mu   sync.Mutex
 	cond *sync.Cond
@@ -21,8 +22,8 @@
 	return b
 }
 
-// add hands on one frame's data. What comes after the end is dropped: it is no part of the body, and waiting for room that
-// an endpoint with its whole body never makes would hold the reader of the frames for ever.
+// add appends the data of one frame. Data after the end of the body is dropped: the endpoint has read the whole body
+// and reads no more, so waiting for space would block the frame reader forever.
 func (b *bodyReader) add(data []byte, done bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -55,7 +56,7 @@
 		b.cond.Wait()
 	}
 	if len(b.data) == 0 {
-		return 0, b.end()
+		return 0, b.endError()
 	}
 	n := copy(p, b.data)
 	b.data = b.data[n:]
@@ -65,14 +66,14 @@
 	return n, nil
 }
 
-func (b *bodyReader) end() error {
+func (b *bodyReader) endError() error {
 	if b.err != nil {
 		return b.err
 	}
 	return io.EOF
 }
 
-// Close implements io.Closer: the endpoint's client wants no more of the body.
+// Close implements io.Closer. The HTTP client calls it when it reads no more of the body.
 func (b *bodyReader) Close() error {
 	b.fail(io.ErrClosedPipe)
 	return nil
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -14,7 +14,8 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// maxPendingPerKind bounds what waits for a slow entry; the oldest are dropped, because the machine repeats them.
+// maxPendingPerKind bounds the messages of each kind that are pending for a slow entry. The oldest are dropped, because
+// the machine repeats them.
 const maxPendingPerKind = 1024
 
 // controlStream is the control stream of one entry.
@@ -26,8 +27,8 @@
 	mu      sync.Mutex
 	pending wirepb.ControlUp
 
-	// sent is what the entry was last told and sentAt when. They belong to the writer.
-	sent   statusMemo
+	// sent is the status last sent to the entry and sentAt the time of that batch. Only the writer goroutine uses them.
+	sent   sentStatus
 	sentAt time.Time
 }
 
@@ -35,49 +36,49 @@
 	return &controlStream{entry: header.Entry, incarnation: header.Incarnation, wake: make(chan struct{}, 1)}
 }
 
-func (s *controlStream) stir() { nudge(s.wake) }
+func (s *controlStream) wakeWriter() { notify(s.wake) }
 
-// queue adds to the next batch.
-func (s *controlStream) queue(add func(*wirepb.ControlUp)) {
+// enqueue adds to the next batch.
+func (s *controlStream) enqueue(add func(*wirepb.ControlUp)) {
 	s.mu.Lock()
 	add(&s.pending)
-	trim(&s.pending)
+	dropOldest(&s.pending)
 	s.mu.Unlock()
-	s.stir()
+	s.wakeWriter()
 }
 
-// acknowledge notes the highest batch that was applied. It rides on the next batch: one of its own would answer each
-// heartbeat.
+// acknowledge records the sequence number of the last batch received. It is sent with the next batch; a separate
+// acknowledgement would double the heartbeats.
 func (s *controlStream) acknowledge(sequence uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pending.Acknowledged = sequence
 }
 
-// hasQueued reports whether the next batch carries more than the agent's status.
-func (s *controlStream) hasQueued() bool {
+// hasPending reports whether the next batch carries more than the agent's status.
+func (s *controlStream) hasPending() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := &s.pending
 	return len(p.PermitRequests)+len(p.PermitsDone)+len(p.Releases)+len(p.Wanted)+len(p.Rows) > 0 || p.Snapshot != nil || p.WantSnapshot
 }
 
-// patience is how long a batch may wait after a stir: not at all when it tells of more than load, to the next heartbeat
-// (reported as false) when it tells nothing.
-func (s *controlStream) patience(status *wirepb.Status, now time.Time) (time.Duration, bool) {
-	found := s.sent.compare(status)
+// sendDelay returns how long the next batch may be delayed after a wake-up: zero if more than load has changed. It
+// returns false if nothing has changed and the batch can wait for the next heartbeat.
+func (s *controlStream) sendDelay(status *wirepb.Status, now time.Time) (time.Duration, bool) {
+	change := s.sent.compare(status)
 	switch {
-	case found == newsState || s.hasQueued():
+	case change == changeState || s.hasPending():
 		return 0, true
-	case found == newsLoad:
+	case change == changeLoad:
 		return max(0, loadReportInterval-now.Sub(s.sentAt)), true
 	default:
 		return 0, false
 	}
 }
 
-// trim drops the oldest of what has grown beyond its bound.
-func trim(up *wirepb.ControlUp) {
+// dropOldest drops the oldest messages of each kind beyond the limit.
+func dropOldest(up *wirepb.ControlUp) {
 	up.PermitRequests = newest(up.PermitRequests)
 	up.PermitsDone = newest(up.PermitsDone)
 	up.Releases = newest(up.Releases)
@@ -91,8 +92,8 @@
 	return list[len(list)-maxPendingPerKind:]
 }
 
-// take returns the queued parts of the next batch.
-func (s *controlStream) take() *wirepb.ControlUp {
+// takePending removes and returns the pending parts of the next batch.
+func (s *controlStream) takePending() *wirepb.ControlUp {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	up := &wirepb.ControlUp{
@@ -115,12 +116,12 @@
 	return up
 }
 
-// serveControl runs one entry's control stream.
+// serveControl runs one control stream of an entry.
 //
-// An agent that goes on after a freeze takes up the connections that an entry made and gave up meanwhile, in any order,
-// together with the one that works. Were the streams kept by entry, one that is about to end could take the place of the
-// working one and leave with it: the entry would be told the agent's status and never again a release, a wish for a slot or
-// that a permit is wanted, and the only replica of a model could not be moved.
+// Streams are kept individually, not by entry. After a freeze an agent may accept connections that an entry made and
+// abandoned meanwhile, in any order and together with the live one. In a map keyed by entry, a stale stream could
+// replace the live one and remove it at its end: the entry would then get the agent's status but no releases, slot
+// requests or permit requests, and the only replica of a model could not be moved.
 func (a *Agent) serveControl(ctx context.Context, header *wirepb.StreamHeader, stream *wire.Stream) {
 	s := newControlStream(header)
 	stream.SetLimit(wire.MaxControlBytes)
@@ -144,23 +145,23 @@
 	a.logger.Info("control stream ended", "entry", header.Entry, "error", err)
 }
 
-// readControl takes an entry's batches until the stream ends. Entries heartbeat; silence means a frozen entry or a cut
-// link.
+// readControl applies an entry's batches until the stream ends. Entries send heartbeats; if none arrives, the entry is
+// frozen or the connection is broken.
 func (a *Agent) readControl(s *controlStream, stream *wire.Stream) error {
-	const silentHeartbeats = 4
+	const maxMissedHeartbeats = 4
 	for {
-		_ = stream.SetReadDeadline(time.Now().Add(silentHeartbeats * a.options.HeartbeatInterval))
+		_ = stream.SetReadDeadline(time.Now().Add(maxMissedHeartbeats * a.options.HeartbeatInterval))
 		down := &wirepb.ControlDown{}
 		if err := stream.Read(down); err != nil {
 			return err
 		}
 		a.recorder.Clock().Observe(down.Clock)
-		a.applyDown(s, down)
+		a.applyBatch(s, down)
 	}
 }
 
-// applyDown carries out one batch.
-func (a *Agent) applyDown(s *controlStream, down *wirepb.ControlDown) {
+// applyBatch applies one batch of an entry.
+func (a *Agent) applyBatch(s *controlStream, down *wirepb.ControlDown) {
 	s.acknowledge(down.Sequence)
 	a.applyDeclarations(s, down)
 	for _, row := range down.Rows {
@@ -173,18 +174,18 @@
 		a.Leave()
 	}
 	if down.WantState {
-		a.answerState(s)
+		a.sendState(s)
 	}
 }
 
-// applyDeclarations takes in snapshots and deltas; the receiver ignores what is not above the revision it holds.
+// applyDeclarations applies snapshots and deltas; the receiver ignores revisions that are not newer than its own.
 //
-// Each entry sends every revision, and its stream has a goroutine of its own. The lock keeps one that has taken a
-// revision and not yet declared it from being overtaken: it would declare the older set last, and the agent would act on
-// a revision that was replaced until the next edit.
+// Every entry sends every revision, and each stream has its own goroutine. Receiving a revision and declaring it to the
+// core must be atomic: otherwise a goroutine with an older set could declare it after a newer one, and the agent would
+// use the replaced revision until the next edit.
 func (a *Agent) applyDeclarations(s *controlStream, down *wirepb.ControlDown) {
-	a.declaring.Lock()
-	defer a.declaring.Unlock()
+	a.declareMu.Lock()
+	defer a.declareMu.Unlock()
 	changed := false
 	if down.Snapshot != nil {
 		changed = a.receiver.ApplySnapshot(down.Snapshot)
@@ -193,10 +194,10 @@
 		applied, gap := a.receiver.ApplyDelta(d)
 		changed = changed || applied
 		if err := a.receiver.Err(); err != nil {
-			a.logger.Error("declarations cannot be read", "error", err)
+			a.logger.Error("adopting declarations from an entry failed", "error", err)
 		}
 		if gap {
-			s.queue(func(up *wirepb.ControlUp) { up.WantSnapshot = true })
+			s.enqueue(func(up *wirepb.ControlUp) { up.WantSnapshot = true })
 		}
 	}
 	if !changed {
@@ -207,7 +208,7 @@
 	a.recorder.Record(timeline.Event{Kind: timeline.DeclarationApplied, Detail: revisionText(set.Revision())})
 }
 
-// applyPermit hands a permit or its denial to the machine.
+// applyPermit passes a granted or denied permit to the machine.
 func (a *Agent) applyPermit(p *wirepb.Permit) {
 	now := a.clock.Now()
 	kind := timeline.PermitDenied
@@ -222,61 +223,62 @@
 	a.core.step(loading.PermitDenied{ID: p.Id, RetryAt: now.Add(micros(p.RetryAfterMicros))})
 }
 
-// answerState sends what the agent holds to an entry that cannot read the table.
-func (a *Agent) answerState(s *controlStream) {
+// sendState sends the agent's declarations and grants to an entry that cannot read the table.
+func (a *Agent) sendState(s *controlStream) {
 	snapshot := a.receiver.Snapshot()
 	rows := a.core.rows()
-	s.queue(func(up *wirepb.ControlUp) {
+	s.enqueue(func(up *wirepb.ControlUp) {
 		up.Snapshot = snapshot
 		up.Rows = rows
 	})
 }
 
-// writeControl sends batches when something changed and as heartbeats. What tells only of load waits for more of its kind.
+// writeControl sends a batch when something has changed and as a heartbeat. Batches that carry only load are delayed to
+// merge several changes.
 func (a *Agent) writeControl(ctx context.Context, s *controlStream, stream *wire.Stream) {
 	heartbeat := time.NewTicker(a.options.HeartbeatInterval)
 	defer heartbeat.Stop()
-	s.stir()
-	var held <-chan time.Time
+	s.wakeWriter()
+	var delayed <-chan time.Time
 	for {
-		stirred := false
+		woken := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-heartbeat.C:
-		case <-held:
+		case <-delayed:
 		case <-s.wake:
-			stirred = true
+			woken = true
 			clock.Pause(ctx, a.options.BatchDelay)
 		}
 		status := a.status()
-		if stirred {
-			wait, due := s.patience(status, time.Now())
-			if due && wait > 0 && held == nil {
-				held = time.After(wait)
+		if woken {
+			wait, due := s.sendDelay(status, time.Now())
+			if due && wait > 0 && delayed == nil {
+				delayed = time.After(wait)
 			}
 			if !due || wait > 0 {
 				continue
 			}
 		}
-		held = nil
+		delayed = nil
 		if err := a.sendBatch(s, stream, status); err != nil {
 			return
 		}
 	}
 }
 
-// sendBatch sends what is queued and what of the status the entry was not told.
+// sendBatch sends the pending messages and the changes of the status since the last batch.
 func (a *Agent) sendBatch(s *controlStream, stream *wire.Stream, status *wirepb.Status) error {
-	up := s.take()
+	up := s.takePending()
 	up.Clock = a.recorder.Clock().Now()
-	up.Status = s.sent.change(status)
+	up.Status = s.sent.delta(status)
 	s.sentAt = time.Now()
 	return stream.Write(up)
 }
 
-// wait waits for d on the agent's clock or the end of ctx.
-func (a *Agent) wait(ctx context.Context, d time.Duration) {
+// sleep waits for d on the agent's clock or until ctx is done.
+func (a *Agent) sleep(ctx context.Context, d time.Duration) {
 	timer := a.clock.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -287,18 +289,18 @@
 
 func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// broadcast queues something for every connected entry.
+// broadcast enqueues a message for every connected entry.
 func (a *Agent) broadcast(add func(*wirepb.ControlUp)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for s := range a.streams {
-		s.queue(add)
+		s.enqueue(add)
 	}
 }
 
-// issuer returns the entry that hands out permits to this agent: the highest of the connected ones by rendezvous
-// hashing, so that agents with the same connections ask the same entry.
-func (a *Agent) issuer() *controlStream {
+// permitIssuer returns the control stream of the entry that issues permits to this agent: the one with the highest
+// rendezvous hash among the connected entries, so that agents with the same connections choose the same entry.
+func (a *Agent) permitIssuer() *controlStream {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var best *controlStream
@@ -311,9 +313,10 @@
 	return best
 }
 
-// askPermit asks the issuer for a permit. Without one the machine's patience runs out and the load starts all the same.
-func (a *Agent) askPermit(action loading.AskPermit) {
-	s := a.issuer()
+// requestPermit asks the issuer for a permit. If there is no issuer or no answer, the machine starts the load without a
+// permit after a timeout.
+func (a *Agent) requestPermit(action loading.AskPermit) {
+	s := a.permitIssuer()
 	if s == nil {
 		return
 	}
@@ -326,7 +329,7 @@
 	a.recorder.Record(timeline.Event{
 		Kind: timeline.PermitAsked, Model: action.Model, Endpoint: a.options.Endpoint, Detail: action.ID,
 	})
-	s.queue(func(up *wirepb.ControlUp) { up.PermitRequests = append(up.PermitRequests, request) })
+	s.enqueue(func(up *wirepb.ControlUp) { up.PermitRequests = append(up.PermitRequests, request) })
 }
 
 func (a *Agent) endPermit(id string) {
@@ -338,8 +341,8 @@
 	a.broadcast(func(up *wirepb.ControlUp) { up.Releases = append(up.Releases, release) })
 }
 
-// wantSlot asks for another slot. Under overload each refusal asks for one, so that wishes for the same are counted
-// together until the next batch.
+// wantSlot asks for another slot. Under overload each refusal asks for one, so identical requests are merged until the
+// next batch and counted in Demand.
 func (a *Agent) wantSlot(action loading.WantSlot) {
 	a.broadcast(func(up *wirepb.ControlUp) {
 		for _, w := range up.Wanted {
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -11,47 +11,47 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// decision is what becomes of a waiting request: it starts, or it is refused.
+// decision is the outcome for a waiting request: it starts, or it is refused.
 type decision struct {
 	refusal *admission.Refusal
 	cold    bool
 }
 
-// waiting is a request in the agent's queue.
-type waiting struct {
+// pendingRequest is a request in the agent's queue.
+type pendingRequest struct {
 	request admission.Request
 	decided chan decision
 	// cold is set when the target could not run at once.
 	cold bool
-	// wakeAt is until when a batch request waits for others before it wakes its model.
-	wakeAt time.Time
+	// holdUntil is when a held batch request is reported to the machine at the latest, so that its model is loaded.
+	holdUntil time.Time
 }
 
-// newWaiting returns a request that has not been offered to the core yet.
-func newWaiting(r admission.Request) *waiting {
-	return &waiting{request: r, decided: make(chan decision, 1)}
+// newPendingRequest returns a request that has not been offered to the core yet.
+func newPendingRequest(r admission.Request) *pendingRequest {
+	return &pendingRequest{request: r, decided: make(chan decision, 1)}
 }
 
-// decide delivers the decision; only the first one counts.
-func (w *waiting) decide(d decision) {
+// deliver hands the decision to the exchange; only the first one counts.
+func (w *pendingRequest) deliver(d decision) {
 	select {
 	case w.decided <- d:
 	default:
 	}
 }
 
-// performer carries out the machine's actions. It is called without the core's lock and must not block.
-type performer interface {
-	perform(actions []loading.Action)
+// actionExecutor executes the machine's actions. It is called without the core's lock and must not block.
+type actionExecutor interface {
+	execute(actions []loading.Action)
 }
 
-// core joins the queue of waiting requests with the loading machine: one lock, no I/O.
+// core combines the queue of waiting requests with the loading machine under one lock, without I/O.
 type core struct {
 	clock    clock.Clock
-	perform  performer
-	changed  func()
+	executor actionExecutor
+	onChange func()
 	capacity int
-	// longestHold bounds how long a batch request waits for others before it wakes a model.
+	// longestHold is the longest time a batch request is held so that one load serves several requests.
 	longestHold time.Duration
 
 	mu      sync.Mutex
@@ -60,75 +60,77 @@
 	machine *loading.Machine
 	policy  IdlePolicy
 	limits  map[string]int
-	waiting map[string]*waiting
-	// held are the waiting batch requests that the machine was not told of yet.
-	held    map[string]*waiting
-	running map[string]admission.Target
-	busy    map[admission.Target]int
-	usable  map[admission.Target]bool
-	leaving bool
-	up      bool
+	waiting map[string]*pendingRequest
+	// held are the waiting batch requests that have not been reported to the machine yet.
+	held            map[string]*pendingRequest
+	running         map[string]admission.Target
+	runningByTarget map[admission.Target]int
+	usable          map[admission.Target]bool
+	leaving         bool
+	serviceUp       bool
 }
 
-// newCore returns the core of an engine's agent, or of a plain service's when machine is nil.
+// newCore returns the core of an engine's agent, or of a plain service's agent when machine is nil.
 func newCore(c clock.Clock, queue *admission.Queue, machine *loading.Machine, policy IdlePolicy, capacity int) *core {
 	return &core{
-		clock:    c,
-		queue:    queue,
-		times:    admission.NewServiceTimes(),
-		machine:  machine,
-		policy:   policy,
-		capacity: capacity,
-		limits:   map[string]int{},
-		waiting:  map[string]*waiting{},
-		held:     map[string]*waiting{},
-		running:  map[string]admission.Target{},
-		busy:     map[admission.Target]int{},
-		usable:   map[admission.Target]bool{},
+		clock:           c,
+		queue:           queue,
+		times:           admission.NewServiceTimes(),
+		machine:         machine,
+		policy:          policy,
+		capacity:        capacity,
+		limits:          map[string]int{},
+		waiting:         map[string]*pendingRequest{},
+		held:            map[string]*pendingRequest{},
+		running:         map[string]admission.Target{},
+		runningByTarget: map[admission.Target]int{},
+		usable:          map[admission.Target]bool{},
 	}
 }
 
-// offer takes a request into the queue or refuses it at once.
-func (c *core) offer(w *waiting) *admission.Refusal {
+// offer queues a request or refuses it at once.
+func (c *core) offer(w *pendingRequest) *admission.Refusal {
 	c.mu.Lock()
 	refusal, actions := c.offerLocked(w)
 	c.mu.Unlock()
-	c.perform.perform(actions)
-	c.changed()
+	c.executor.execute(actions)
+	c.onChange()
 	return refusal
 }
 
-func (c *core) offerLocked(w *waiting) (*admission.Refusal, []loading.Action) {
+func (c *core) offerLocked(w *pendingRequest) (*admission.Refusal, []loading.Action) {
 	now := c.clock.Now()
 	r := w.request
-	if refusal := c.unavailable(r); refusal != nil {
+	if refusal := c.checkAvailable(r); refusal != nil {
 		return refusal, nil
 	}
 	displaced, refusal := c.queue.Offer(now, r, c.estimate(r.Target))
 	actions := c.refuseAll(displaced)
 	if refusal != nil {
-		c.doubt(r.Target, refusal)
-		return refusal, append(actions, c.overloaded(r.Target, refusal.Reason)...)
+		c.decayServiceTimes(r.Target, refusal)
+		return refusal, append(actions, c.wantSlotIfOverloaded(r.Target, refusal.Reason)...)
 	}
 	w.cold = !c.isUsable(r.Target)
 	c.waiting[r.ID] = w
-	return nil, append(actions, c.demand(now, w)...)
+	return nil, append(actions, c.enqueueDemand(now, w)...)
 }
 
-// doubt lets the times of a target fade by which a request was refused although nothing runs or waits before it.
-func (c *core) doubt(t admission.Target, refusal *admission.Refusal) {
+// decayServiceTimes lowers the observed service times of a target when a request is refused for its deadline although
+// nothing runs or waits ahead of it. Without new requests nothing else would correct an outdated estimate.
+func (c *core) decayServiceTimes(t admission.Target, refusal *admission.Refusal) {
 	alone := c.runningOf(t) == 0 && c.queue.Waiting(t) == 0
 	if alone && refusal.Reason == wirepb.RefusalReason_DEADLINE {
 		c.times.Fade(t)
 	}
 }
 
-// unavailable refuses a request that this endpoint cannot take whatever its queue.
-func (c *core) unavailable(r admission.Request) *admission.Refusal {
+// checkAvailable returns a refusal for a request that this endpoint cannot take whatever the state of its queue,
+// otherwise nil.
+func (c *core) checkAvailable(r admission.Request) *admission.Refusal {
 	if c.leaving {
 		return &admission.Refusal{ID: r.ID, Reason: wirepb.RefusalReason_LEAVING, Detail: "the endpoint is leaving"}
 	}
-	if c.machine == nil && !c.up {
+	if c.machine == nil && !c.serviceUp {
 		return &admission.Refusal{
 			ID:         r.ID,
 			Reason:     wirepb.RefusalReason_ENDPOINT_UNREACHABLE,
@@ -142,7 +144,7 @@
 	return nil
 }
 
-// cancel takes a waiting request away; it reports whether the request was still waiting, that is, certainly not run.
+// cancel removes a waiting request. It reports whether the request was still waiting and thus was certainly not run.
 func (c *core) cancel(id string) bool {
 	c.mu.Lock()
 	_, ok := c.waiting[id]
@@ -151,11 +153,11 @@
 		actions = c.removeLocked(id)
 	}
 	c.mu.Unlock()
-	c.perform.perform(actions)
+	c.executor.execute(actions)
 	return ok
 }
 
-// removeLocked takes a waiting request out of the queue and its demand out of the machine.
+// removeLocked removes a waiting request from the queue and its demand from the machine.
 func (c *core) removeLocked(id string) []loading.Action {
 	delete(c.waiting, id)
 	delete(c.held, id)
@@ -166,7 +168,7 @@
 	return c.stepLocked(c.clock.Now(), loading.DemandGone{Request: id})
 }
 
-// step gives the machine an event.
+// step passes an event to the machine and executes the resulting actions.
 func (c *core) step(e loading.Event) {
 	if c.machine == nil {
 		return
@@ -174,11 +176,11 @@
 	c.mu.Lock()
 	actions := c.stepLocked(c.clock.Now(), e)
 	c.mu.Unlock()
-	c.perform.perform(actions)
-	c.changed()
+	c.executor.execute(actions)
+	c.onChange()
 }
 
-// stepLocked gives the machine an event, applies the actions that concern the queue and returns all of them.
+// stepLocked passes an event to the machine, applies the actions that concern the queue and returns all of them.
 func (c *core) stepLocked(now time.Time, e loading.Event) []loading.Action {
 	actions := c.machine.Step(now, e)
 	for _, a := range actions {
@@ -187,13 +189,13 @@
 	return actions
 }
 
-// applyLocked carries out an action on the queue.
+// applyLocked applies an action to the queue.
 func (c *core) applyLocked(now time.Time, a loading.Action) []loading.Action {
 	switch a := a.(type) {
 	case loading.Usable:
 		target := admission.Target{Model: a.Model, Adapter: a.Adapter}
 		c.usable[target] = true
-		return c.pump(now)
+		return c.dispatch(now)
 	case loading.Unusable:
 		c.setUnusable(a)
 	case loading.RefuseDemand:
@@ -210,16 +212,16 @@
 	}
 }
 
-// refuseDemand refuses the waiting requests that an action names.
+// refuseDemand refuses the waiting requests that match an action.
 func (c *core) refuseDemand(a loading.RefuseDemand) {
 	for id, w := range c.waiting {
-		if !concerns(a, w.request) {
+		if !refusalMatches(a, w.request) {
 			continue
 		}
 		delete(c.waiting, id)
 		delete(c.held, id)
 		c.queue.Remove(id)
-		w.decide(decision{refusal: &admission.Refusal{
+		w.deliver(decision{refusal: &admission.Refusal{
 			ID:         id,
 			Reason:     a.Reason,
 			RetryAfter: a.RetryAfter,
@@ -228,8 +230,8 @@
 	}
 }
 
-// concerns reports whether a refusal of demand is meant for a request.
-func concerns(a loading.RefuseDemand, r admission.Request) bool {
+// refusalMatches reports whether a refusal of demand applies to a request.
+func refusalMatches(a loading.RefuseDemand, r admission.Request) bool {
 	if a.Request != "" {
 		return a.Request == r.ID
 	}
@@ -237,7 +239,7 @@
 	return t.Model == a.Model && (a.Adapter == "" || t.Adapter == a.Adapter)
 }
 
-// refuseAll delivers refusals that the queue decided and withdraws their demands.
+// refuseAll delivers the refusals decided by the queue and withdraws the demand of the refused requests.
 func (c *core) refuseAll(refusals []admission.Refusal) []loading.Action {
 	var actions []loading.Action
 	for _, r := range refusals {
@@ -246,15 +248,15 @@
 			continue
 		}
 		refusal := r
-		w.decide(decision{refusal: &refusal})
+		w.deliver(decision{refusal: &refusal})
 		actions = append(actions, c.removeLocked(r.ID)...)
-		actions = append(actions, c.overloaded(w.request.Target, r.Reason)...)
+		actions = append(actions, c.wantSlotIfOverloaded(w.request.Target, r.Reason)...)
 	}
 	return actions
 }
 
-// overloaded asks for another slot when a loaded replica has more to do than it can do in time.
-func (c *core) overloaded(t admission.Target, reason wirepb.RefusalReason) []loading.Action {
+// wantSlotIfOverloaded asks for another slot when a loaded replica refused a request because it is at capacity.
+func (c *core) wantSlotIfOverloaded(t admission.Target, reason wirepb.RefusalReason) []loading.Action {
 	full := reason == wirepb.RefusalReason_QUEUE_FULL || reason == wirepb.RefusalReason_DEADLINE
 	if c.machine == nil || !full || !c.isUsable(t) {
 		return nil
@@ -262,26 +264,26 @@
 	return []loading.Action{loading.WantSlot{Model: t.Model, Reason: reason}}
 }
 
-// expire refuses what cannot be served in time any more and lets the machine's time pass. It returns when it is needed
-// next.
+// expire refuses requests that can no longer meet their deadlines, releases held batch requests and ticks the machine.
+// It returns when it must be called next; the zero time means that nothing is scheduled.
 func (c *core) expire() time.Time {
 	c.mu.Lock()
 	now := c.clock.Now()
 	actions := c.refuseAll(c.queue.Expire(now, c.estimate))
 	next := c.queue.Wake()
 	if c.machine != nil {
-		woken, wakeNext := c.wakeDue(now)
-		actions = append(actions, woken...)
+		released, nextRelease := c.releaseHeld(now)
+		actions = append(actions, released...)
 		actions = append(actions, c.stepLocked(now, loading.Tick{})...)
-		next = earlier(next, wakeNext)
+		next = earlier(next, nextRelease)
 		next = earlier(next, c.machine.NextDeadline())
 	}
 	c.mu.Unlock()
-	c.perform.perform(actions)
+	c.executor.execute(actions)
 	return next
 }
 
-// earlier returns the earlier of two times, of which the zero time is none.
+// earlier returns the earlier of two times, where the zero time means none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -289,7 +291,7 @@
 	return a
 }
 
-// leave refuses what waits and takes nothing more; what runs goes on.
+// leave refuses all waiting and later requests; running requests continue.
 func (c *core) leave() {
 	c.mu.Lock()
 	if c.leaving {
@@ -302,28 +304,28 @@
 		actions = append(actions, c.stepLocked(c.clock.Now(), loading.Leaving{})...)
 	}
 	c.mu.Unlock()
-	c.perform.perform(actions)
-	c.changed()
+	c.executor.execute(actions)
+	c.onChange()
 }
 
-// setUp notes whether a plain service answers. What waited while it did not starts when it does again: nothing else would
-// start it where nothing runs and nobody comes.
-func (c *core) setUp(up bool) {
+// setServiceUp records whether a plain service is up. When it comes up again, requests that waited meanwhile are
+// dispatched here, because nothing else would dispatch them if no request runs or arrives.
+func (c *core) setServiceUp(up bool) {
 	c.mu.Lock()
-	changed := c.up != up
-	c.up = up
+	changed := c.serviceUp != up
+	c.serviceUp = up
 	var actions []loading.Action
 	if changed && up {
-		actions = c.pump(c.clock.Now())
+		actions = c.dispatch(c.clock.Now())
 	}
 	c.mu.Unlock()
-	c.perform.perform(actions)
+	c.executor.execute(actions)
 	if changed {
-		c.changed()
+		c.onChange()
 	}
 }
 
-// declare takes in new declarations.
+// declare applies new declarations.
 func (c *core) declare(set *declarations.Set) {
 	c.mu.Lock()
 	c.limits = concurrencyLimits(set)
@@ -331,10 +333,10 @@
 	c.policy.SetWeights(limits.GetColdStartWeight(), limits.GetIdleWeight())
 	var actions []loading.Action
 	if c.machine != nil {
-		actions = c.stepLocked(c.clock.Now(), specsOf(set))
+		actions = c.stepLocked(c.clock.Now(), loadingSpecs(set))
 	}
-	actions = append(actions, c.pump(c.clock.Now())...)
+	actions = append(actions, c.dispatch(c.clock.Now())...)
 	c.mu.Unlock()
-	c.perform.perform(actions)
-	c.changed()
+	c.executor.execute(actions)
+	c.onChange()
 }
--- a/internal/agent/core_property_test.go
+++ b/internal/agent/core_property_test.go
@@ -14,7 +14,7 @@
 	"balsamsail/internal/endpoint"
 )
 
-// coreOp is one random thing that befalls a core; pick chooses among what is there.
+// coreOp is a random operation on a core; pick selects among the possible arguments.
 type coreOp struct {
 	kind coreOpKind
 	pick int
@@ -26,18 +26,18 @@
 	opOffer coreOpKind = iota
 	opCancel
 	opFinish
-	opPass
-	opDrift
+	opAdvance
+	opAdvanceUnnoticed
 	opComplete
-	opSilence
+	opToggleEngine
 	opRestart
 	opGrant
-	opPermits
+	opTogglePermits
 	opLeave
 )
 
-// weights are how often each kind comes.
-var weights = []int{opOffer: 40, opCancel: 10, opFinish: 20, opPass: 12, opDrift: 12, opComplete: 14, opSilence: 2, opRestart: 1, opGrant: 3, opPermits: 2, opLeave: 1}
+// weights are the relative frequencies of the kinds.
+var weights = []int{opOffer: 40, opCancel: 10, opFinish: 20, opAdvance: 12, opAdvanceUnnoticed: 12, opComplete: 14, opToggleEngine: 2, opRestart: 1, opGrant: 3, opTogglePermits: 2, opLeave: 1}
 
 func genCoreOps(leave bool) gopter.Gen {
 	var kinds []any
@@ -55,14 +55,14 @@
 	return gen.SliceOfN(120, op)
 }
 
-// failProperty makes gopter show the operations that led here.
+// failProperty panics, so that gopter prints the operations that led to the failure.
 func failProperty(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
 
-// choose takes an item of a list by a random number.
+// choose selects an item of a list by a random number.
 func choose[T any](pick int, list ...T) T { return list[pick%len(list)] }
 
-// withOutcome returns the requests that stand as told, in order.
-func (r *coreRig) withOutcome(wanted string) []string {
+// withOutcome returns the sorted IDs of the requests with an outcome.
+func (r *coreHarness) withOutcome(wanted string) []string {
 	var ids []string
 	for id := range r.requests {
 		if r.outcome(id) == wanted {
@@ -73,8 +73,8 @@
 	return ids
 }
 
-// do lets one random thing happen.
-func (r *coreRig) do(op coreOp) {
+// apply executes one random operation.
+func (r *coreHarness) apply(op coreOp) {
 	switch op.kind {
 	case opOffer:
 		r.offerRandom(op.pick)
@@ -86,43 +86,43 @@
 		if ids := r.withOutcome(outcomeStarted); len(ids) > 0 {
 			r.finish(choose(op.pick, ids...))
 		}
-	case opPass:
-		r.pass(choose(op.pick, time.Millisecond, 20*time.Millisecond, 300*time.Millisecond, 2*time.Second, 10*time.Minute))
-	case opDrift:
-		// The core is not told at once that time has passed.
+	case opAdvance:
+		r.advance(choose(op.pick, time.Millisecond, 20*time.Millisecond, 300*time.Millisecond, 2*time.Second, 10*time.Minute))
+	case opAdvanceUnnoticed:
+		// Time passes without a timer event at the core.
 		r.clock.now = r.clock.now.Add(choose(op.pick, time.Millisecond, 20*time.Millisecond, time.Second))
 	case opComplete:
-		r.completeRandom(op.pick)
-	case opSilence:
-		r.engine.silent = !r.engine.silent
+		r.completeRandomOrder(op.pick)
+	case opToggleEngine:
+		r.engine.unreachable = !r.engine.unreachable
 	case opRestart:
 		r.engine.incarnation += "'"
 		clear(r.engine.loaded)
 	case opGrant:
 		r.grant(choose(op.pick, "a@1", "b@1"), op.pick%3 > 0)
-	case opPermits:
-		r.withheld = !r.withheld
+	case opTogglePermits:
+		r.withholdPermits = !r.withholdPermits
 	case opLeave:
 		r.core.leave()
 	}
-	r.answer()
+	r.answerPending()
 }
 
-func (r *coreRig) offerRandom(pick int) {
-	changes := []request{
-		choose(pick, of("a@1", ""), of("a@1", ""), of("b@1", ""), of("a@1", "x"), of("c@1", "")),
-		choose(pick/5, due(20*time.Millisecond), due(time.Second), due(time.Minute), due(4*time.Hour)),
+func (r *coreHarness) offerRandom(pick int) {
+	changes := []requestOption{
+		choose(pick, forModel("a@1", ""), forModel("a@1", ""), forModel("b@1", ""), forModel("a@1", "x"), forModel("c@1", "")),
+		choose(pick/5, withDeadline(20*time.Millisecond), withDeadline(time.Second), withDeadline(time.Minute), withDeadline(4*time.Hour)),
 		func(q *admission.Request) { q.Caller = choose(pick/20, "x", "y", "z") },
 	}
 	if pick/60%3 == 0 {
-		changes = append(changes, batch)
+		changes = append(changes, inBatch)
 	}
-	r.offers++
-	r.offer(fmt.Sprintf("%04d", r.offers), changes...)
+	r.offerCount++
+	r.offer(fmt.Sprintf("%04d", r.offerCount), changes...)
 }
 
-// completeRandom ends an order; one without a definite result may have been carried out.
-func (r *coreRig) completeRandom(pick int) {
+// completeRandomOrder ends an order; one with an unknown outcome may have been executed.
+func (r *coreHarness) completeRandomOrder(pick int) {
 	if len(r.orders) == 0 {
 		return
 	}
@@ -130,13 +130,13 @@
 	r.orders[0], r.orders[i] = r.orders[i], r.orders[0]
 	err := choose(pick/8, nil, nil, nil, nil, endpoint.ErrLoadFailed, endpoint.ErrOutcomeUnknown, endpoint.ErrOutcomeUnknown, endpoint.ErrNoMemory)
 	if err == endpoint.ErrOutcomeUnknown && pick/64%2 == 0 {
-		r.carryOut(r.orders[0])
+		r.applyOrder(r.orders[0])
 	}
-	r.complete(err)
+	r.completeOrder(err)
 }
 
-// empty ends all that waits and runs, and verifies that nothing of it stays behind.
-func (r *coreRig) empty() {
+// endAll ends all waiting and running requests and verifies that the core holds no state of them any more.
+func (r *coreHarness) endAll() {
 	for _, id := range r.withOutcome(outcomeWaiting) {
 		r.cancel(id)
 	}
@@ -145,8 +145,8 @@
 	}
 	r.check()
 	c := r.core
-	if left := len(c.waiting) + len(c.held) + len(c.running) + len(c.busy) + c.queue.Len(); left > 0 {
-		r.fail("%d things left behind: %v %v %v %v", left, c.waiting, c.held, c.running, c.busy)
+	if left := len(c.waiting) + len(c.held) + len(c.running) + len(c.runningByTarget) + c.queue.Len(); left > 0 {
+		r.fail("%d entries leaked: waiting %v, held %v, running %v, counts %v", left, c.waiting, c.held, c.running, c.runningByTarget)
 	}
 	for _, replica := range c.machine.Status(r.clock.now).Replicas {
 		if replica.Running > 0 {
@@ -155,10 +155,10 @@
 	}
 }
 
-// servesAgain verifies that after all faults a request for each model is served: an order that got lost between machine
-// and engine would keep its model from ever loading.
-func (r *coreRig) servesAgain() {
-	r.engine.silent, r.withheld = false, false
+// checkRecovers verifies that after all faults a request for each model is served: an order lost between machine and
+// engine would prevent its model from ever being loaded.
+func (r *coreHarness) checkRecovers() {
+	r.engine.unreachable, r.withholdPermits = false, false
 	for _, model := range []string{"a@1", "b@1"} {
 		r.grant(model, true)
 		id := "last of " + model
@@ -169,11 +169,11 @@
 			if o := r.outcomes[id]; r.requests[id] == nil || o != outcomeWaiting && o != "" {
 				delete(r.requests, id)
 				delete(r.outcomes, id)
-				r.offer(id, of(model, ""), due(time.Hour))
+				r.offer(id, forModel(model, ""), withDeadline(time.Hour))
 			}
-			r.completeAll()
-			r.pass(5 * time.Second)
-			r.completeAll()
+			r.completeOrders()
+			r.advance(5 * time.Second)
+			r.completeOrders()
 		}
 		r.finish(id)
 	}
@@ -181,9 +181,10 @@
 
 const propertyRuns = 100
 
-// Requests come, are withdrawn, end and expire while loads end well or badly, the engine falls silent or restarts, slots
-// come and go and, perhaps, the endpoint leaves. Whatever the order, each caller is told one thing, no replica runs more
-// than it may, nothing starts late, and nothing stays behind: a place that leaks is lost to all later callers.
+// Requests are offered, withdrawn, finished and expired while loads succeed or fail, the engine becomes unreachable or
+// restarts, slots are granted and revoked and, in some cases, the endpoint leaves. In any order of events each request
+// must get exactly one outcome, no replica may exceed its concurrency limit, nothing may start after its deadline, and
+// no state may leak: leaked concurrency is lost to all later requests.
 func TestCoreProperty(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -191,7 +192,7 @@
 		hold  time.Duration
 		leave bool
 	}{
-		{"roomy queue", admission.Options{MaxWaiting: 100}, 0, false},
+		{"large queue", admission.Options{MaxWaiting: 100}, 0, false},
 		{"small queue", admission.Options{MaxWaiting: 4, MaxPerTarget: 3, MaxPerCaller: 2}, 0, false},
 		{"held batch requests", admission.Options{MaxWaiting: 8}, 15 * time.Minute, false},
 		{"leaving", admission.Options{MaxWaiting: 8}, 15 * time.Minute, true},
@@ -201,16 +202,16 @@
 			parameters := gopter.DefaultTestParametersWithSeed(int64(i + 1))
 			parameters.MinSuccessfulTests = propertyRuns
 			properties := gopter.NewProperties(parameters)
-			properties.Property("nothing is told twice, runs beyond its limit, or stays behind", prop.ForAll(func(ops []coreOp) bool {
-				r := newCoreRig(failProperty, c.queue)
+			properties.Property("one outcome for each request, limits are kept, and nothing leaks", prop.ForAll(func(ops []coreOp) bool {
+				r := newCoreHarness(failProperty, c.queue)
 				r.core.longestHold = c.hold
 				for _, op := range ops {
-					r.do(op)
+					r.apply(op)
 					r.check()
 				}
-				r.empty()
+				r.endAll()
 				if !r.core.leaving {
-					r.servesAgain()
+					r.checkRecovers()
 				}
 				return true
 			}, genCoreOps(c.leave)))
--- a/internal/agent/core_rig_test.go
+++ b/internal/agent/core_rig_test.go
@@ -20,62 +20,63 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	rigLife    = time.Second
-	rigReplica = 40
-	rigMemory  = 100
+	orderLifetime = time.Second
+	replicaBytes  = 40
+	engineBytes   = 100
 )
 
-// rigBegin is the time at which a rig begins.
-var rigBegin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// harnessStart is the initial time of a harness's clock.
+var harnessStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// handClock stands still until the test moves it.
-type handClock struct {
+// manualClock only advances when the test sets it.
+type manualClock struct {
 	clock.Real
 	now time.Time
 }
 
-func (c *handClock) Now() time.Time { return c.now }
+func (c *manualClock) Now() time.Time { return c.now }
 
-// steadyPolicy keeps idle replicas for a minute.
-type steadyPolicy struct{}
+// fixedPolicy keeps idle replicas loaded for a minute.
+type fixedPolicy struct{}
 
-func (steadyPolicy) Observe(string, time.Time) {}
-func (steadyPolicy) SetWeights(_, _ float64)   {}
-func (steadyPolicy) Keep(string, time.Time, time.Duration, float64) time.Duration {
+func (fixedPolicy) Observe(string, time.Time) {}
+func (fixedPolicy) SetWeights(_, _ float64)   {}
+func (fixedPolicy) Keep(string, time.Time, time.Duration, float64) time.Duration {
 	return time.Minute
 }
 
-// rigEngine is the engine beside a core, as far as the core's reads and orders touch it.
-type rigEngine struct {
-	silent      bool
+// fakeEngine is the state of the engine, as far as the core's reads and orders use it.
+type fakeEngine struct {
+	unreachable bool
 	incarnation string
 	loaded      map[string][]string
 }
 
-// coreRig drives a core without goroutines: it answers reads, rows and permits at once, and orders when it is told to.
-type coreRig struct {
-	// fail ends the test; a property panics instead, to be told the operations.
+// coreHarness drives a core without goroutines. It answers reads and permit requests immediately, and completes orders
+// when the test says so.
+type coreHarness struct {
+	// fail ends the test. In a property it panics instead, so that gopter prints the operations.
 	fail   func(format string, args ...any)
 	core   *core
-	clock  *handClock
-	engine rigEngine
+	clock  *manualClock
+	engine fakeEngine
 	rows   map[string]*replicaspb.Row
-	// revision is the table's.
+	// revision is the table's revision.
 	revision uint64
 
 	reads, rowReads int
 	permits         []string
-	// withheld leaves what the core asks permits for without an answer.
-	withheld bool
-	orders   []endpoint.Order
-	given    int
-	offers   int
-	requests map[string]*waiting
-	// outcomes are what became of the requests; those without one wait or run.
+	// withholdPermits leaves permit requests unanswered.
+	withholdPermits bool
+	orders          []endpoint.Order
+	ordersSent      int
+	offerCount      int
+	requests        map[string]*pendingRequest
+	// outcomes holds the final outcomes of requests; a request without one is waiting.
 	outcomes map[string]string
 }
 
-// The outcomes of a request at the rig; a refused one has its reason's name.
+// The outcomes of a request in the harness. A refused request has the name of its refusal reason instead.
 const (
 	outcomeWaiting   = "waiting"
 	outcomeStarted   = "started"
@@ -83,51 +84,51 @@
 	outcomeFinished  = "finished"
 )
 
-// newCoreRig returns an engine's core with slots for "a@1" and "b@1", of which nothing is loaded.
-func newCoreRig(fail func(string, ...any), queue admission.Options) *coreRig {
-	policy := steadyPolicy{}
+// newCoreHarness returns an engine's core with slots for "a@1" and "b@1" and no model loaded.
+func newCoreHarness(fail func(string, ...any), queue admission.Options) *coreHarness {
+	policy := fixedPolicy{}
 	machine := loading.NewMachine(loading.Options{
 		Engine:         "engine-1",
 		Host:           "host-1",
-		MemoryBytes:    rigMemory,
-		OrderLife:      rigLife,
+		MemoryBytes:    engineBytes,
+		OrderLife:      orderLifetime,
 		StateInterval:  time.Hour,
 		PermitPatience: time.Second,
 	}, policy)
-	r := newRig(fail, queue, machine, policy)
+	r := newHarness(fail, queue, machine, policy)
 	r.step(loading.Tick{})
 	r.grant("a@1", true)
 	r.grant("b@1", true)
 	r.declare()
-	// Orders of an earlier agent may take effect for as long as an order lives.
-	r.pass(2 * rigLife)
+	// Orders of an earlier agent may take effect within their lifetime, so the core first waits that long.
+	r.advance(2 * orderLifetime)
 	return r
 }
 
-func newRig(fail func(string, ...any), queue admission.Options, machine *loading.Machine, policy IdlePolicy) *coreRig {
-	r := &coreRig{
+func newHarness(fail func(string, ...any), queue admission.Options, machine *loading.Machine, policy IdlePolicy) *coreHarness {
+	r := &coreHarness{
 		fail:     fail,
-		clock:    &handClock{now: rigBegin},
-		engine:   rigEngine{incarnation: "1", loaded: map[string][]string{}},
+		clock:    &manualClock{now: harnessStart},
+		engine:   fakeEngine{incarnation: "1", loaded: map[string][]string{}},
 		rows:     map[string]*replicaspb.Row{},
 		revision: 10,
-		requests: map[string]*waiting{},
+		requests: map[string]*pendingRequest{},
 		outcomes: map[string]string{},
 	}
 	const capacity = 2
 	r.core = newCore(r.clock, admission.NewQueue(queue), machine, policy, capacity)
-	r.core.changed = func() {}
-	r.core.perform = r
+	r.core.onChange = func() {}
+	r.core.executor = r
 	return r
 }
 
-// perform implements performer.
-func (r *coreRig) perform(list []loading.Action) {
+// execute implements actionExecutor.
+func (r *coreHarness) execute(list []loading.Action) {
 	for _, action := range list {
 		switch action := action.(type) {
 		case loading.GiveOrder:
 			r.orders = append(r.orders, action.Order)
-			r.given++
+			r.ordersSent++
 		case loading.ReadEngine:
 			r.reads++
 		case loading.ReadRows:
@@ -138,19 +139,19 @@
 	}
 }
 
-// step gives the core an event and answers what it asks.
-func (r *coreRig) step(e loading.Event) {
+// step passes an event to the core and answers its reads and permit requests.
+func (r *coreHarness) step(e loading.Event) {
 	r.core.step(e)
-	r.answer()
+	r.answerPending()
 }
 
-// answer answers the core's reads and permits until it asks no more.
-func (r *coreRig) answer() {
+// answerPending answers the core's reads and permit requests until there are no more.
+func (r *coreHarness) answerPending() {
 	for r.reads > 0 || r.rowReads > 0 || len(r.permits) > 0 {
 		switch {
 		case r.reads > 0:
 			r.reads--
-			r.core.step(r.read())
+			r.core.step(r.engineRead())
 		case r.rowReads > 0:
 			r.rowReads--
 			read := loading.RowsRead{Revision: r.revision}
@@ -161,7 +162,7 @@
 		default:
 			id := r.permits[0]
 			r.permits = r.permits[1:]
-			if r.withheld {
+			if r.withholdPermits {
 				continue
 			}
 			r.core.step(loading.PermitGiven{ID: id, Expires: r.clock.now.Add(time.Minute)})
@@ -169,22 +170,22 @@
 	}
 }
 
-func (r *coreRig) read() loading.Event {
-	if r.engine.silent {
+func (r *coreHarness) engineRead() loading.Event {
+	if r.engine.unreachable {
 		return loading.EngineLost{}
 	}
-	state := endpoint.EngineState{Incarnation: r.engine.incarnation, MemoryBytes: rigMemory}
+	state := endpoint.EngineState{Incarnation: r.engine.incarnation, MemoryBytes: engineBytes}
 	for model, adapters := range r.engine.loaded {
-		state.UsedBytes += rigReplica
+		state.UsedBytes += replicaBytes
 		state.Models = append(state.Models, endpoint.LoadedModel{
-			Model: model, State: endpoint.EngineLoaded, MemoryBytes: rigReplica, Adapters: slices.Clone(adapters),
+			Model: model, State: endpoint.EngineLoaded, MemoryBytes: replicaBytes, Adapters: slices.Clone(adapters),
 		})
 	}
 	return loading.EngineRead{State: state}
 }
 
-// grant pushes a row that names the engine, or no longer does.
-func (r *coreRig) grant(model string, granted bool) {
+// grant pushes a row that grants the engine a slot or takes it away.
+func (r *coreHarness) grant(model string, granted bool) {
 	r.revision++
 	row := &replicaspb.Row{Model: model, Revision: r.revision}
 	if granted {
@@ -195,11 +196,11 @@
 }
 
 // declare declares the models "a@1" to "c@1" with an adapter "x" of "a@1" and the service "s".
-func (r *coreRig) declare() {
+func (r *coreHarness) declare() {
 	snapshot := &pb.Snapshot{Revision: 1}
 	for _, name := range []string{"a", "b", "c"} {
 		snapshot.Objects = append(snapshot.Objects, declarations.ModelObject(&pb.Model{
-			Name: name, Versions: []string{"1"}, DefaultVersion: "1", MemoryBytes: rigReplica, MaxReplicas: 1, MaxConcurrency: 2,
+			Name: name, Versions: []string{"1"}, DefaultVersion: "1", MemoryBytes: replicaBytes, MaxReplicas: 1, MaxConcurrency: 2,
 		}))
 	}
 	snapshot.Objects = append(snapshot.Objects,
@@ -210,35 +211,36 @@
 		r.fail("%v", err)
 	}
 	r.core.declare(set)
-	r.answer()
+	r.answerPending()
 }
 
-// pass lets time pass.
-func (r *coreRig) pass(d time.Duration) {
+// advance moves the clock forward and runs the core's timer.
+func (r *coreHarness) advance(d time.Duration) {
 	r.clock.now = r.clock.now.Add(d)
 	r.core.expire()
-	r.answer()
+	r.answerPending()
 }
 
-// request is one that waits a minute for the model "a@1" unless it is changed.
-type request func(*admission.Request)
+// requestOption changes the default request, which is an interactive one for the model "a@1" with a deadline in one
+// minute.
+type requestOption func(*admission.Request)
 
-func of(model, adapter string) request {
+func forModel(model, adapter string) requestOption {
 	return func(q *admission.Request) { q.Target = admission.Target{Model: model, Adapter: adapter} }
 }
 
-func forService(name string) request {
+func forService(name string) requestOption {
 	return func(q *admission.Request) { q.Target = admission.Target{Service: name} }
 }
 
-func batch(q *admission.Request) { q.Class = wirepb.Class_BATCH }
+func inBatch(q *admission.Request) { q.Class = wirepb.Class_BATCH }
 
-func due(left time.Duration) request {
+func withDeadline(left time.Duration) requestOption {
 	return func(q *admission.Request) { q.Deadline = q.Arrived.Add(left) }
 }
 
-// offer offers a request and notes a refusal.
-func (r *coreRig) offer(id string, changes ...request) {
+// offer offers a request and records a refusal.
+func (r *coreHarness) offer(id string, changes ...requestOption) {
 	q := admission.Request{
 		ID:       id,
 		Target:   admission.Target{Model: "a@1"},
@@ -249,9 +251,9 @@
 	for _, change := range changes {
 		change(&q)
 	}
-	w := newWaiting(q)
+	w := newPendingRequest(q)
 	refusal := r.core.offer(w)
-	r.answer()
+	r.answerPending()
 	if refusal != nil {
 		if r.requests[id] == nil {
 			r.outcomes[id] = refusal.Reason.String()
@@ -264,8 +266,8 @@
 	r.requests[id] = w
 }
 
-// outcome is what became of a request so far.
-func (r *coreRig) outcome(id string) string {
+// outcome returns the present outcome of a request.
+func (r *coreHarness) outcome(id string) string {
 	if o, ok := r.outcomes[id]; ok {
 		return o
 	}
@@ -281,37 +283,37 @@
 	}
 }
 
-// cancel withdraws a request as its exchange does: one whose turn came meanwhile gives it back.
-func (r *coreRig) cancel(id string) {
-	waited := r.core.cancel(id)
-	r.answer()
+// cancel withdraws a request as its exchange does: a request that has started meanwhile is finished.
+func (r *coreHarness) cancel(id string) {
+	cancelled := r.core.cancel(id)
+	r.answerPending()
 	switch o := r.outcome(id); {
-	case waited && o == outcomeWaiting:
+	case cancelled && o == outcomeWaiting:
 		r.outcomes[id] = outcomeCancelled
-	case waited || o == outcomeWaiting:
-		r.fail("%s was cancelled (%v) and is %s", id, waited, o)
+	case cancelled || o == outcomeWaiting:
+		r.fail("cancelling %s returned %v, but its outcome is %s", id, cancelled, o)
 	case o == outcomeStarted:
 		r.finish(id)
 	}
 }
 
-func (r *coreRig) finish(id string) {
-	r.core.finish(id, spent{})
-	r.answer()
+func (r *coreHarness) finish(id string) {
+	r.core.finish(id, serviceTime{})
+	r.answerPending()
 	r.outcomes[id] = outcomeFinished
 }
 
-// complete ends the oldest order, carried out or with an error.
-func (r *coreRig) complete(err error) {
+// completeOrder ends the oldest order, successfully or with an error.
+func (r *coreHarness) completeOrder(err error) {
 	o := r.orders[0]
 	r.orders = r.orders[1:]
 	if err == nil {
-		r.carryOut(o)
+		r.applyOrder(o)
 	}
 	r.step(loading.OrderDone{ID: o.ID, Err: err})
 }
 
-func (r *coreRig) carryOut(o endpoint.Order) {
+func (r *coreHarness) applyOrder(o endpoint.Order) {
 	adapters, held := r.engine.loaded[o.Model]
 	switch o.Kind {
 	case endpoint.OrderLoad:
@@ -329,41 +331,41 @@
 	}
 }
 
-// completeAll carries out all orders and those that follow from them.
-func (r *coreRig) completeAll() {
+// completeOrders completes all orders successfully, including those that result from them.
+func (r *coreHarness) completeOrders() {
 	for len(r.orders) > 0 {
-		r.complete(nil)
+		r.completeOrder(nil)
 	}
 }
 
-// check verifies what holds between any two events.
-func (r *coreRig) check() {
+// check verifies the invariants that hold between any two events.
+func (r *coreHarness) check() {
 	c := r.core
 	if c.queue.Len() != len(c.waiting) {
-		r.fail("%d in the queue, %d waiting", c.queue.Len(), len(c.waiting))
+		r.fail("%d requests in the queue, but %d waiting", c.queue.Len(), len(c.waiting))
 	}
 	for id := range c.held {
 		if c.waiting[id] == nil {
-			r.fail("%s is held and does not wait", id)
+			r.fail("%s is held but not waiting", id)
 		}
 	}
 	replicas := map[string]int{}
 	for id, target := range c.running {
 		replicas[target.Model+target.Service]++
 		if r.outcome(id) != outcomeStarted {
-			r.fail("%s runs and is %s", id, r.outcome(id))
+			r.fail("%s is running but its outcome is %s", id, r.outcome(id))
 		}
 	}
-	for target, n := range c.busy {
+	for target, n := range c.runningByTarget {
 		if n <= 0 {
-			r.fail("%d busy at %v", n, target)
+			r.fail("%d running requests counted for %v", n, target)
 		}
 		replicas[target.Model+target.Service] -= n
 	}
 	for name, n := range replicas {
 		running := c.runningOf(admission.Target{Model: name})
 		if n != 0 || running > c.limit(admission.Target{Model: name}) {
-			r.fail("%s: %d run, counts differ by %d", name, running, n)
+			r.fail("%s: %d running, counts differ by %d", name, running, n)
 		}
 	}
 	for id := range r.requests {
@@ -371,14 +373,14 @@
 	}
 }
 
-func (r *coreRig) checkRequest(id string) {
+func (r *coreHarness) checkRequest(id string) {
 	o := r.outcome(id)
 	_, runs := r.core.running[id]
 	_, waits := r.core.waiting[id]
 	if runs != (o == outcomeStarted) || waits != (o == outcomeWaiting) {
-		r.fail("%s is %s; waits %v, runs %v", id, o, waits, runs)
+		r.fail("%s has outcome %s; waiting %v, running %v", id, o, waits, runs)
 	}
 	if waits && r.core.leaving {
-		r.fail("%s waits at a leaving endpoint", id)
+		r.fail("%s is waiting at a leaving endpoint", id)
 	}
 }
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -10,270 +10,271 @@
 	"balsamsail/internal/loading"
 )
 
-// Callers, entries, the engine and the operators act in any order. Each case tells what happens at one core and what
-// every caller must have been told at its end: exactly one of started, refused with its reason, or still waiting.
+// Callers, entries, the engine and the operators may act in any order. Each case runs a sequence of events at one core
+// and checks the final outcome of every request: started, refused with a reason, or still waiting.
 func TestCoreScripts(t *testing.T) {
 	deadline, leaving, full := "DEADLINE", "LEAVING", "QUEUE_FULL"
 	cases := []struct {
 		name  string
 		queue admission.Options
-		run   func(r *coreRig)
+		run   func(r *coreHarness)
 		want  map[string]string
-		// orders is how many orders were given.
+		// orders is how many orders were sent.
 		orders int
 	}{
-		{name: "first requests of a sleeping model share one load", run: func(r *coreRig) {
+		{name: "first requests of an unloaded model share one load", run: func(r *coreHarness) {
 			r.offer("1")
 			r.offer("2")
-			r.completeAll()
+			r.completeOrders()
 			r.offer("3")
 		}, want: map[string]string{"1": outcomeStarted, "2": outcomeStarted, "3": outcomeWaiting}, orders: 1},
-		{name: "withdrawn while waiting, and the load ends later", run: func(r *coreRig) {
+		{name: "withdrawn while waiting, and the load ends later", run: func(r *coreHarness) {
 			r.offer("1")
 			r.cancel("1")
-			r.completeAll()
+			r.completeOrders()
 		}, want: map[string]string{"1": outcomeCancelled}, orders: 1},
-		{name: "withdrawn before the load began", run: func(r *coreRig) {
-			r.withheld = true
+		{name: "withdrawn before the load began", run: func(r *coreHarness) {
+			r.withholdPermits = true
 			r.offer("1")
 			r.cancel("1")
-			r.pass(time.Minute)
+			r.advance(time.Minute)
 		}, want: map[string]string{"1": outcomeCancelled}},
-		{name: "withdrawn just after the turn came", run: func(r *coreRig) {
+		{name: "withdrawn just after the start", run: func(r *coreHarness) {
 			r.offer("1")
-			r.completeAll()
+			r.completeOrders()
 			r.cancel("1")
 			r.cancel("1")
 		}, want: map[string]string{"1": outcomeFinished}, orders: 1},
-		{name: "an end makes room for the next, told twice for one only", run: func(r *coreRig) {
+		{name: "a finished request makes room for one, even if reported twice", run: func(r *coreHarness) {
 			for i := range 5 {
 				r.offer(strconv.Itoa(i))
 			}
-			r.completeAll()
+			r.completeOrders()
 			r.finish("0")
 			r.finish("0")
 		}, want: map[string]string{"0": outcomeFinished, "1": outcomeStarted, "2": outcomeStarted, "3": outcomeWaiting, "4": outcomeWaiting}, orders: 1},
-		{name: "a replica's requests share its places, with adapters or without", run: func(r *coreRig) {
+		{name: "requests with and without adapters share a replica's concurrency", run: func(r *coreHarness) {
 			r.offer("1")
-			r.offer("2", of("a@1", "x"))
-			r.offer("3", of("b@1", ""))
-			r.completeAll()
-			r.offer("4", of("a@1", "x"))
-			r.offer("5", of("b@1", ""))
+			r.offer("2", forModel("a@1", "x"))
+			r.offer("3", forModel("b@1", ""))
+			r.completeOrders()
+			r.offer("4", forModel("a@1", "x"))
+			r.offer("5", forModel("b@1", ""))
 		}, want: map[string]string{"1": outcomeStarted, "2": outcomeStarted, "3": outcomeStarted, "4": outcomeWaiting, "5": outcomeStarted}, orders: 3},
-		{name: "one identifier is offered twice", run: func(r *coreRig) {
+		{name: "one identifier offered twice", run: func(r *coreHarness) {
 			r.offer("1")
 			r.offer("1")
-			r.completeAll()
+			r.completeOrders()
 		}, want: map[string]string{"1": outcomeStarted}, orders: 1},
-		{name: "an interactive request takes the place of a batch one", queue: admission.Options{MaxWaiting: 1}, run: func(r *coreRig) {
-			r.offer("b", batch)
+		{name: "an interactive request displaces a batch request", queue: admission.Options{MaxWaiting: 1}, run: func(r *coreHarness) {
+			r.offer("b", inBatch)
 			r.offer("i")
 			r.offer("j")
-			r.completeAll()
+			r.completeOrders()
 		}, want: map[string]string{"b": full, "i": outcomeStarted, "j": full}, orders: 1},
-		{name: "the load of another model is due when one is displaced", queue: admission.Options{MaxWaiting: 2}, run: func(r *coreRig) {
-			r.withheld = true
-			r.offer("1", of("b@1", ""))
-			r.offer("2", batch)
+		{name: "a request is displaced when the load of another model is due", queue: admission.Options{MaxWaiting: 2}, run: func(r *coreHarness) {
+			r.withholdPermits = true
+			r.offer("1", forModel("b@1", ""))
+			r.offer("2", inBatch)
 			r.clock.now = r.clock.now.Add(10 * time.Second)
 			r.offer("3")
-			r.completeAll()
+			r.completeOrders()
 		}, want: map[string]string{"1": outcomeStarted, "2": full, "3": outcomeWaiting}, orders: 1},
-		{name: "a caller has its share only", queue: admission.Options{MaxPerCaller: 1}, run: func(r *coreRig) {
+		{name: "a caller is limited to its share", queue: admission.Options{MaxPerCaller: 1}, run: func(r *coreHarness) {
 			r.offer("1")
 			r.offer("2")
 			r.offer("3", func(q *admission.Request) { q.Caller = "other" })
 		}, want: map[string]string{"1": outcomeWaiting, "2": full, "3": outcomeWaiting}, orders: 1},
-		{name: "the deadline passes in the queue", run: func(r *coreRig) {
-			r.offer("1", due(time.Second))
+		{name: "the deadline passes in the queue", run: func(r *coreHarness) {
+			r.offer("1", withDeadline(time.Second))
 			r.offer("2")
-			r.pass(2 * time.Second)
-			r.completeAll()
+			r.advance(2 * time.Second)
+			r.completeOrders()
 		}, want: map[string]string{"1": deadline, "2": outcomeStarted}, orders: 1},
-		{name: "the deadline passes behind running requests, and one ends", run: func(r *coreRig) {
+		{name: "the deadline passes behind running requests and one finishes", run: func(r *coreHarness) {
 			r.offer("1")
 			r.offer("2")
-			r.completeAll()
-			r.offer("3", due(time.Second))
+			r.completeOrders()
+			r.offer("3", withDeadline(time.Second))
 			r.offer("4")
 			r.clock.now = r.clock.now.Add(2 * time.Second)
 			r.finish("1")
 		}, want: map[string]string{"1": outcomeFinished, "2": outcomeStarted, "3": deadline, "4": outcomeStarted}, orders: 1},
-		{name: "a leaving endpoint finishes what runs and refuses what waits", run: func(r *coreRig) {
+		{name: "a leaving endpoint finishes what runs and refuses what waits", run: func(r *coreHarness) {
 			r.offer("1")
 			r.offer("2")
-			r.completeAll()
+			r.completeOrders()
 			r.offer("3")
-			r.offer("b", batch, of("b@1", ""))
+			r.offer("b", inBatch, forModel("b@1", ""))
 			r.core.leave()
 			r.core.leave()
 			r.offer("4")
 			r.finish("1")
 		}, want: map[string]string{"1": outcomeFinished, "2": outcomeStarted, "3": leaving, "b": leaving, "4": leaving}, orders: 2},
-		{name: "a load under way when the endpoint leaves starts nothing", run: func(r *coreRig) {
+		{name: "a load in flight when the endpoint leaves starts no request", run: func(r *coreHarness) {
 			r.offer("1")
 			r.core.leave()
-			r.completeAll()
+			r.completeOrders()
 		}, want: map[string]string{"1": leaving}, orders: 1},
-		{name: "the load fails", run: func(r *coreRig) {
+		{name: "the load fails", run: func(r *coreHarness) {
 			r.offer("1")
-			r.complete(endpoint.ErrLoadFailed)
+			r.completeOrder(endpoint.ErrLoadFailed)
 		}, want: map[string]string{"1": "LOAD_FAILED"}, orders: 1},
-		{name: "the slot is taken away", run: func(r *coreRig) {
+		{name: "the slot is revoked", run: func(r *coreHarness) {
 			r.offer("1")
-			r.completeAll()
+			r.completeOrders()
 			r.offer("2")
 			r.offer("3")
 			r.grant("a@1", false)
 		}, want: map[string]string{"1": outcomeStarted, "2": outcomeStarted, "3": "NOT_GRANTED"}, orders: 1},
-		{name: "the engine falls silent", run: func(r *coreRig) {
+		{name: "the engine becomes unreachable", run: func(r *coreHarness) {
 			r.offer("1")
-			r.engine.silent = true
-			r.complete(endpoint.ErrOutcomeUnknown)
+			r.engine.unreachable = true
+			r.completeOrder(endpoint.ErrOutcomeUnknown)
 			r.offer("2")
 			for range 10 {
-				r.pass(time.Second)
+				r.advance(time.Second)
 			}
 			r.offer("3")
 		}, want: map[string]string{"1": "ENDPOINT_UNREACHABLE", "2": "ENDPOINT_UNREACHABLE", "3": "ENDPOINT_UNREACHABLE"}, orders: 1},
-		{name: "what is not served here", run: func(r *coreRig) {
-			r.offer("1", of("c@1", ""))
+		{name: "targets that are not served here", run: func(r *coreHarness) {
+			r.offer("1", forModel("c@1", ""))
 			r.offer("2", forService("s"))
-			r.offer("3", of("a@1", "y"))
+			r.offer("3", forModel("a@1", "y"))
 		}, want: map[string]string{"1": "NOT_GRANTED", "2": "UNKNOWN_TARGET", "3": "UNKNOWN_TARGET"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := newCoreRig(t.Fatalf, c.queue)
+			r := newCoreHarness(t.Fatalf, c.queue)
 			c.run(r)
 			r.check()
 			for id, want := range c.want {
 				if got := r.outcome(id); got != want {
-					t.Errorf("%s is %s, want %s", id, got, want)
+					t.Errorf("outcome of %s is %s, want %s", id, got, want)
 				}
 			}
-			if r.given != c.orders {
-				t.Errorf("%d orders, want %d", r.given, c.orders)
+			if r.ordersSent != c.orders {
+				t.Errorf("%d orders sent, want %d", r.ordersSent, c.orders)
 			}
 		})
 	}
 }
 
-// The night's audits come one by one for models that sleep. Each that woke its model would cost a load; none that waits
-// may miss its deadline for the sake of company, keep its model loading after it was withdrawn, or sleep on when somebody
-// else wakes the model.
+// Batch requests arrive one by one for models that are not loaded, and loading the model for each would cost a load
+// each time. A held request must not miss its deadline, must not cause a load after it was withdrawn, and must start
+// when another request gets the model loaded.
 func TestHeldBatchRequests(t *testing.T) {
 	const hold = 15 * time.Minute
-	night := due(8 * time.Hour)
+	night := withDeadline(8 * time.Hour)
 	cases := []struct {
 		name   string
-		run    func(r *coreRig)
+		run    func(r *coreHarness)
 		want   map[string]string
 		orders int
 	}{
-		{"one wake serves all that came meanwhile", func(r *coreRig) {
-			r.offer("1", batch, night)
-			r.pass(hold / 2)
-			r.offer("2", batch, night)
-			r.pass(hold/2 - time.Second)
-			if r.given != 0 {
-				r.fail("woken early")
+		{"one load serves all requests that arrived meanwhile", func(r *coreHarness) {
+			r.offer("1", inBatch, night)
+			r.advance(hold / 2)
+			r.offer("2", inBatch, night)
+			r.advance(hold/2 - time.Second)
+			if r.ordersSent != 0 {
+				r.fail("a load was ordered before the end of the hold")
 			}
-			r.pass(time.Second)
-			r.completeAll()
+			r.advance(time.Second)
+			r.completeOrders()
 		}, map[string]string{"1": outcomeStarted, "2": outcomeStarted}, 1},
-		{"the wake is for all that the others need", func(r *coreRig) {
-			r.offer("1", batch, night)
-			r.pass(hold / 2)
-			r.offer("2", batch, night, of("a@1", "x"))
-			r.pass(hold / 2)
-			r.completeAll()
+		{"the load includes the adapters of the other requests", func(r *coreHarness) {
+			r.offer("1", inBatch, night)
+			r.advance(hold / 2)
+			r.offer("2", inBatch, night, forModel("a@1", "x"))
+			r.advance(hold / 2)
+			r.completeOrders()
 		}, map[string]string{"1": outcomeStarted, "2": outcomeStarted}, 2},
-		{"a waiting caller wakes the model for them too", func(r *coreRig) {
-			r.offer("1", batch, night)
+		{"an interactive request ends the hold", func(r *coreHarness) {
+			r.offer("1", inBatch, night)
 			r.offer("i")
-			r.completeAll()
+			r.completeOrders()
 		}, map[string]string{"1": outcomeStarted, "i": outcomeStarted}, 1},
-		{"another model's wake does not", func(r *coreRig) {
-			r.offer("1", batch, night)
-			r.offer("2", batch, night, of("b@1", ""))
-			r.pass(hold / 2)
-			r.offer("i", of("b@1", ""))
-			r.completeAll()
+		{"a load of another model does not end the hold", func(r *coreHarness) {
+			r.offer("1", inBatch, night)
+			r.offer("2", inBatch, night, forModel("b@1", ""))
+			r.advance(hold / 2)
+			r.offer("i", forModel("b@1", ""))
+			r.completeOrders()
 		}, map[string]string{"1": outcomeWaiting, "2": outcomeStarted, "i": outcomeStarted}, 1},
-		{"withdrawn, it wakes nobody", func(r *coreRig) {
-			r.offer("1", batch, night)
+		{"a withdrawn request causes no load", func(r *coreHarness) {
+			r.offer("1", inBatch, night)
 			r.cancel("1")
-			r.pass(2 * hold)
+			r.advance(2 * hold)
 		}, map[string]string{"1": outcomeCancelled}, 0},
-		{"it is not held past what its deadline leaves", func(r *coreRig) {
-			r.offer("1", batch, due(11*time.Minute))
-			r.pass(time.Minute)
-			r.completeAll()
+		{"the hold is shortened by the deadline", func(r *coreHarness) {
+			r.offer("1", inBatch, withDeadline(11*time.Minute))
+			r.advance(time.Minute)
+			r.completeOrders()
 		}, map[string]string{"1": outcomeStarted}, 1},
-		{"no room before the deadline: it wakes at once", func(r *coreRig) {
-			r.offer("1", batch, due(time.Minute))
-			r.completeAll()
+		{"no hold when the deadline is near", func(r *coreHarness) {
+			r.offer("1", inBatch, withDeadline(time.Minute))
+			r.completeOrders()
 		}, map[string]string{"1": outcomeStarted}, 1},
-		{"a loaded model serves it at once", func(r *coreRig) {
+		{"no hold when the model is loaded", func(r *coreHarness) {
 			r.offer("i")
-			r.completeAll()
-			r.offer("1", batch, night)
+			r.completeOrders()
+			r.offer("1", inBatch, night)
 		}, map[string]string{"i": outcomeStarted, "1": outcomeStarted}, 1},
-		{"the endpoint leaves", func(r *coreRig) {
-			r.offer("1", batch, night)
+		{"the endpoint leaves", func(r *coreHarness) {
+			r.offer("1", inBatch, night)
 			r.core.leave()
-			r.pass(2 * hold)
+			r.advance(2 * hold)
 		}, map[string]string{"1": "LEAVING"}, 0},
-		{"the slot is gone by its time", func(r *coreRig) {
-			r.offer("1", batch, night)
+		{"the slot is revoked during the hold", func(r *coreHarness) {
+			r.offer("1", inBatch, night)
 			r.grant("a@1", false)
-			r.pass(2 * hold)
+			r.advance(2 * hold)
 		}, map[string]string{"1": "NOT_GRANTED"}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := newCoreRig(t.Fatalf, admission.Options{})
+			r := newCoreHarness(t.Fatalf, admission.Options{})
 			r.core.longestHold = hold
 			c.run(r)
 			r.check()
 			for id, want := range c.want {
 				if got := r.outcome(id); got != want {
-					t.Errorf("%s is %s, want %s", id, got, want)
+					t.Errorf("outcome of %s is %s, want %s", id, got, want)
 				}
 			}
-			if r.given != c.orders {
-				t.Errorf("%d orders, want %d", r.given, c.orders)
+			if r.ordersSent != c.orders {
+				t.Errorf("%d orders sent, want %d", r.ordersSent, c.orders)
 			}
 		})
 	}
 }
 
-// A plain service's agent has no machine: calls run while the service answers, as many at once as are declared.
+// The agent of a plain service has no loading machine: requests run while the service is up, up to the declared
+// concurrency limit.
 func TestServiceCore(t *testing.T) {
-	r := newRig(t.Fatalf, admission.Options{}, nil, steadyPolicy{})
+	r := newHarness(t.Fatalf, admission.Options{}, nil, fixedPolicy{})
 	r.offer("early", forService("s"))
 	r.declare()
-	r.core.setUp(true)
+	r.core.setServiceUp(true)
 	r.offer("1", forService("s"))
 	r.offer("2", forService("s"))
 	r.offer("other", forService("o"))
 	r.offer("model")
 	r.core.step(loading.Tick{})
-	r.core.setUp(false)
+	r.core.setServiceUp(false)
 	r.finish("1")
 	r.offer("down", forService("s"))
 	r.check()
-	r.core.setUp(true)
-	r.pass(time.Millisecond)
+	r.core.setServiceUp(true)
+	r.advance(time.Millisecond)
 	want := map[string]string{
 		"early": "ENDPOINT_UNREACHABLE", "1": outcomeFinished, "2": outcomeStarted, "other": outcomeStarted,
 		"model": "UNKNOWN_TARGET", "down": "ENDPOINT_UNREACHABLE",
 	}
 	for id, w := range want {
 		if got := r.outcome(id); got != w {
-			t.Errorf("%s is %s, want %s", id, got, w)
+			t.Errorf("outcome of %s is %s, want %s", id, got, w)
 		}
 	}
 	r.check()
--- a/internal/agent/exchange_rig_test.go
+++ b/internal/agent/exchange_rig_test.go
@@ -30,49 +30,49 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// patience bounds what a test waits for; it is far above what any of them needs.
-const patience = 20 * time.Second
+// testTimeout bounds every wait in the tests. It is far longer than any of them needs.
+const testTimeout = 20 * time.Second
 
 // eventually polls until a condition holds.
-func eventually(t *testing.T, otherwise string, holds func() bool) {
+func eventually(t *testing.T, failure string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(otherwise)
+			t.Fatal(failure)
 		}
 	}
 }
 
-// within waits for a value.
-func within[T any](t *testing.T, c <-chan T, otherwise string) T {
+// receive waits for a value on a channel.
+func receive[T any](t *testing.T, c <-chan T, failure string) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
-		t.Fatal(otherwise)
+	case <-time.After(testTimeout):
+		t.Fatal(failure)
 		panic("not reached")
 	}
 }
 
-// testAgent is a running agent beside an endpoint of the test.
+// testAgent is a running agent beside a test endpoint.
 type testAgent struct {
 	*Agent
 	t       *testing.T
 	address string
-	table   *grantTable
+	table   *fakeTable
 	stop    func() error
 }
 
-// agentSettings are what the tests set of an agent.
+// agentSettings are the parameters that a test sets for an agent.
 type agentSettings struct {
 	kind    string
 	url     string
 	options Options
 	caller  endpoint.Caller
-	table   *grantTable
-	// unready is set when the agent can't be ready at once.
-	unready bool
+	table   *fakeTable
+	// startsUnready is set when the agent cannot become ready at once.
+	startsUnready bool
 }
 
 func (a *testAgent) awaitReady() {
@@ -87,7 +87,7 @@
 		s.kind = KindService
 	}
 	if s.table == nil {
-		s.table = &grantTable{}
+		s.table = &fakeTable{}
 	}
 	var err error
 	if s.caller == nil {
@@ -103,7 +103,7 @@
 	a := &testAgent{t: t, address: listener.Addr().String(), table: s.table}
 	a.Agent = New(s.withDefaults(), Dependencies{
 		Engine: endpoint.NewHTTPEngine(s.url, "", endpoint.Timeouts{}), Caller: s.caller, Table: s.table,
-		Policy: idle.NewPolicy(idle.Options{Min: time.Hour}), Clock: hastyClock{},
+		Policy: idle.NewPolicy(idle.Options{Min: time.Hour}), Clock: noLingerClock{},
 		Logger: slog.New(slog.DiscardHandler), Registerer: prometheus.NewRegistry(),
 		Recorder: timeline.NewRecorder("agent", 256, timeline.NewHybridClock(time.Now)),
 	})
@@ -115,13 +115,13 @@
 		select {
 		case err := <-ended:
 			return err
-		case <-time.After(patience):
-			t.Error("the agent does not end")
+		case <-time.After(testTimeout):
+			t.Error("the agent does not stop")
 			return nil
 		}
 	})
 	t.Cleanup(func() { _ = a.stop() })
-	if !s.unready {
+	if !s.startsUnready {
 		a.awaitReady()
 	}
 	return a
@@ -136,24 +136,24 @@
 	if o.Labels == nil {
 		o.Labels = map[string]string{"pool": "a"}
 	}
-	setDuration(&o.CommitTimeout, patience)
-	setDuration(&o.DrainTimeout, patience)
-	setDuration(&o.MaxAnswer, patience)
+	setDuration(&o.CommitTimeout, testTimeout)
+	setDuration(&o.DrainTimeout, testTimeout)
+	setDuration(&o.MaxAnswer, testTimeout)
 	o.Queue = admission.Options{MaxWaiting: 100}
 	o.Loading = loading.Options{Engine: o.Endpoint, Host: o.Host, MemoryBytes: 100, OrderLife: 10 * time.Millisecond,
 		StateInterval: 20 * time.Millisecond, PermitPatience: time.Millisecond}
 	o.Wire = wire.DefaultOptions()
 	o.HeartbeatInterval = 50 * time.Millisecond
 	o.BatchDelay = time.Millisecond
-	o.OrderTimeout = patience
+	o.OrderTimeout = testTimeout
 	o.ProbeInterval = 10 * time.Millisecond
 	o.TableRetry = time.Millisecond
 	return o
 }
 
-func setDuration(d *time.Duration, otherwise time.Duration) {
+func setDuration(d *time.Duration, value time.Duration) {
 	if *d == 0 {
-		*d = otherwise
+		*d = value
 	}
 }
 
@@ -165,31 +165,31 @@
 	return site.URL
 }
 
-// hastyClock does not linger after a drain; what the linger is for is tested with its own clock.
-type hastyClock struct{ clock.Real }
+// noLingerClock skips the wait after a drain.
+type noLingerClock struct{ clock.Real }
 
-func (c hastyClock) NewTimer(d time.Duration) clock.Timer {
+func (c noLingerClock) NewTimer(d time.Duration) clock.Timer {
 	if d == drainLinger {
 		d = 0
 	}
 	return c.Real.NewTimer(d)
 }
 
-// grantTable holds one engine's grants.
-type grantTable struct {
+// fakeTable holds one engine's grants.
+type fakeTable struct {
 	backing.Table
 	down   atomic.Bool
 	models []string
 }
 
-func (g *grantTable) Commit(context.Context, backing.Txn) (uint64, error) {
+func (g *fakeTable) Commit(context.Context, backing.Txn) (uint64, error) {
 	if g.down.Load() {
 		return 0, backing.ErrUnavailable
 	}
 	return 20, nil
 }
 
-func (g *grantTable) List(context.Context, string, uint64) (backing.Listing, error) {
+func (g *fakeTable) List(context.Context, string, uint64) (backing.Listing, error) {
 	if g.down.Load() {
 		return backing.Listing{}, backing.ErrUnavailable
 	}
@@ -204,7 +204,7 @@
 	return listing, nil
 }
 
-func (g *grantTable) rows() []*replicaspb.Row {
+func (g *fakeTable) rows() []*replicaspb.Row {
 	var rows []*replicaspb.Row
 	for _, model := range g.models {
 		slot := &replicaspb.Slot{Engine: "endpoint-1", Host: "host-1", State: replicaspb.SlotState_GRANTED}
@@ -213,23 +213,23 @@
 	return rows
 }
 
-// scriptedEntry is an entry whose frames the test writes.
-type scriptedEntry struct {
+// fakeEntry is an entry whose frames are sent by the test.
+type fakeEntry struct {
 	t       *testing.T
 	session *wire.Session
 }
 
-func dialAgent(t *testing.T, a *testAgent) *scriptedEntry {
+func dialAgent(t *testing.T, a *testAgent) *fakeEntry {
 	t.Helper()
 	session, err := wire.Dial(t.Context(), a.address, wire.DefaultOptions(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = session.Close() })
-	return &scriptedEntry{t: t, session: session}
+	return &fakeEntry{t: t, session: session}
 }
 
-func (e *scriptedEntry) open(kind wirepb.StreamKind) *wire.Stream {
+func (e *fakeEntry) open(kind wirepb.StreamKind) *wire.Stream {
 	e.t.Helper()
 	stream, err := e.session.Open(&wirepb.StreamHeader{Kind: kind, Entry: "entry-1", Incarnation: 1}, wire.MaxFrameBytes)
 	if err != nil {
@@ -239,7 +239,7 @@
 }
 
 // control opens the control stream and sends a batch.
-func (e *scriptedEntry) control(down *wirepb.ControlDown) *wire.Stream {
+func (e *fakeEntry) control(down *wirepb.ControlDown) *wire.Stream {
 	e.t.Helper()
 	stream := e.open(wirepb.StreamKind_CONTROL)
 	stream.SetLimit(wire.MaxControlBytes)
@@ -249,17 +249,17 @@
 	return stream
 }
 
-// exchangeScript is the entry's side of one request stream.
-type exchangeScript struct {
+// entryExchange is the entry's side of one request stream.
+type entryExchange struct {
 	t      *testing.T
 	stream *wire.Stream
 	id     string
-	// body and head are what came of the answer.
+	// body and head are the parts of the answer received so far.
 	body []byte
 	head *wirepb.Head
 }
 
-// post is an offer of one POST that has a minute.
+// post returns an offer of a POST request with a deadline in one minute.
 func post(change func(*wirepb.Offer)) *wirepb.Offer {
 	o := &wirepb.Offer{Service: "s", Class: wirepb.Class_INTERACTIVE, Method: http.MethodPost, Path: "/notice?marker=m",
 		TimeLeftMicros: time.Minute.Microseconds(), Body: []byte("{}"), BodyLength: 2, BodyDone: true}
@@ -271,21 +271,21 @@
 
 func twoStep(o *wirepb.Offer) { o.TwoStep = true }
 
-// upload leaves the body to the frames that follow.
+// upload makes the body arrive in the frames after the offer.
 func upload(length int64) func(*wirepb.Offer) {
 	return func(o *wirepb.Offer) {
 		o.Path, o.Body, o.BodyLength, o.BodyDone = "/notice", nil, length, false
 	}
 }
 
-func (e *scriptedEntry) offer(id string, o *wirepb.Offer) *exchangeScript {
+func (e *fakeEntry) offer(id string, o *wirepb.Offer) *entryExchange {
 	e.t.Helper()
-	x := &exchangeScript{t: e.t, stream: e.open(wirepb.StreamKind_REQUEST), id: id}
+	x := &entryExchange{t: e.t, stream: e.open(wirepb.StreamKind_REQUEST), id: id}
 	x.send(&wirepb.ToAgent{Frame: &wirepb.ToAgent_Offer{Offer: o}})
 	return x
 }
 
-func (x *exchangeScript) send(frame *wirepb.ToAgent) {
+func (x *entryExchange) send(frame *wirepb.ToAgent) {
 	x.t.Helper()
 	frame.RequestId = x.id
 	if err := x.stream.Write(frame); err != nil {
@@ -293,41 +293,41 @@
 	}
 }
 
-func (x *exchangeScript) commit() {
+func (x *entryExchange) commit() {
 	x.t.Helper()
 	x.send(&wirepb.ToAgent{Frame: &wirepb.ToAgent_Commit{Commit: &wirepb.Commit{}}})
 }
 
-func (x *exchangeScript) cancel() {
+func (x *entryExchange) cancel() {
 	x.t.Helper()
 	x.send(&wirepb.ToAgent{Frame: &wirepb.ToAgent_Cancel{Cancel: &wirepb.Cancel{}}})
 }
 
-func (x *exchangeScript) chunk(data []byte, done bool) {
+func (x *entryExchange) chunk(data []byte, done bool) {
 	x.t.Helper()
 	x.send(&wirepb.ToAgent{Frame: &wirepb.ToAgent_Body{Body: &wirepb.BodyChunk{Data: data, Done: done}}})
 }
 
-// The ends of an exchange in the tests; refusals and failures have their reason's name and, after it, whether the request
-// may have run.
+// The results of an exchange in the tests. Refusals and failures have the name of their reason; failures also say
+// whether the request may have run.
 const (
 	endTrailer = "trailer"
 	endClosed  = "closed"
 )
 
-// read returns what the next frame is, or how the stream ended.
-func (x *exchangeScript) read() string {
+// read returns the kind of the next frame, or how the stream ended.
+func (x *entryExchange) read() string {
 	x.t.Helper()
-	_ = x.stream.SetReadDeadline(time.Now().Add(patience))
+	_ = x.stream.SetReadDeadline(time.Now().Add(testTimeout))
 	frame := &wirepb.FromAgent{}
 	if err := x.stream.Read(frame); err != nil {
 		if errors.Is(err, wire.ErrTimeout) {
-			x.t.Fatal("the agent says nothing")
+			x.t.Fatal("no frame from the agent before the timeout")
 		}
 		return endClosed
 	}
 	if frame.RequestId != x.id {
-		x.t.Fatalf("a frame of %q", frame.RequestId)
+		x.t.Fatalf("got a frame of request %q", frame.RequestId)
 	}
 	switch f := frame.Frame.(type) {
 	case *wirepb.FromAgent_Accepted:
@@ -351,34 +351,34 @@
 		}
 		return f.Failed.Reason.String() + " clean"
 	default:
-		x.t.Fatalf("an empty frame")
+		x.t.Fatalf("got an empty frame")
 		return ""
 	}
 }
 
-func (x *exchangeScript) verify(t *wirepb.Trailer) {
+func (x *entryExchange) verify(t *wirepb.Trailer) {
 	x.t.Helper()
 	if t.Length != uint64(len(x.body)) || t.Checksum != xxhash.Sum64(x.body) {
-		x.t.Errorf("the trailer does not match %d bytes", len(x.body))
+		x.t.Errorf("the trailer does not match the %d bytes received", len(x.body))
 	}
 }
 
-// await reads until a frame is as wanted.
-func (x *exchangeScript) await(wanted string) {
+// await reads until a frame of the given kind arrives.
+func (x *entryExchange) await(kind string) {
 	x.t.Helper()
 	for {
 		switch got := x.read(); got {
-		case wanted:
+		case kind:
 			return
 		case "accepted", "ready", "head", "body":
 		default:
-			x.t.Fatalf("got %s, want %s", got, wanted)
+			x.t.Fatalf("got %s, want %s", got, kind)
 		}
 	}
 }
 
-// end reads the frames to the last one, and then the stream's end, and returns that frame.
-func (x *exchangeScript) end() string {
+// end reads frames until the stream is closed and returns the last one.
+func (x *entryExchange) end() string {
 	x.t.Helper()
 	last := ""
 	for got := x.read(); got != endClosed; got = x.read() {
@@ -387,18 +387,18 @@
 	return last
 }
 
-// callerFunc is a Caller without a network.
+// callerFunc is a Caller without a network connection.
 type callerFunc func(*http.Request) (*http.Response, error)
 
 func (f callerFunc) Call(r *http.Request) (*http.Response, error) { return f(r) }
 
-// answer is a response with a body.
-func answer(status int, body io.Reader) *http.Response {
+// newResponse returns a response with a body.
+func newResponse(status int, body io.Reader) *http.Response {
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Header: http.Header{}, Body: io.NopCloser(body)}
 }
 
-// echoing is a caller that checks whose the answers are.
-func echoing(t *testing.T, url string) endpoint.Caller {
+// newEchoCheckingCaller returns a caller that checks the request identifier of each answer.
+func newEchoCheckingCaller(t *testing.T, url string) endpoint.Caller {
 	t.Helper()
 	caller, err := endpoint.NewHTTPCaller(url, endpoint.CallerOptions{EchoesRequestID: true, FreshConnections: true})
 	if err != nil {
--- a/internal/agent/exchange_test.go
+++ b/internal/agent/exchange_test.go
@@ -18,9 +18,8 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// A penalty notice is offered to a plain service's agent, and something goes wrong at one of its stages. What the agent
-// says last must agree with what the service really ran, and the place at the service must be free again at once for the
-// next call.
+// A call to a plain service fails at one of its stages. The last frame from the agent must agree with what the service
+// really ran, and the service's concurrency must be available again at once for the next call.
 func TestExchangeEnds(t *testing.T) {
 	chance := control.Chance{Next: 1}
 	cases := []struct {
@@ -28,76 +27,76 @@
 		offer  func(*wirepb.Offer)
 		faults service.Faults
 		commit time.Duration
-		run    func(x *exchangeScript)
+		run    func(x *entryExchange)
 		want   string
 		// ran is how often the service ran the call.
 		ran int
 	}{
-		{name: "answered", run: func(*exchangeScript) {}, want: endTrailer, ran: 1},
-		{name: "committed and answered", offer: twoStep, run: func(x *exchangeScript) {
+		{name: "answered", run: func(*entryExchange) {}, want: endTrailer, ran: 1},
+		{name: "committed and answered", offer: twoStep, run: func(x *entryExchange) {
 			x.await("ready")
 			x.commit()
 		}, want: endTrailer, ran: 1},
-		{name: "no commit comes", offer: twoStep, commit: time.Millisecond, run: func(*exchangeScript) {}, want: "CANCELLED"},
-		{name: "withdrawn instead of committed", offer: twoStep, run: func(x *exchangeScript) {
+		{name: "no commit comes", offer: twoStep, commit: time.Millisecond, run: func(*entryExchange) {}, want: "CANCELLED"},
+		{name: "withdrawn instead of committed", offer: twoStep, run: func(x *entryExchange) {
 			x.await("ready")
 			x.cancel()
 		}, want: "CANCELLED"},
-		{name: "withdrawn at once", offer: twoStep, run: func(x *exchangeScript) { x.cancel() }, want: "CANCELLED"},
-		{name: "the entry is lost before the commit", offer: twoStep, run: func(x *exchangeScript) {
+		{name: "withdrawn at once", offer: twoStep, run: func(x *entryExchange) { x.cancel() }, want: "CANCELLED"},
+		{name: "the entry is lost before the commit", offer: twoStep, run: func(x *entryExchange) {
 			x.await("ready")
 			_ = x.stream.Close()
 		}, want: ""},
-		{name: "a commit of another request", offer: twoStep, run: func(x *exchangeScript) {
+		{name: "a commit of another request", offer: twoStep, run: func(x *entryExchange) {
 			x.await("ready")
 			id := x.id
 			x.id = "other"
 			x.commit()
 			x.id = id
 		}, want: ""},
-		{name: "committed and withdrawn", offer: twoStep, run: func(x *exchangeScript) {
+		{name: "committed and withdrawn", offer: twoStep, run: func(x *entryExchange) {
 			x.await("ready")
 			x.commit()
 			x.cancel()
 		}, want: endTrailer, ran: 1},
-		{name: "committed twice", offer: twoStep, run: func(x *exchangeScript) {
+		{name: "committed twice", offer: twoStep, run: func(x *entryExchange) {
 			x.await("ready")
 			x.commit()
 			x.commit()
 		}, want: endTrailer, ran: 1},
-		{name: "too late when it came", offer: func(o *wirepb.Offer) { o.TimeLeftMicros = -1 }, run: func(*exchangeScript) {}, want: "DEADLINE"},
-		{name: "for a model", offer: func(o *wirepb.Offer) { o.Service, o.Model = "", "m@1" }, run: func(*exchangeScript) {}, want: "UNKNOWN_TARGET"},
-		{name: "a body that needs no more frames gets one", run: func(x *exchangeScript) { x.chunk([]byte("more"), true) }, want: endTrailer, ran: 1},
-		{name: "the body is cut", offer: upload(1000), run: func(x *exchangeScript) {
+		{name: "deadline passed on arrival", offer: func(o *wirepb.Offer) { o.TimeLeftMicros = -1 }, run: func(*entryExchange) {}, want: "DEADLINE"},
+		{name: "for a model", offer: func(o *wirepb.Offer) { o.Service, o.Model = "", "m@1" }, run: func(*entryExchange) {}, want: "UNKNOWN_TARGET"},
+		{name: "an extra frame after the complete body", run: func(x *entryExchange) { x.chunk([]byte("more"), true) }, want: endTrailer, ran: 1},
+		{name: "the body is cut", offer: upload(1000), run: func(x *entryExchange) {
 			x.await("ready")
 			x.chunk([]byte("half"), false)
 			x.cancel()
 		}, want: "WITHDRAWN"},
-		{name: "the body is cut while the answer comes", offer: func(o *wirepb.Offer) { upload(1000)(o); o.Path = "/echo" }, run: func(x *exchangeScript) {
+		{name: "the body is cut while the answer is relayed", offer: func(o *wirepb.Offer) { upload(1000)(o); o.Path = "/echo" }, run: func(x *entryExchange) {
 			x.await("ready")
 			x.chunk([]byte("half"), false)
 			x.await("body")
 			x.cancel()
 		}, want: "WITHDRAWN unclear", ran: 1},
-		{name: "the body of a committed call is cut", offer: func(o *wirepb.Offer) { upload(-1)(o); twoStep(o) }, run: func(x *exchangeScript) {
+		{name: "the body of a committed call is cut", offer: func(o *wirepb.Offer) { upload(-1)(o); twoStep(o) }, run: func(x *entryExchange) {
 			x.await("ready")
 			x.commit()
 			x.chunk([]byte("half"), false)
 			x.cancel()
 		}, want: "WITHDRAWN"},
-		{name: "the entry is lost within the body of a committed call", offer: func(o *wirepb.Offer) { upload(-1)(o); twoStep(o) }, run: func(x *exchangeScript) {
+		{name: "the entry is lost within the body of a committed call", offer: func(o *wirepb.Offer) { upload(-1)(o); twoStep(o) }, run: func(x *entryExchange) {
 			x.await("ready")
 			x.commit()
 			x.chunk([]byte("half"), false)
 			_ = x.stream.Close()
 		}},
-		{name: "the service breaks off before it runs", faults: service.Faults{CutBefore: chance}, run: func(*exchangeScript) {}, want: "ENDPOINT_BROKE unclear"},
-		{name: "the service breaks off after it ran", faults: service.Faults{CutAfter: chance}, run: func(*exchangeScript) {}, want: "ENDPOINT_BROKE unclear", ran: 1},
-		{name: "the service refuses: its answer is passed on", faults: service.Faults{Refuse: true}, run: func(*exchangeScript) {}, want: endTrailer},
+		{name: "the service breaks off before it runs", faults: service.Faults{CutBefore: chance}, run: func(*entryExchange) {}, want: "ENDPOINT_BROKE unclear"},
+		{name: "the service breaks off after it ran", faults: service.Faults{CutAfter: chance}, run: func(*entryExchange) {}, want: "ENDPOINT_BROKE unclear", ran: 1},
+		{name: "the service refuses and its answer is relayed", faults: service.Faults{Refuse: true}, run: func(*entryExchange) {}, want: endTrailer},
 		{name: "the deadline passes in the service", offer: func(o *wirepb.Offer) { o.TimeLeftMicros = 50_000 }, faults: service.Faults{HangBefore: chance},
-			run: func(*exchangeScript) {}, want: "ENDPOINT_TIMEOUT unclear"},
+			run: func(*entryExchange) {}, want: "ENDPOINT_TIMEOUT unclear"},
 		{name: "the deadline of a committed call passes in the service", offer: func(o *wirepb.Offer) { twoStep(o); o.TimeLeftMicros = 200_000 },
-			faults: service.Faults{HangAfter: chance}, run: func(x *exchangeScript) {
+			faults: service.Faults{HangAfter: chance}, run: func(x *entryExchange) {
 				x.await("ready")
 				x.commit()
 			}, want: "ENDPOINT_TIMEOUT unclear", ran: 1},
@@ -127,13 +126,13 @@
 	}
 }
 
-// A service without a connection to it certainly ran nothing.
+// A call to a service that cannot be connected to certainly was not run.
 func TestUnreachableServiceDidNotRun(t *testing.T) {
 	up := atomic.Bool{}
 	up.Store(true)
 	caller := callerFunc(func(r *http.Request) (*http.Response, error) {
 		if r.URL.Path == endpoint.PathReport && up.Load() {
-			return answer(http.StatusOK, http.NoBody), nil
+			return newResponse(http.StatusOK, http.NoBody), nil
 		}
 		return nil, endpoint.ErrUnreachable
 	})
@@ -143,20 +142,21 @@
 		t.Errorf("ended with %s", got)
 	}
 	up.Store(false)
-	eventually(t, "the agent takes calls for a service that is down", func() bool {
+	eventually(t, "the agent accepts calls for a service that is down", func() bool {
 		return entry.offer("r", post(nil)).end() == "ENDPOINT_UNREACHABLE"
 	})
 }
 
-// watchedService answers with size bytes after its first ones went out and the gate opened, and notes how its calls end.
-type watchedService struct {
-	size       int
-	gate       chan struct{}
-	begun      chan struct{}
-	whole, cut atomic.Int32
+// gatedService sends the start of its answer, waits for the gate to open and sends size more bytes. It counts how its
+// calls end.
+type gatedService struct {
+	size               int
+	gate               chan struct{}
+	begun              chan struct{}
+	completed, aborted atomic.Int32
 }
 
-func (s *watchedService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *gatedService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == endpoint.PathReport {
 		return
 	}
@@ -167,41 +167,40 @@
 	select {
 	case <-s.gate:
 	case <-r.Context().Done():
-		s.cut.Add(1)
+		s.aborted.Add(1)
 		return
 	}
-	if _, err := io.CopyN(w, zeros{}, int64(s.size)); err != nil || r.Context().Err() != nil {
-		s.cut.Add(1)
+	if _, err := io.CopyN(w, zeroReader{}, int64(s.size)); err != nil || r.Context().Err() != nil {
+		s.aborted.Add(1)
 		return
 	}
-	s.whole.Add(1)
+	s.completed.Add(1)
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
+func (zeroReader) Read(p []byte) (int, error) { clear(p); return len(p), nil }
 
-func newWatchedService(size int) *watchedService {
-	return &watchedService{size: size, gate: make(chan struct{}), begun: make(chan struct{}, 16)}
+func newGatedService(size int) *gatedService {
+	return &gatedService{size: size, gate: make(chan struct{}), begun: make(chan struct{}, 16)}
 }
 
-// An entry dies while a slot confirmation runs at the service. The call was committed:
-// cutting it would leave the service at whatever point it had reached and nobody could tell which. It must run to its end,
-// however long its answer is, though nobody reads it.
+// An entry disconnects while a committed call runs at the service. Aborting the call would leave it at an unknown
+// point, so it must run to its end, however long its answer is, although nobody reads the answer.
 func TestCommittedCallRunsToItsEnd(t *testing.T) {
 	const long = 4 << 20
 	cases := []struct {
 		name string
 		size int
-		lose func(e *scriptedEntry, x *exchangeScript)
+		lose func(e *fakeEntry, x *entryExchange)
 	}{
-		{"the stream closes", 10, func(_ *scriptedEntry, x *exchangeScript) { _ = x.stream.Close() }},
-		{"the stream closes, a long answer", long, func(_ *scriptedEntry, x *exchangeScript) { _ = x.stream.Close() }},
-		{"the entry dies, a long answer", long, func(e *scriptedEntry, _ *exchangeScript) { _ = e.session.Close() }},
+		{"the stream closes", 10, func(_ *fakeEntry, x *entryExchange) { _ = x.stream.Close() }},
+		{"the stream closes, a long answer", long, func(_ *fakeEntry, x *entryExchange) { _ = x.stream.Close() }},
+		{"the entry dies, a long answer", long, func(e *fakeEntry, _ *entryExchange) { _ = e.session.Close() }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newWatchedService(c.size)
+			s := newGatedService(c.size)
 			a := startAgent(t, agentSettings{url: newService(t, s.ServeHTTP)})
 			entry := dialAgent(t, a)
 			x := entry.offer("r-1", post(twoStep))
@@ -210,9 +209,9 @@
 			<-s.begun
 			c.lose(entry, x)
 			close(s.gate)
-			eventually(t, "the call does not end", func() bool { return s.whole.Load()+s.cut.Load() == 1 })
-			if s.cut.Load() != 0 {
-				t.Error("the call was cut")
+			eventually(t, "the call does not end", func() bool { return s.completed.Load()+s.aborted.Load() == 1 })
+			if s.aborted.Load() != 0 {
+				t.Error("the call was aborted")
 			}
 			if got := dialAgent(t, a).offer("r-2", post(nil)).end(); got != endTrailer {
 				t.Errorf("the next call ended with %s", got)
@@ -221,46 +220,47 @@
 	}
 }
 
-// A caller goes away in the middle of a call that may be repeated. Its work must stop at the endpoint and its place be free
-// for the next caller at once.
+// The caller of a repeatable call disconnects. The call must be aborted at the endpoint, and its concurrency must be
+// available at once for the next caller.
 func TestAbandonedCallFreesItsPlace(t *testing.T) {
 	cases := []struct {
 		name    string
-		abandon func(e *scriptedEntry, x *exchangeScript)
+		abandon func(e *fakeEntry, x *entryExchange)
 	}{
-		{"withdrawn", func(_ *scriptedEntry, x *exchangeScript) {
+		{"withdrawn", func(_ *fakeEntry, x *entryExchange) {
 			x.cancel()
 			x.await("WITHDRAWN unclear")
 		}},
-		{"the stream closes", func(_ *scriptedEntry, x *exchangeScript) { _ = x.stream.Close() }},
-		{"the entry dies", func(e *scriptedEntry, _ *exchangeScript) { _ = e.session.Close() }},
-		{"a frame of another request", func(_ *scriptedEntry, x *exchangeScript) { x.id = "other"; x.commit() }},
+		{"the stream closes", func(_ *fakeEntry, x *entryExchange) { _ = x.stream.Close() }},
+		{"the entry dies", func(e *fakeEntry, _ *entryExchange) { _ = e.session.Close() }},
+		{"a frame of another request", func(_ *fakeEntry, x *entryExchange) { x.id = "other"; x.commit() }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newWatchedService(10)
+			s := newGatedService(10)
 			a := startAgent(t, agentSettings{url: newService(t, s.ServeHTTP)})
 			entry := dialAgent(t, a)
 			x := entry.offer("r-1", post(nil))
 			<-s.begun
 			c.abandon(entry, x)
 			next := dialAgent(t, a).offer("r-2", post(nil))
-			within(t, s.begun, "the place is not free")
-			// The agent's place is free as soon as it has closed its connection; the service sees that a moment later, and must
-			// see it while it is still held at the gate: let through before, it would end the abandoned call whole.
-			eventually(t, "the abandoned call is not cut", func() bool { return s.cut.Load() == 1 })
+			receive(t, s.begun, "the next call does not start")
+			// The agent frees the concurrency as soon as it has closed its connection. The service notices that
+			// slightly later and must do so while it still waits at the gate, otherwise it would complete the abandoned
+			// call.
+			eventually(t, "the abandoned call is not aborted", func() bool { return s.aborted.Load() == 1 })
 			close(s.gate)
 			if got := next.end(); got != endTrailer {
 				t.Errorf("the next call ended with %s", got)
 			}
-			if s.cut.Load() != 1 {
-				t.Errorf("%d calls were cut", s.cut.Load())
+			if s.aborted.Load() != 1 {
+				t.Errorf("%d calls were aborted, want 1", s.aborted.Load())
 			}
 		})
 	}
 }
 
-// endlessBody is an answer that never ends; it tells of each part that is read.
+// endlessBody is an answer that never ends; it reports each read.
 type endlessBody struct{ parts chan int }
 
 func (b endlessBody) Read(p []byte) (int, error) {
@@ -268,33 +268,33 @@
 	return len(p), nil
 }
 
-// A caller stops reading a long answer; its entry withdraws the request or closes its stream, and takes no more frames. The
-// agent's answer waits for room that never comes: the place at the engine was held for the minute after which the session
-// library gives such a stream up.
+// A caller stops reading a long answer, and its entry withdraws the request or closes its stream and reads no more
+// frames. The agent's write blocks on the full flow-control window. It must be unblocked; otherwise the concurrency at
+// the engine is held for a minute, until the session library closes the stream.
 func TestUnreadAnswerFreesItsPlace(t *testing.T) {
-	// windowParts are the parts that a stream takes without a reader; the next one waits.
+	// windowParts is how many parts a stream accepts without a reader; the next write blocks.
 	const windowParts = 256<<10/wire.ChunkBytes - 1
 	cases := []struct {
 		name    string
-		abandon func(x *exchangeScript)
+		abandon func(x *entryExchange)
 	}{
-		{"withdrawn", func(x *exchangeScript) { x.cancel() }},
-		{"the stream closes", func(x *exchangeScript) { _ = x.stream.Close() }},
+		{"withdrawn", func(x *entryExchange) { x.cancel() }},
+		{"the stream closes", func(x *entryExchange) { _ = x.stream.Close() }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			body := endlessBody{parts: make(chan int, 1024)}
 			caller := callerFunc(func(r *http.Request) (*http.Response, error) {
 				if r.URL.Path != "/endless" {
-					return answer(http.StatusOK, http.NoBody), nil
+					return newResponse(http.StatusOK, http.NoBody), nil
 				}
-				return answer(http.StatusOK, body), nil
+				return newResponse(http.StatusOK, body), nil
 			})
 			a := startAgent(t, agentSettings{caller: caller})
 			entry := dialAgent(t, a)
 			x := entry.offer("r-1", post(func(o *wirepb.Offer) { o.Path = "/endless" }))
 			for range windowParts + 1 {
-				within(t, body.parts, "the answer does not fill the window")
+				receive(t, body.parts, "the answer does not fill the flow-control window")
 			}
 			c.abandon(x)
 			if got := entry.offer("r-2", post(nil)).end(); got != endTrailer {
@@ -304,12 +304,14 @@
 	}
 }
 
-// A photograph of 8 MiB goes to a service that takes it slowly. The agent must slow the caller down, not keep the body.
+// A body of 8 MiB goes to a service that reads slowly. The agent must apply backpressure to the caller instead of
+// buffering the body.
 func TestLargeBodyIsNotKept(t *testing.T) {
 	const (
 		size = 8 << 20
-		// held is what may be on its way: the window of a stream, a frame here, one there, and one being read.
-		held = 256<<10 + 4*wire.ChunkBytes
+		// maxInTransit is the most that may be in transit: the window of a stream, a frame at either end, and one being
+		// read.
+		maxInTransit = 256<<10 + 4*wire.ChunkBytes
 	)
 	var sent atomic.Int64
 	read := int64(0)
@@ -317,7 +319,7 @@
 	sum := byte(0)
 	caller := callerFunc(func(r *http.Request) (*http.Response, error) {
 		if r.URL.Path == endpoint.PathReport {
-			return answer(http.StatusOK, http.NoBody), nil
+			return newResponse(http.StatusOK, http.NoBody), nil
 		}
 		buffer := make([]byte, 4<<10)
 		for {
@@ -328,12 +330,12 @@
 				sum += b
 			}
 			if err == io.EOF {
-				return answer(http.StatusOK, strings.NewReader(fmt.Sprint(read))), nil
+				return newResponse(http.StatusOK, strings.NewReader(fmt.Sprint(read))), nil
 			}
 			if err != nil {
 				return nil, err
 			}
-			// The service is slower than the caller now and then, and lets it run ahead as far as it can.
+			// The service pauses now and then, so that the caller gets ahead as far as it can.
 			if read%(1<<20) < int64(n) {
 				time.Sleep(10 * time.Millisecond)
 			}
@@ -350,28 +352,28 @@
 	if got := x.end(); got != endTrailer || string(x.body) != fmt.Sprint(size) || sum != 0 {
 		t.Fatalf("ended with %s, %q, sum %d", got, x.body, sum)
 	}
-	if worst > held {
-		t.Errorf("%d bytes were on their way, at most %d may be", worst, held)
+	if worst > maxInTransit {
+		t.Errorf("%d bytes were in transit, want at most %d", worst, maxInTransit)
 	}
 	if worst < 128<<10 {
-		t.Errorf("only %d bytes were ever on their way: the bound was not tried", worst)
+		t.Errorf("at most %d bytes were in transit: the limit was not exercised", worst)
 	}
 }
 
-// A body frame that nobody takes must not hold up the end of its exchange, whatever the peer sends: a reader that waits
-// for room that never comes would be a goroutine lost for each such request.
+// A body frame that is never read must not block the end of its exchange, whatever the peer sends: a frame reader that
+// waits forever for space would leak a goroutine for each such request.
 func TestBodyReader(t *testing.T) {
 	b := newBodyReader([]byte("first"), true)
 	_ = b.Close()
 	added := make(chan struct{})
 	go func() {
-		b.add([]byte("behind the end"), true)
+		b.add([]byte("after the end"), true)
 		close(added)
 	}()
 	select {
 	case <-added:
-	case <-time.After(patience):
-		t.Fatal("a frame behind the end waits for ever")
+	case <-time.After(testTimeout):
+		t.Fatal("adding a frame after the end of the body blocks")
 	}
 	if got, err := io.ReadAll(b); err != nil || string(got) != "first" {
 		t.Errorf("%q, %v", got, err)
@@ -383,10 +385,11 @@
 	}
 }
 
-// An engine that dies politely ends the stream of an answer as if it were whole; a service or an engine answers another
-// request. Neither may reach the entry with a trailer, which says that the answer is whole and the request's own.
+// An engine that shuts down gracefully may end a streamed answer early without an error, and a service or an engine may
+// answer another request. Neither may be followed by a trailer, which confirms that the answer is complete and belongs
+// to the request.
 func TestWrongAnswers(t *testing.T) {
-	// The agent takes the offer for a service that it has, and checks the answer as a model's.
+	// The offer has the agent's service and a model as targets, so that the answer is checked as a model's.
 	stream := func(o *wirepb.Offer) { o.Model, o.Stream = "m@1", true }
 	events := func(parts ...string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -406,9 +409,9 @@
 		{"a whole stream", stream, events("data: 1\n\n", "data: [DONE]\n\n"), false, endTrailer},
 		{"a stream whose end is split", stream, events("data: 1\n\ndata: [DO", "NE]\n\n"), false, endTrailer},
 		{"a stream without its end", stream, events("data: 1\n\n"), false, "WRONG_ANSWER unclear"},
-		{"the end's words far before the end", stream, events("data: [DONE]\n\n", strings.Repeat("data: 1\n\n", 20)), false, "WRONG_ANSWER unclear"},
+		{"the end marker far before the end", stream, events("data: [DONE]\n\n", strings.Repeat("data: 1\n\n", 20)), false, "WRONG_ANSWER unclear"},
 		{"an empty stream", stream, events(), false, "WRONG_ANSWER unclear"},
-		{"a plain service's stream may end as it likes", nil, events("data: 1\n\n"), false, endTrailer},
+		{"a plain service's stream without an end marker", nil, events("data: 1\n\n"), false, endTrailer},
 		{"cut within its length", nil, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, "short")
@@ -416,9 +419,9 @@
 		{"another request's answer", nil, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(endpoint.HeaderRequestID, "other")
 		}, true, "WRONG_ANSWER unclear"},
-		{"an answer that does not say whose it is", nil, func(http.ResponseWriter, *http.Request) {}, true, "WRONG_ANSWER unclear"},
+		{"an answer without a request identifier", nil, func(http.ResponseWriter, *http.Request) {}, true, "WRONG_ANSWER unclear"},
 		{"the engine is busy", stream, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, false, "ENDPOINT_REFUSED clean"},
-		{"the engine finds the request wrong", stream, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadRequest) }, false, endTrailer},
+		{"the engine rejects the request as invalid", stream, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadRequest) }, false, endTrailer},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -427,7 +430,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			a := startAgent(t, agentSettings{caller: probed{caller}})
+			a := startAgent(t, agentSettings{caller: probeAnswerer{caller}})
 			if got := dialAgent(t, a).offer("r", post(c.offer)).end(); got != c.want {
 				t.Errorf("ended with %s, want %s", got, c.want)
 			}
@@ -435,17 +438,17 @@
 	}
 }
 
-// probed answers the probes of a service itself.
-type probed struct{ endpoint.Caller }
+// probeAnswerer answers the health checks of a service itself.
+type probeAnswerer struct{ endpoint.Caller }
 
-func (p probed) Call(r *http.Request) (*http.Response, error) {
+func (p probeAnswerer) Call(r *http.Request) (*http.Response, error) {
 	if r.URL.Path == endpoint.PathReport {
-		return answer(http.StatusOK, http.NoBody), nil
+		return newResponse(http.StatusOK, http.NoBody), nil
 	}
 	return p.Caller.Call(r)
 }
 
-// What is no offer must not hold a stream or be taken for one.
+// A stream that does not start with an offer must be closed and not be handled as a request.
 func TestNoOffer(t *testing.T) {
 	a := startAgent(t, agentSettings{url: newService(t, func(http.ResponseWriter, *http.Request) {})})
 	entry := dialAgent(t, a)
@@ -461,7 +464,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			x := &exchangeScript{t: t, stream: entry.open(c.kind)}
+			x := &entryExchange{t: t, stream: entry.open(c.kind)}
 			if c.first != nil {
 				if err := x.stream.Write(c.first); err != nil {
 					t.Fatal(err)
@@ -477,8 +480,8 @@
 	}
 }
 
-// A call reaches the service as the caller made it: a path that begins with two slashes is no host's name, a body whose
-// length is known is told with it, and the identifier is the request's own.
+// A call must reach the service unchanged: a path that begins with two slashes is not taken as a host name, a known
+// body length is sent as the content length, and the request identifier is the offer's.
 func TestServiceGetsTheCall(t *testing.T) {
 	type call struct {
 		uri, id, priority, token string
@@ -524,7 +527,7 @@
 	}
 }
 
-// A deadline bounds the first bytes of a streamed answer and the whole of any other.
+// The deadline applies to the first bytes of a streamed answer and to the end of any other.
 func TestDeadlineOfAnswers(t *testing.T) {
 	const left = 300 * time.Millisecond
 	cases := []struct {
@@ -535,7 +538,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := newWatchedService(10)
+			s := newGatedService(10)
 			a := startAgent(t, agentSettings{url: newService(t, s.ServeHTTP)})
 			entry := dialAgent(t, a)
 			offered := time.Now()
@@ -550,8 +553,8 @@
 	}
 }
 
-// Requests are withdrawn in the moment in which their turn comes. A turn that comes to a request that has just been taken
-// back would be lost to all later ones.
+// Requests are withdrawn at the moment they start. If a request that starts while it is being withdrawn did not free
+// its concurrency, that would be lost to all later requests.
 func TestTurnThatComesWithTheWithdrawal(t *testing.T) {
 	a := startAgent(t, agentSettings{url: newService(t, func(http.ResponseWriter, *http.Request) {})})
 	entry := dialAgent(t, a)
@@ -571,13 +574,13 @@
 	}
 }
 
-// Two entries, or one entry twice, offer requests with one identifier. Each exchange gets its own answer.
+// Two entries, or one entry twice, offer requests with the same identifier. Each exchange must get its own answer.
 func TestOneIdentifierTwice(t *testing.T) {
 	a := startAgent(t, agentSettings{options: Options{Capacity: 8}, url: newService(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
 	})})
 	entry := dialAgent(t, a)
-	var all []*exchangeScript
+	var all []*entryExchange
 	for i := range 8 {
 		x := entry.offer("same", post(func(o *wirepb.Offer) { twoStep(o); o.Body, o.BodyLength = []byte{byte('0' + i)}, 1 }))
 		all = append(all, x)
--- a/internal/agent/execute.go
+++ b/internal/agent/execute.go
@@ -14,40 +14,41 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// call is one call of the endpoint.
+// call is one call to the endpoint.
 type call struct {
-	// stop gives it up because the entry wants it no more.
-	stop  func()
-	watch *watch
+	// cancel aborts the call because the entry has withdrawn the request.
+	cancel func()
+	timer  *deadlineTimer
 }
 
-// callResult is how a call ended.
+// callResult is the outcome of a call.
 type callResult struct {
-	took spent
-	// trailer is set after a whole answer.
+	took serviceTime
+	// trailer is set if the whole answer was relayed.
 	trailer *wirepb.Trailer
-	// err is why there is none, with its reason. clean says that the endpoint certainly did not run the request.
-	err    error
-	reason wirepb.FailureReason
-	clean  bool
+	// err is the failure, if any, and reason its class. notExecuted is set when the endpoint certainly did not run the
+	// request.
+	err         error
+	reason      wirepb.FailureReason
+	notExecuted bool
 }
 
-// event is the execution's event for the result.
+// event returns the execution event for the result.
 func (r *callResult) event() event {
 	switch {
 	case r.err == nil:
 		return event{kind: atmostonce.CallAnswered, result: r}
-	case r.clean:
+	case r.notExecuted:
 		return event{kind: atmostonce.CallFailedClean, result: r}
 	default:
 		return event{kind: atmostonce.CallFailedUnclear, result: r}
 	}
 }
 
-// startCall passes the request to the endpoint. The call runs beside the exchange's events, which learns of its end.
+// startCall sends the request to the endpoint. The call runs in its own goroutine, which posts the result as an event.
 //
-// A committed request that may run only once is not cancelled when the entry goes away: the execution does not ask for
-// it, because cutting it would only make its outcome less certain.
+// A committed request that may run only once is not cancelled when the entry disconnects: the execution does not ask
+// for it, because aborting the call would only make its outcome less certain.
 func (x *exchange) startCall() {
 	a := x.agent
 	if x.offer.TwoStep {
@@ -56,53 +57,53 @@
 		x.sendReady()
 	}
 	x.record(timeline.RequestStarted, "")
-	ctx, withdraw := context.WithCancelCause(a.calls)
+	ctx, cancelCause := context.WithCancelCause(a.callsCtx)
 	ctx, cancel := context.WithTimeout(ctx, a.options.MaxAnswer)
 	x.call = &call{
-		stop:  func() { withdraw(errWithdrawn) },
-		watch: newWatch(a.clock, x.deadline.Sub(a.clock.Now()), cancel),
+		cancel: func() { cancelCause(errWithdrawn) },
+		timer:  newDeadlineTimer(a.clock, x.deadline.Sub(a.clock.Now()), cancel),
 	}
 	go func() {
-		defer withdraw(nil)
+		defer cancelCause(nil)
 		defer cancel()
-		defer x.call.watch.stop()
+		defer x.call.timer.stop()
 		x.events <- x.execute(ctx).event()
 	}()
 }
 
-// execute makes the call and passes the answer on, but for its trailer.
+// execute makes the call and relays the answer except for its trailer.
 func (x *exchange) execute(ctx context.Context) *callResult {
 	a := x.agent
 	request, err := x.endpointRequest(ctx)
 	if err != nil {
-		return &callResult{err: err, reason: wirepb.FailureReason_BODY_BROKE, clean: true}
+		return &callResult{err: err, reason: wirepb.FailureReason_BODY_BROKE, notExecuted: true}
 	}
 	began := a.clock.Now()
 	response, err := a.caller.Call(request)
 	if err != nil {
-		return &callResult{err: err, reason: failureOf(ctx, err), clean: errors.Is(err, endpoint.ErrUnreachable)}
+		return &callResult{err: err, reason: failureReason(ctx, err), notExecuted: errors.Is(err, endpoint.ErrUnreachable)}
 	}
 	defer func() { _ = response.Body.Close() }()
 	if x.engineRefused(response) {
 		err := errors.Wrap(errEngineBusy, response.Status)
-		return &callResult{err: err, reason: wirepb.FailureReason_ENDPOINT_REFUSED, clean: true}
+		return &callResult{err: err, reason: wirepb.FailureReason_ENDPOINT_REFUSED, notExecuted: true}
 	}
 	r := newRelay(x, response, began)
 	if err := r.run(); err != nil {
-		return &callResult{took: spent{first: r.first}, err: err, reason: failureOf(ctx, err)}
+		return &callResult{took: serviceTime{firstByte: r.firstByte}, err: err, reason: failureReason(ctx, err)}
 	}
-	return &callResult{took: spent{first: r.first, whole: a.clock.Now().Sub(began)}, trailer: r.trailer()}
+	return &callResult{took: serviceTime{firstByte: r.firstByte, total: a.clock.Now().Sub(began)}, trailer: r.trailer()}
 }
 
-// errEngineBusy says that the engine refused a request because it is too busy, or has not loaded what is asked for.
+// errEngineBusy is returned when the engine is overloaded or has not loaded the requested model.
 var errEngineBusy = errors.New("agent: the engine refused")
 
-// engineRefused reports whether an engine refused to run a request. Another replica may take it. What a plain service
-// answers is passed on: its status may mean anything.
+// engineRefused reports whether an engine refused to run a request, so that another replica may run it. Answers of
+// plain services are always relayed, because their status codes may have any meaning.
 //
-// An engine that has restarted has lost its models, which the agent learns only from the next read of its state. Until
-// then it answers that it does not know the model: passed on, a caller would take that for the answer to a request for a
-// model that is declared and served.
+// A restarted engine has lost its models, which the agent learns only with the next read of its state. Until then the
+// engine answers 404 for the model. If that were relayed, a caller would get "not found" for a model that is declared
+// and served.
 func (x *exchange) engineRefused(response *http.Response) bool {
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusNotFound:
@@ -112,13 +113,13 @@
 	}
 }
 
-// endpointRequest is the request as the endpoint gets it.
+// endpointRequest builds the HTTP request for the endpoint.
 func (x *exchange) endpointRequest(ctx context.Context) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, x.offer.Method, "/", x.body)
 	if err != nil {
 		return nil, errors.Wrap(err, "agent: bad method")
 	}
-	// As a URL, a path that begins with two slashes would name a host, and lose its first part.
+	// url.Parse would take a path that begins with two slashes as a host name followed by a path.
 	request.URL, err = url.ParseRequestURI(x.offer.Path)
 	if err != nil {
 		return nil, errors.Wrap(err, "agent: bad path")
@@ -139,8 +140,8 @@
 	return request, nil
 }
 
-// failureOf names what went wrong at the endpoint.
-func failureOf(ctx context.Context, err error) wirepb.FailureReason {
+// failureReason classifies the failure of a call.
+func failureReason(ctx context.Context, err error) wirepb.FailureReason {
 	switch {
 	case errors.Is(err, endpoint.ErrWrongAnswer), errors.Is(err, errNoStreamEnd):
 		return wirepb.FailureReason_WRONG_ANSWER
@@ -153,7 +154,7 @@
 	}
 }
 
-// probe checks that a plain service answers at its report path.
+// probe reports whether a plain service answers at its report path.
 func (a *Agent) probe(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, max(a.options.ProbeInterval, time.Second))
 	defer cancel()
--- a/internal/agent/grants.go
+++ b/internal/agent/grants.go
@@ -9,25 +9,25 @@
 	"balsamsail/internal/replicas"
 )
 
-// registrationPrefix begins the table rows by which agents register.
+// registrationPrefix is the key prefix of the table rows under which agents register.
 const registrationPrefix = "agents/"
 
-// runRowReads reads this engine's grants from the table when the agent starts and whenever the machine asks, trying
-// again until the table answers.
+// runRowReads reads this engine's grants from the table at start and whenever the machine asks, retrying until the
+// table answers.
 func (a *Agent) runRowReads(ctx context.Context) {
-	x := a.core.perform.(*actions)
-	nudge(x.rows)
+	x := a.core.executor.(*orderExecutor)
+	notify(x.readRows)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-x.rows:
+		case <-x.readRows:
 		}
 		read, err := a.readRows(ctx)
 		if err != nil {
-			a.logger.Warn("grants not read from the table", "error", err)
-			a.wait(ctx, a.options.TableRetry)
-			nudge(x.rows)
+			a.logger.Warn("reading grants from the table failed; retrying", "error", err)
+			a.sleep(ctx, a.options.TableRetry)
+			notify(x.readRows)
 			continue
 		}
 		a.core.step(read)
@@ -36,9 +36,9 @@
 
 // readRows registers the agent and reads its grants.
 //
-// The registration is a write, so that the revision of the listing after it is above every revision that an earlier
-// agent of this endpoint can have seen: fencing numbers derived from it are above all earlier ones. When its answer is
-// lost the listing may show a lower revision, so the read is given up and done again.
+// The registration is a write, so the revision of the subsequent listing is higher than every revision that an earlier
+// agent of this endpoint can have read. Fencing tokens derived from it are therefore higher than all earlier ones. If
+// the answer to the write is lost, the listing may show a lower revision, so the whole read is repeated.
 func (a *Agent) readRows(ctx context.Context) (loading.RowsRead, error) {
 	put := backing.Put{
 		Key:   registrationPrefix + a.options.Endpoint,
--- a/internal/agent/hold.go
+++ b/internal/agent/hold.go
@@ -8,37 +8,37 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// demand tells the machine of a waiting request and starts what can run.
-func (c *core) demand(now time.Time, w *waiting) []loading.Action {
+// enqueueDemand reports a queued request to the machine, unless it is held, and dispatches what can run.
+func (c *core) enqueueDemand(now time.Time, w *pendingRequest) []loading.Action {
 	if c.machine == nil {
-		return c.pump(now)
+		return c.dispatch(now)
 	}
-	if w.request.Class == wirepb.Class_BATCH && c.hold(now, w) {
+	if w.request.Class == wirepb.Class_BATCH && c.holdBatch(now, w) {
 		return nil
 	}
 	if w.request.Class != wirepb.Class_BATCH {
 		c.policy.Observe(w.request.Target.Model, now)
 	}
-	return append(c.wake(now, w), c.pump(now)...)
+	return append(c.reportDemand(now, w), c.dispatch(now)...)
 }
 
-// hold keeps a batch request for a sleeping model back, so that one wake serves many, and reports whether it did. The
-// request runs at once when another one wakes the model.
-func (c *core) hold(now time.Time, w *waiting) bool {
+// holdBatch holds a batch request for a model that is not loaded, so that one load serves several requests, and reports
+// whether it did. A held request is dispatched as soon as another request gets the model loaded.
+func (c *core) holdBatch(now time.Time, w *pendingRequest) bool {
 	t := w.request.Target
 	if c.isUsable(t) || c.longestHold == 0 {
 		return false
 	}
-	w.wakeAt = idle.HoldUntil(t.Model, now, w.request.Deadline, c.readyIn(w), idle.HoldOptions{Longest: c.longestHold})
-	if !w.wakeAt.After(now) {
+	w.holdUntil = idle.HoldUntil(t.Model, now, w.request.Deadline, c.timeToReady(w), idle.HoldOptions{Longest: c.longestHold})
+	if !w.holdUntil.After(now) {
 		return false
 	}
 	c.held[w.request.ID] = w
 	return true
 }
 
-// wake tells the machine of a waiting request.
-func (c *core) wake(now time.Time, w *waiting) []loading.Action {
+// reportDemand reports a waiting request to the machine.
+func (c *core) reportDemand(now time.Time, w *pendingRequest) []loading.Action {
 	delete(c.held, w.request.ID)
 	return c.stepLocked(now, loading.Demanded{
 		Request:  w.request.ID,
@@ -49,20 +49,20 @@
 	})
 }
 
-// wakeDue wakes the models of the held requests whose time has come, and returns when the next one's comes. All held
-// requests of such a model are told, so that it stays loaded for them.
-func (c *core) wakeDue(now time.Time) ([]loading.Action, time.Time) {
+// releaseHeld reports the held requests of every model for which one is due to the machine, and returns when the next
+// one is due. All held requests of such a model are reported, so that the model stays loaded for them.
+func (c *core) releaseHeld(now time.Time) ([]loading.Action, time.Time) {
 	due := map[string]bool{}
 	for _, w := range c.held {
-		due[w.request.Target.Model] = due[w.request.Target.Model] || !w.wakeAt.After(now)
+		due[w.request.Target.Model] = due[w.request.Target.Model] || !w.holdUntil.After(now)
 	}
 	var actions []loading.Action
 	var next time.Time
 	for _, w := range c.held {
 		if due[w.request.Target.Model] {
-			actions = append(actions, c.wake(now, w)...)
+			actions = append(actions, c.reportDemand(now, w)...)
 		} else {
-			next = earlier(next, w.wakeAt)
+			next = earlier(next, w.holdUntil)
 		}
 	}
 	return actions, next
--- a/internal/agent/idle.go
+++ b/internal/agent/idle.go
@@ -6,7 +6,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// idleMeter adds up, for each model version, the time that loaded replicas spent without a request.
+// idleMeter accumulates, for each model version, the time in which loaded replicas had no running request.
 type idleMeter struct {
 	last time.Time
 }
--- a/internal/agent/inflight.go
+++ b/internal/agent/inflight.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// inflight counts request streams. Unlike a sync.WaitGroup it may be entered while somebody waits: an entry that has not
-// heard of the drain yet still opens streams, only to have them refused.
+// inflight counts operations in flight. Unlike a sync.WaitGroup it allows new entries while another goroutine waits: an
+// entry that has not yet received the agent's drain status still opens streams, which are then refused.
 type inflight struct {
 	mu      sync.Mutex
 	n       int
@@ -26,8 +26,8 @@
 	}
 }
 
-// empty returns a channel that is closed once no stream is left.
-func (f *inflight) empty() <-chan struct{} {
+// drained returns a channel that is closed once the count is zero.
+func (f *inflight) drained() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.n == 0 {
--- a/internal/agent/lifecycle_test.go
+++ b/internal/agent/lifecycle_test.go
@@ -12,11 +12,11 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// An agent is stopped by plan with answers under way, one waiting for its commit, and offers of entries that have not
-// heard of it still coming. What runs, or may be committed any moment, is finished; what waits or comes is refused as not
-// run; and the agent's end comes by itself after the last answer.
+// An agent is stopped with answers in progress, a request waiting for its commit, and new offers from entries that have
+// not received its drain status yet. Requests that run or may still be committed must finish, waiting and new requests
+// must be refused as not run, and the agent must stop after the last answer.
 func TestDrain(t *testing.T) {
-	s := newWatchedService(10)
+	s := newGatedService(10)
 	a := startAgent(t, agentSettings{options: Options{Capacity: 2}, url: newService(t, s.ServeHTTP)})
 	entry := dialAgent(t, a)
 	running := entry.offer("running", post(nil))
@@ -28,34 +28,35 @@
 	ended := make(chan error, 1)
 	go func() { ended <- a.stop() }()
 	if got := waiting.end(); got != "LEAVING" {
-		t.Errorf("what waited ended with %s", got)
+		t.Errorf("the waiting request ended with %s", got)
 	}
 	for range 10 {
 		if got := entry.offer("late", post(nil)).end(); got != "LEAVING" {
-			t.Errorf("an offer in the drain ended with %s", got)
+			t.Errorf("an offer during the drain ended with %s", got)
 		}
 	}
 	ready.commit()
 	<-s.begun
 	select {
 	case err := <-ended:
-		t.Fatalf("ended with requests running: %v", err)
+		t.Fatalf("the agent stopped with requests running: %v", err)
 	default:
 	}
 	close(s.gate)
 	if got, also := running.end(), ready.end(); got != endTrailer || also != endTrailer {
-		t.Errorf("what ran ended with %s and %s", got, also)
+		t.Errorf("the running and the committed request ended with %s and %s", got, also)
 	}
-	if err := within(t, ended, "the agent does not end"); err != nil {
+	if err := receive(t, ended, "the agent does not stop"); err != nil {
 		t.Error(err)
 	}
-	if s.whole.Load() != 2 || s.cut.Load() != 0 {
-		t.Errorf("%d whole, %d cut", s.whole.Load(), s.cut.Load())
+	if s.completed.Load() != 2 || s.aborted.Load() != 0 {
+		t.Errorf("%d calls completed, %d aborted, want 2 and 0", s.completed.Load(), s.aborted.Load())
 	}
 }
 
-// A service hangs in a call, committed or not, when its agent is stopped. The stop may wait for the call for the time to
-// drain and no longer: the agent waited on for the longest time of an answer, an hour, and its host was taken away under it.
+// A service hangs in a call, committed or not, when its agent is stopped. The stop must wait for the call for no longer
+// than the drain timeout. It used to wait for the maximum duration of an answer, an hour, and the host was removed
+// meanwhile.
 func TestDrainTimeout(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -63,7 +64,7 @@
 	}{{"repeatable", nil}, {"committed", twoStep}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newWatchedService(10)
+			s := newGatedService(10)
 			a := startAgent(t, agentSettings{
 				options: Options{DrainTimeout: 20 * time.Millisecond, MaxAnswer: time.Hour},
 				url:     newService(t, s.ServeHTTP),
@@ -81,7 +82,7 @@
 	}
 }
 
-// standinEngine is a quick engine with a stand-in's truth.
+// standinEngine starts a fast simulated engine.
 func standinEngine(t *testing.T) (*engine.Server, string) {
 	t.Helper()
 	const quick = time.Millisecond
@@ -104,38 +105,38 @@
 	return n
 }
 
-// chat is an offer of a chat completion of the model "m@1".
+// chat makes an offer a chat completion of the model "m@1".
 func chat(o *wirepb.Offer) {
 	o.Service, o.Model, o.Method, o.Path = "", "m@1", http.MethodPost, "/v1/chat/completions"
 	o.Body = []byte(`{"model":"m@1","messages":[{"role":"user","content":"how long"}]}`)
 	o.BodyLength = int64(len(o.Body))
 }
 
-// offerUntil offers chats until one ends as wanted; others must be refused.
-func (e *scriptedEntry) offerUntil(wanted string) {
+// offerUntil offers chats until one ends with the wanted result.
+func (e *fakeEntry) offerUntil(wanted string) {
 	e.t.Helper()
-	eventually(e.t, "no chat ends with "+wanted, func() bool { return e.offer("chat", post(chat)).end() == wanted })
+	eventually(e.t, "no chat ended with "+wanted, func() bool { return e.offer("chat", post(chat)).end() == wanted })
 }
 
-// An agent starts anew in an outage of the table, beside an engine that lives on. What the engine holds and a peer tells
-// a grant of is served; nothing is loaded, because a pushed row may be older than a release that the former agent
-// confirmed. After the outage all is as ever.
+// An agent restarts during an outage of the table, beside an engine that kept running. Models that the engine holds and
+// for which a peer sends a grant must be served. Nothing may be loaded, because a pushed row may be older than a
+// release that the previous agent confirmed. After the outage the agent must work normally.
 func TestAgentRestartInAnOutage(t *testing.T) {
 	standin, url := standinEngine(t)
-	table := &grantTable{models: []string{"m@1"}}
+	table := &fakeTable{models: []string{"m@1"}}
 	state := &wirepb.ControlDown{Sequence: 1, Snapshot: snapshot(), Rows: table.rows()}
 
 	table.down.Store(true)
-	first := startAgent(t, agentSettings{kind: KindEngine, url: url, table: table, unready: true})
+	first := startAgent(t, agentSettings{kind: KindEngine, url: url, table: table, startsUnready: true})
 	entry := dialAgent(t, first)
 	if got := entry.offer("chat", post(chat)).end(); got != "NOT_READY" {
-		t.Errorf("before anything is known: %s", got)
+		t.Errorf("a chat before the grants were received ended with %s", got)
 	}
 	control := entry.control(state)
 	entry.offerUntil("NOT_READY")
 	time.Sleep(50 * time.Millisecond)
 	if n := loads(standin); n != 0 {
-		t.Errorf("%d loads in the outage", n)
+		t.Errorf("%d loads during the outage", n)
 	}
 	table.down.Store(false)
 	first.awaitReady()
@@ -146,23 +147,24 @@
 	}
 
 	table.down.Store(true)
-	second := startAgent(t, agentSettings{kind: KindEngine, url: url, table: table, unready: true})
+	second := startAgent(t, agentSettings{kind: KindEngine, url: url, table: table, startsUnready: true})
 	entry = dialAgent(t, second)
 	entry.control(state)
 	second.awaitReady()
 	if got := entry.offer("chat", post(chat)).end(); got != endTrailer {
-		t.Errorf("a loaded model in the outage: %s", got)
+		t.Errorf("a chat with a loaded model during the outage ended with %s", got)
 	}
 	if n := loads(standin); n != 1 {
-		t.Errorf("%d loads in all", n)
+		t.Errorf("%d loads in total, want 1", n)
 	}
 }
 
-// An engine answers a request with the text of another one's. The caller must get an error, not somebody else's advisory.
+// An engine answers a request with the answer to another one. The caller must get an error instead of another caller's
+// answer.
 func TestCrossedAnswerOfAnEngine(t *testing.T) {
 	standin, url := standinEngine(t)
-	table := &grantTable{models: []string{"m@1"}}
-	caller := echoing(t, url)
+	table := &fakeTable{models: []string{"m@1"}}
+	caller := newEchoCheckingCaller(t, url)
 	a := startAgent(t, agentSettings{kind: KindEngine, url: url, caller: caller, table: table})
 	entry := dialAgent(t, a)
 	entry.control(&wirepb.ControlDown{Sequence: 1, Snapshot: snapshot()})
--- a/internal/agent/load.go
+++ b/internal/agent/load.go
@@ -7,26 +7,27 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// estimate is what the queue is told of a target.
+// estimate returns the queue's input for a target.
 func (c *core) estimate(t admission.Target) admission.Estimate {
 	e := admission.Estimate{Ready: c.isUsable(t), Concurrency: c.limit(t), Running: c.runningOf(t)}
 	c.times.Fill(t, &e)
 	return e
 }
 
-// accepted is what an accepted request's entry is told.
-func (c *core) accepted(w *waiting) *wirepb.Accepted {
+// accepted returns the Accepted message for a queued request.
+func (c *core) accepted(w *pendingRequest) *wirepb.Accepted {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	load := c.loadLocked(w.request.Target)
-	if wait := c.readyIn(w); wait.Microseconds() > load.WaitMicros {
+	if wait := c.timeToReady(w); wait.Microseconds() > load.WaitMicros {
 		load.WaitMicros = wait.Microseconds()
 	}
 	return &wirepb.Accepted{Load: load, Cold: w.cold}
 }
 
-// readyIn is the expected time until a request's target can run, 0 when it can now or nothing is known.
-func (c *core) readyIn(w *waiting) time.Duration {
+// timeToReady returns the expected time until a request's target can run: 0 if it can run now or no estimate is
+// available.
+func (c *core) timeToReady(w *pendingRequest) time.Duration {
 	t := w.request.Target
 	if !w.cold || c.machine == nil {
 		return 0
@@ -38,7 +39,7 @@
 	return max(0, at.Sub(c.clock.Now()))
 }
 
-// load is what answers and reports say of the endpoint's load.
+// load returns the endpoint's load as sent in answers and reports.
 func (c *core) load(t admission.Target) *wirepb.Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -21,22 +21,22 @@
 	eventStream = "text/event-stream"
 	// streamEnd is the last event of a streamed chat completion.
 	streamEnd = "data: [DONE]"
-	// streamTailBytes is how much of a streamed answer's end is kept to look for streamEnd.
+	// streamTailBytes is how much of the end of a streamed answer is kept to search for streamEnd.
 	streamTailBytes = 64
 )
 
-// errNoStreamEnd says that a streamed answer stopped before its last event.
+// errNoStreamEnd is returned when a streamed answer ended without its last event.
 var errNoStreamEnd = errors.New("agent: streamed answer without its last event")
 
-// watch cancels an execution whose answer has not begun, or not ended, by the deadline.
-type watch struct {
+// deadlineTimer cancels a call whose answer has not started or, if it is not streamed, not ended by the deadline.
+type deadlineTimer struct {
 	stopped chan struct{}
 	timer   clock.Timer
 }
 
-// newWatch starts a watch that cancels after left.
-func newWatch(c clock.Clock, left time.Duration, cancel context.CancelFunc) *watch {
-	w := &watch{stopped: make(chan struct{}), timer: c.NewTimer(left)}
+// newDeadlineTimer starts a timer that calls cancel after left.
+func newDeadlineTimer(c clock.Clock, left time.Duration, cancel context.CancelFunc) *deadlineTimer {
+	w := &deadlineTimer{stopped: make(chan struct{}), timer: c.NewTimer(left)}
 	go func() {
 		select {
 		case <-w.timer.C():
@@ -47,8 +47,8 @@
 	return w
 }
 
-// stop ends the watch. It may be called more than once, by one goroutine.
-func (w *watch) stop() {
+// stop disarms the timer. It may be called more than once, by one goroutine.
+func (w *deadlineTimer) stop() {
 	w.timer.Stop()
 	select {
 	case <-w.stopped:
@@ -57,16 +57,16 @@
 	}
 }
 
-// relay passes one answer of the endpoint to the entry.
+// relay copies one answer of the endpoint to the entry.
 type relay struct {
 	exchange *exchange
 	response *http.Response
 	began    time.Time
-	// first is the time to the first body bytes.
-	first    time.Duration
-	length   uint64
-	checksum *xxhash.Digest
-	tail     *tailCheck
+	// firstByte is the time to the first body bytes.
+	firstByte time.Duration
+	length    uint64
+	checksum  *xxhash.Digest
+	endCheck  *streamEndCheck
 }
 
 func newRelay(x *exchange, response *http.Response, began time.Time) *relay {
@@ -75,33 +75,34 @@
 		response: response,
 		began:    began,
 		checksum: xxhash.New(),
-		tail:     newTailCheck(response, x.offer.Model != ""),
+		endCheck: newStreamEndCheck(response, x.offer.Model != ""),
 	}
 }
 
-// run passes head and body.
+// run relays the head and the body.
 //
-// When the entry of a call that may run only once is gone, what is left of the answer is read and dropped: giving it up
-// would cut the connection to the endpoint, which may still be at work, and leave the call at whatever point it had reached.
+// If the entry of a request that may run only once has disconnected, the rest of the answer is read and discarded.
+// Closing the body would cut the connection to the endpoint, which may still be processing the request, and abort it at
+// an unknown point.
 func (r *relay) run() error {
-	err := r.pass()
+	err := r.forward()
 	if r.exchange.offer.TwoStep && errors.Is(err, errWithdrawn) {
 		_, _ = io.Copy(io.Discard, r.response.Body)
 	}
 	return err
 }
 
-func (r *relay) pass() error {
+func (r *relay) forward() error {
 	if err := r.sendHead(); err != nil {
 		return errors.Wrap(errWithdrawn, err.Error())
 	}
 	if err := r.sendBody(); err != nil {
 		return err
 	}
-	return r.tail.err()
+	return r.endCheck.err()
 }
 
-// trailer describes the body that was passed on.
+// trailer describes the relayed body.
 func (r *relay) trailer() *wirepb.Trailer {
 	return &wirepb.Trailer{Length: r.length, Checksum: r.checksum.Sum64()}
 }
@@ -122,7 +123,8 @@
 	return x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Head{Head: head}})
 }
 
-// eventBufferBytes is the buffer of a streamed answer, whose events are small: it is held for as long as the stream is open.
+// eventBufferBytes is the buffer size for a streamed answer. Its events are small, and the buffer is held for as long
+// as the stream is open.
 const eventBufferBytes = 2 << 10
 
 func (r *relay) bufferBytes() int {
@@ -132,7 +134,7 @@
 	return wire.ChunkBytes
 }
 
-// sendBody passes the body as it comes.
+// sendBody relays the body as it arrives.
 func (r *relay) sendBody() error {
 	buffer := make([]byte, r.bufferBytes())
 	for {
@@ -153,15 +155,15 @@
 
 func (r *relay) sendChunk(data []byte) error {
 	x := r.exchange
-	if r.first == 0 {
-		r.first = x.agent.clock.Now().Sub(r.began)
+	if r.firstByte == 0 {
+		r.firstByte = x.agent.clock.Now().Sub(r.began)
 		if x.offer.Stream {
-			x.call.watch.stop()
+			x.call.timer.stop()
 		}
 	}
 	r.length += uint64(len(data))
 	_, _ = r.checksum.Write(data)
-	r.tail.add(data)
+	r.endCheck.add(data)
 	chunk := &wirepb.BodyChunk{Data: data}
 	if err := x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Body{Body: chunk}}); err != nil {
 		return errors.Wrap(errWithdrawn, err.Error())
@@ -169,20 +171,20 @@
 	return nil
 }
 
-// tailCheck checks that a streamed chat completion ends with its last event: an engine that dies politely ends the body
-// as if it were whole.
-type tailCheck struct {
-	wanted bool
-	tail   []byte
+// streamEndCheck verifies that a streamed chat completion ends with its last event: an engine that shuts down
+// gracefully in the middle of an answer ends the body without an error.
+type streamEndCheck struct {
+	enabled bool
+	tail    []byte
 }
 
-func newTailCheck(response *http.Response, model bool) *tailCheck {
+func newStreamEndCheck(response *http.Response, model bool) *streamEndCheck {
 	streamed := strings.HasPrefix(response.Header.Get("Content-Type"), eventStream)
-	return &tailCheck{wanted: model && streamed && response.StatusCode == http.StatusOK}
+	return &streamEndCheck{enabled: model && streamed && response.StatusCode == http.StatusOK}
 }
 
-func (t *tailCheck) add(data []byte) {
-	if !t.wanted {
+func (t *streamEndCheck) add(data []byte) {
+	if !t.enabled {
 		return
 	}
 	t.tail = append(t.tail, data...)
@@ -191,8 +193,8 @@
 	}
 }
 
-func (t *tailCheck) err() error {
-	if !t.wanted || bytes.Contains(t.tail, []byte(streamEnd)) {
+func (t *streamEndCheck) err() error {
+	if !t.enabled || bytes.Contains(t.tail, []byte(streamEnd)) {
 		return nil
 	}
 	return errNoStreamEnd
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -16,31 +16,31 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// errWithdrawn says that the entry withdrew the request or its stream broke.
+// errWithdrawn is returned when the entry withdrew the request or its stream broke.
 var errWithdrawn = errors.New("agent: withdrawn by the entry")
 
-// exchange is one request stream at the agent. serve drives atmostonce.Execution with what befalls the stream, the queue
-// and the endpoint call, and carries out its actions, one at a time.
+// exchange handles one request stream. serve passes the events of the stream, the queue and the endpoint call to
+// atmostonce.Execution, one at a time, and executes the resulting actions.
 type exchange struct {
 	agent  *Agent
 	stream *wire.Stream
-	// id is the request's identifier, and key this offer's: an entry may offer a request to the same agent again while
-	// the earlier offer still ends.
+	// id is the request's identifier. key is unique to this offer: an entry may offer a request to the same agent again
+	// while the earlier offer is still ending.
 	id, key string
 	offer   *wirepb.Offer
 	target  admission.Target
-	// deadline is the time by which the answer must have begun, or be whole where it is not streamed.
+	// deadline is when the answer must have started or, if it is not streamed, ended.
 	deadline time.Time
 	began    time.Time
 	body     *bodyReader
 
-	execution *atmostonce.Execution
-	events    chan event
-	waiting   *waiting
-	refusal   *admission.Refusal
-	commit    clock.Timer
-	call      *call
-	cold      bool
+	execution   *atmostonce.Execution
+	events      chan event
+	pending     *pendingRequest
+	refusal     *admission.Refusal
+	commitTimer clock.Timer
+	call        *call
+	cold        bool
 }
 
 // event is one event of the execution; result is set when the endpoint call has ended.
@@ -49,12 +49,12 @@
 	result *callResult
 }
 
-// serveRequest runs one request stream from the offer to its definite end.
+// serveRequest runs one request stream from the offer to its final frame.
 func (a *Agent) serveRequest(stream *wire.Stream) {
 	first := &wirepb.ToAgent{}
 	_ = stream.SetReadDeadline(time.Now().Add(a.options.Wire.HeaderTimeout))
 	if err := stream.Read(first); err != nil || first.GetOffer() == nil {
-		a.logger.Warn("request stream without an offer", "error", err)
+		a.logger.Warn("request stream did not start with an offer", "error", err)
 		return
 	}
 	_ = stream.SetReadDeadline(time.Time{})
@@ -71,7 +71,7 @@
 		agent:     a,
 		stream:    stream,
 		id:        first.RequestId,
-		key:       first.RequestId + "#" + strconv.FormatUint(a.offers.Add(1), 36),
+		key:       first.RequestId + "#" + strconv.FormatUint(a.offerCount.Add(1), 36),
 		offer:     offer,
 		target:    admission.Target{Model: offer.Model, Adapter: offer.Adapter, Service: offer.Service},
 		deadline:  now.Add(micros(offer.TimeLeftMicros)),
@@ -82,10 +82,10 @@
 	}
 }
 
-// serve queues the request and follows it to its end.
+// serve queues the request and handles its events until it ends.
 func (x *exchange) serve() {
 	a := x.agent
-	x.waiting = newWaiting(admission.Request{
+	x.pending = newPendingRequest(admission.Request{
 		ID:       x.key,
 		Target:   x.target,
 		Class:    x.offer.Class,
@@ -94,13 +94,13 @@
 		Deadline: x.deadline,
 		Stream:   x.offer.Stream,
 	})
-	if refusal := a.core.offer(x.waiting); refusal != nil {
+	if refusal := a.core.offer(x.pending); refusal != nil {
 		x.refusal = refusal
 		x.sendRefused()
 		return
 	}
 	x.record(timeline.RequestAccepted, "")
-	accepted := &wirepb.FromAgent_Accepted{Accepted: a.core.accepted(x.waiting)}
+	accepted := &wirepb.FromAgent_Accepted{Accepted: a.core.accepted(x.pending)}
 	err := x.send(&wirepb.FromAgent{Frame: accepted})
 	done := make(chan struct{})
 	defer close(done)
@@ -108,58 +108,59 @@
 	if err != nil {
 		x.step(event{kind: atmostonce.EntryLost})
 	}
-	x.follow()
+	x.runEvents()
 }
 
-// follow takes events until nothing more can follow.
-func (x *exchange) follow() {
-	decided := x.waiting.decided
-	var commitLate <-chan time.Time
+// runEvents handles events until the execution has ended.
+func (x *exchange) runEvents() {
+	decided := x.pending.decided
+	var commitTimeout <-chan time.Time
 	for !x.execution.Ended() {
-		if x.commit != nil {
-			commitLate = x.commit.C()
+		if x.commitTimer != nil {
+			commitTimeout = x.commitTimer.C()
 		}
 		select {
 		case d := <-decided:
 			decided = nil
-			x.decide(d)
+			x.handleDecision(d)
 		case e := <-x.events:
 			x.step(e)
-		case <-commitLate:
-			commitLate = nil
+		case <-commitTimeout:
+			commitTimeout = nil
 			x.step(event{kind: atmostonce.CommitLate})
 		}
 	}
-	if x.commit != nil {
-		x.commit.Stop()
+	if x.commitTimer != nil {
+		x.commitTimer.Stop()
 	}
 	if decided != nil {
-		x.lateDecision(decided)
+		x.releaseLateStart(decided)
 	}
 }
 
-// noticedWait is the wait from which on the entry is told that a request which needs no commit starts now.
-const noticedWait = 50 * time.Millisecond
+// readyNoticeDelay is the queueing time from which on the entry is notified of the start of a request that needs no
+// commit.
+const readyNoticeDelay = 50 * time.Millisecond
 
-// decide takes the queue's decision.
+// handleDecision handles the queue's decision.
 //
-// An entry moves a request that waits too long to another endpoint. Without a word of the start it would count the time
-// that the endpoint works as waiting, and withdraw a request that has just begun.
-func (x *exchange) decide(d decision) {
+// An entry moves a request that waits too long to another endpoint. Without a notification of the start it would count
+// the endpoint's processing time as waiting and withdraw a request that has just started.
+func (x *exchange) handleDecision(d decision) {
 	if d.refusal != nil {
 		x.refusal = d.refusal
 		x.step(event{kind: atmostonce.QueueRefused})
 		return
 	}
 	x.cold = d.cold
-	if !x.offer.TwoStep && x.agent.clock.Now().Sub(x.began) >= noticedWait {
+	if !x.offer.TwoStep && x.agent.clock.Now().Sub(x.began) >= readyNoticeDelay {
 		x.sendReady()
 	}
 	x.step(event{kind: atmostonce.TurnCame})
 }
 
-// lateDecision gives back a turn that came while the request was being taken out of the queue.
-func (x *exchange) lateDecision(decided <-chan decision) {
+// releaseLateStart ends a request that was started by the queue while it was being cancelled.
+func (x *exchange) releaseLateStart(decided <-chan decision) {
 	select {
 	case d := <-decided:
 		if d.refusal == nil {
@@ -169,15 +170,15 @@
 	}
 }
 
-// readFrames turns the entry's further frames into events. When the stream ends the entry counts as lost: before the
-// start the request then certainly did not run.
+// readFrames turns further frames of the entry into events. When the stream ends, the entry counts as lost; if the call
+// has not started by then, the request certainly did not run.
 func (x *exchange) readFrames(done <-chan struct{}) {
 	for {
 		frame := &wirepb.ToAgent{}
 		err := x.stream.Read(frame)
 		if err != nil || frame.RequestId != x.id {
 			x.body.fail(errWithdrawn)
-			x.post(done, atmostonce.EntryLost)
+			x.postEvent(done, atmostonce.EntryLost)
 			return
 		}
 		switch f := frame.Frame.(type) {
@@ -185,44 +186,44 @@
 			x.body.add(f.Body.Data, f.Body.Done)
 		case *wirepb.ToAgent_Commit:
 			x.agent.recorder.Clock().Observe(frame.Clock)
-			x.post(done, atmostonce.GotCommit)
+			x.postEvent(done, atmostonce.GotCommit)
 		case *wirepb.ToAgent_Cancel:
 			x.body.fail(errWithdrawn)
-			x.post(done, atmostonce.GotCancel)
+			x.postEvent(done, atmostonce.GotCancel)
 		}
 	}
 }
 
-func (x *exchange) post(done <-chan struct{}, kind atmostonce.ExecutionEvent) {
+func (x *exchange) postEvent(done <-chan struct{}, kind atmostonce.ExecutionEvent) {
 	select {
 	case x.events <- event{kind: kind}:
 	case <-done:
 	}
 }
 
-// step gives the execution an event and carries out its actions.
+// step passes an event to the execution and executes the resulting actions.
 func (x *exchange) step(e event) {
 	for _, action := range x.execution.Step(e.kind) {
-		x.act(action, e)
+		x.executeAction(action, e)
 	}
 }
 
-func (x *exchange) act(action atmostonce.ExecutionAction, e event) {
+func (x *exchange) executeAction(action atmostonce.ExecutionAction, e event) {
 	switch action {
 	case atmostonce.SendReady:
 		x.sendReady()
-		x.commit = x.agent.clock.NewTimer(x.agent.options.CommitTimeout)
+		x.commitTimer = x.agent.clock.NewTimer(x.agent.options.CommitTimeout)
 	case atmostonce.StartCall:
 		x.startCall()
 	case atmostonce.StopCall:
-		x.call.stop()
-		// The answer may wait for an entry that reads no more of it.
+		x.call.cancel()
+		// The relay may be blocked writing to an entry that no longer reads.
 		x.stream.StopWriting()
 	case atmostonce.LeaveQueue:
 		x.record(timeline.RequestCancelled, "withdrawn while waiting")
 		x.agent.core.cancel(x.key)
 	case atmostonce.GiveBackTurn:
-		x.giveBackTurn(e.result)
+		x.finishRequest(e.result)
 	case atmostonce.SendRefused:
 		x.sendRefused()
 	case atmostonce.SendTrailer:
@@ -232,9 +233,9 @@
 	}
 }
 
-// giveBackTurn frees the place at the endpoint.
-func (x *exchange) giveBackTurn(r *callResult) {
-	var took spent
+// finishRequest frees the request's concurrency at the endpoint.
+func (x *exchange) finishRequest(r *callResult) {
+	var took serviceTime
 	if r != nil {
 		took = r.took
 	}
@@ -247,7 +248,7 @@
 	_ = x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Ready{Ready: &wirepb.Ready{}}})
 }
 
-// sendRefused ends the exchange as not run.
+// sendRefused ends the exchange with a refusal, which means that the request was not run.
 func (x *exchange) sendRefused() {
 	r := x.refusal
 	if r == nil {
@@ -264,14 +265,14 @@
 	_ = x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Refused{Refused: refused}})
 }
 
-// sendTrailer ends a whole answer.
+// sendTrailer ends the exchange after a complete answer.
 func (x *exchange) sendTrailer(r *callResult) {
 	x.record(timeline.RequestCompleted, "")
 	r.trailer.Load = x.agent.core.load(x.target)
 	_ = x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Trailer{Trailer: r.trailer}})
 }
 
-// sendFailed ends the exchange after the start.
+// sendFailed ends the exchange with a failure of the endpoint call.
 func (x *exchange) sendFailed(r *callResult, mayHaveRun bool) {
 	x.agent.metrics.failed.WithLabelValues(r.reason.String()).Inc()
 	level := slog.LevelWarn
@@ -289,7 +290,7 @@
 	_ = x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Failed{Failed: failed}})
 }
 
-// send writes one frame; every frame carries the request's identifier.
+// send writes one frame with the request's identifier.
 func (x *exchange) send(frame *wirepb.FromAgent) error {
 	frame.RequestId = x.id
 	if frame.GetBody() == nil {
--- a/internal/agent/shell_test.go
+++ b/internal/agent/shell_test.go
@@ -23,18 +23,18 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// slowEngine answers each read of its state when the test lets it.
-type slowEngine struct {
+// blockingEngine answers a read of its state only when the test releases it.
+type blockingEngine struct {
 	endpoint.Engine
-	answer chan struct{}
+	release chan struct{}
 }
 
-func (e slowEngine) State(context.Context) (endpoint.EngineState, error) {
-	<-e.answer
+func (e blockingEngine) State(context.Context) (endpoint.EngineState, error) {
+	<-e.release
 	return endpoint.EngineState{Incarnation: "1", MemoryBytes: 100}, nil
 }
 
-// emptyTable holds nothing.
+// emptyTable is a table without rows.
 type emptyTable struct{ backing.Table }
 
 func (emptyTable) Commit(context.Context, backing.Txn) (uint64, error) { return 1, nil }
@@ -42,7 +42,7 @@
 	return backing.Listing{Revision: 1}, nil
 }
 
-func newShell(kind string, engine endpoint.Engine) *Agent {
+func newUnstartedAgent(kind string, engine endpoint.Engine) *Agent {
 	options := Options{
 		Endpoint: "e", Kind: kind, Capacity: 1, OrderTimeout: time.Hour, DrainTimeout: time.Minute,
 		Queue: admission.Options{MaxWaiting: 8}, Loading: loading.Options{Engine: "e", OrderLife: time.Second},
@@ -54,49 +54,49 @@
 	})
 }
 
-// An agent is frozen while it reads its engine's state. When it goes on, the machine asks again, and the first read's
-// answer comes too. Were it taken for the answer to the second question, the second read, which began next, would be an
-// answer to nothing, and pass for that of a later question that was asked after an order had changed the engine.
+// An agent is frozen while it reads its engine's state. When it continues, the machine asks again, and the first read's
+// answer arrives too. If it were taken as the answer to the second request, the second read's answer would be taken as
+// that of a later request, made after an order had changed the engine.
 func TestAnswersOfTheEngineNameTheirRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine := slowEngine{answer: make(chan struct{})}
-		a := newShell(KindEngine, engine)
+		engine := blockingEngine{release: make(chan struct{})}
+		a := newUnstartedAgent(KindEngine, engine)
 		ctx, stop := context.WithCancel(t.Context())
-		a.core.perform = newActions(ctx, a)
+		a.core.executor = newOrderExecutor(ctx, a)
 		a.core.step(loading.Tick{})
 		a.core.step(loading.RowsRead{Revision: 1})
 		go a.runEngineReads(ctx)
 		synctest.Wait()
 		time.Sleep(time.Minute)
 		a.core.step(loading.Tick{})
-		engine.answer <- struct{}{}
+		engine.release <- struct{}{}
 		synctest.Wait()
 		if a.core.isReady() {
-			t.Error("the first read is taken for the second one")
+			t.Error("the answer of the first read was accepted for the second")
 		}
-		engine.answer <- struct{}{}
+		engine.release <- struct{}{}
 		synctest.Wait()
 		if !a.core.isReady() {
-			t.Error("the second read is not taken")
+			t.Error("the answer of the second read was not accepted")
 		}
 		stop()
-		close(engine.answer)
+		close(engine.release)
 		synctest.Wait()
 	})
 }
 
-// An agent stops by plan while it unloads a model. Were it to end at once, the order could reach an engine that ignores
-// fencing numbers after the next agent had begun to serve that very model, and cut its requests.
+// An agent is stopped while it unloads a model. If it stopped at once, the order could reach an engine that ignores
+// fencing tokens after the next agent had begun to serve the same model, and abort that agent's requests.
 func TestPlannedStopWaitsForUnloads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newShell(KindEngine, nil)
+		a := newUnstartedAgent(KindEngine, nil)
 		a.unloads.enter()
 		ended := make(chan error, 1)
 		go func() { ended <- a.drain() }()
 		time.Sleep(10 * time.Second)
 		select {
 		case <-ended:
-			t.Fatal("ended with an unload on its way")
+			t.Fatal("stopped with an unload in flight")
 		default:
 		}
 		a.unloads.exit()
@@ -106,8 +106,8 @@
 	})
 }
 
-// An engine restarts and has lost its models; its agent learns it seconds later. Until then callers were given the
-// engine's word that it does not know the model as the answer to their requests.
+// A restarted engine has lost its models, and its agent learns this seconds later. Until then the engine's "not found"
+// must not be relayed to callers as the answer to their requests.
 func TestEngineThatHasNotLoadedTheModelRefuses(t *testing.T) {
 	model, service := admission.Target{Model: "m@1"}, admission.Target{Service: "ledger"}
 	cases := []struct {
@@ -120,7 +120,7 @@
 		{"engine too busy", model, http.StatusServiceUnavailable, true},
 		{"too many requests", model, http.StatusTooManyRequests, true},
 		{"answer", model, http.StatusOK, false},
-		{"request that the engine finds wrong", model, http.StatusBadRequest, false},
+		{"request that the engine rejects as invalid", model, http.StatusBadRequest, false},
 		{"not found by a plain service", service, http.StatusNotFound, false},
 		{"plain service too busy", service, http.StatusServiceUnavailable, false},
 	}
@@ -134,22 +134,23 @@
 	}
 }
 
-// A request runs while its service hangs for half a minute. From then on each request with a deadline of a few seconds was
-// refused at once, because by the only time ever seen it would come too late, and no request ran to show a shorter one.
+// A service hangs for half a minute during a request. Afterwards each request with a deadline of a few seconds was
+// refused at once, because the only observed service time exceeded it, and no request ran that could have shown a
+// shorter one.
 func TestOneSlowRequestDoesNotShutTheEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newShell(KindService, nil)
-		a.core.perform = newActions(t.Context(), a)
-		a.core.setUp(true)
+		a := newUnstartedAgent(KindService, nil)
+		a.core.executor = newOrderExecutor(t.Context(), a)
+		a.core.setServiceUp(true)
 		target := admission.Target{Service: "ledger"}
 		a.core.times.Observe(target, 30*time.Second)
 		offer := func(id string) *admission.Refusal {
-			return a.core.offer(newWaiting(admission.Request{
+			return a.core.offer(newPendingRequest(admission.Request{
 				ID: id, Target: target, Class: wirepb.Class_INTERACTIVE, Arrived: time.Now(), Deadline: time.Now().Add(8 * time.Second),
 			}))
 		}
 		if offer("first") == nil {
-			t.Fatal("a request that would be late is taken at once")
+			t.Fatal("a request with a longer expected time than its deadline was accepted at once")
 		}
 		const tries = 20
 		for range tries {
@@ -158,18 +159,18 @@
 				return
 			}
 		}
-		t.Errorf("%d requests are refused though nothing runs", tries)
+		t.Errorf("%d requests in a row were refused although nothing runs", tries)
 	})
 }
 
-// An agent was frozen, and its entry has made a second connection. The agent takes up the old connection after the new one,
-// and the old one ends. What the agent tells all entries, such as that a model is released, must still reach the entry: it
-// would wait for that for ever before it gives the model to another engine.
+// An agent was frozen, and its entry has made a second connection. The agent accepts the old connection after the new
+// one, and the old one ends. Messages to all entries, such as the release of a model, must still reach the entry, which
+// would otherwise wait forever before it grants the model to another engine.
 func TestEntryIsToldOverTheStreamThatIsLeft(t *testing.T) {
-	a := newShell(KindEngine, nil)
+	a := newUnstartedAgent(KindEngine, nil)
 	a.options.HeartbeatInterval = time.Second
 	ctx, stop := context.WithCancel(t.Context())
-	a.core.perform = newActions(ctx, a)
+	a.core.executor = newOrderExecutor(ctx, a)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -204,7 +205,7 @@
 	for {
 		up := &wirepb.ControlUp{}
 		if err := left.Read(up); err != nil {
-			t.Fatalf("the release was not told: %v", err)
+			t.Fatalf("the release was not received: %v", err)
 		}
 		if len(up.Releases) > 0 {
 			return
--- a/internal/agent/specs.go
+++ b/internal/agent/specs.go
@@ -8,8 +8,8 @@
 	"balsamsail/internal/loading"
 )
 
-// specsOf is what the loading machine must know of the declarations.
-func specsOf(set *declarations.Set) loading.SpecsChanged {
+// loadingSpecs returns the loading machine's part of the declarations.
+func loadingSpecs(set *declarations.Set) loading.SpecsChanged {
 	specs := loading.SpecsChanged{}
 	for _, m := range set.Models() {
 		for _, version := range m.Versions {
@@ -32,7 +32,7 @@
 	return specs
 }
 
-// concurrencyLimits are the declared limits of requests at once, by model version and by plain service.
+// concurrencyLimits returns the declared concurrency limits by model version and by plain service.
 func concurrencyLimits(set *declarations.Set) map[string]int {
 	limits := map[string]int{}
 	for _, m := range set.Models() {
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -7,11 +7,12 @@
 	"balsamsail/internal/loading"
 )
 
-// spent is how long a request ran: to its first answer bytes and to its end, 0 where it did not get there.
-type spent struct{ first, whole time.Duration }
+// serviceTime is how long a request ran until its first answer bytes and until its end. A value of 0 means that it did
+// not get that far.
+type serviceTime struct{ firstByte, total time.Duration }
 
-// finish ends a running request.
-func (c *core) finish(id string, took spent) {
+// finish removes a running request and dispatches waiting ones.
+func (c *core) finish(id string, took serviceTime) {
 	c.mu.Lock()
 	now := c.clock.Now()
 	target, ok := c.running[id]
@@ -20,33 +21,34 @@
 		return
 	}
 	delete(c.running, id)
-	c.busy[target]--
-	if c.busy[target] == 0 {
-		delete(c.busy, target)
+	c.runningByTarget[target]--
+	if c.runningByTarget[target] == 0 {
+		delete(c.runningByTarget, target)
 	}
-	c.learn(target, took)
+	c.recordServiceTime(target, took)
 	var actions []loading.Action
 	if c.machine != nil {
 		actions = c.stepLocked(now, loading.Finished{Request: id})
 	}
-	actions = append(actions, c.pump(now)...)
+	actions = append(actions, c.dispatch(now)...)
 	c.mu.Unlock()
-	c.perform.perform(actions)
-	c.changed()
+	c.executor.execute(actions)
+	c.onChange()
 }
 
-// learn notes how long a request of a target ran.
-func (c *core) learn(t admission.Target, took spent) {
-	if took.first > 0 {
-		c.times.ObserveFirst(t, took.first)
+// recordServiceTime records how long a request of a target ran.
+func (c *core) recordServiceTime(t admission.Target, took serviceTime) {
+	if took.firstByte > 0 {
+		c.times.ObserveFirst(t, took.firstByte)
 	}
-	if took.whole > 0 {
-		c.times.Observe(t, took.whole)
+	if took.total > 0 {
+		c.times.Observe(t, took.total)
 	}
 }
 
-// pump starts waiting requests, the most urgent first, while their targets can run and have room.
-func (c *core) pump(now time.Time) []loading.Action {
+// dispatch starts waiting requests, the most urgent first, while their targets are usable and below their concurrency
+// limits.
+func (c *core) dispatch(now time.Time) []loading.Action {
 	var actions []loading.Action
 	for {
 		r, expired, ok := c.queue.NextAny(now, c.startable)
@@ -58,7 +60,7 @@
 	}
 }
 
-// startable tells the queue whether a target's next request may start now.
+// startable reports whether the target's next request may start now, with the estimate that the queue needs.
 func (c *core) startable(t admission.Target) (admission.Estimate, bool) {
 	if !c.isUsable(t) || !c.hasRoom(t) {
 		return admission.Estimate{}, false
@@ -72,18 +74,18 @@
 	delete(c.waiting, r.ID)
 	delete(c.held, r.ID)
 	c.running[r.ID] = r.Target
-	c.busy[r.Target]++
+	c.runningByTarget[r.Target]++
 	var actions []loading.Action
 	if c.machine != nil {
 		actions = c.stepLocked(now, loading.Started{Request: r.ID, Model: r.Target.Model, Adapter: r.Target.Adapter})
 	}
-	w.decide(decision{cold: w.cold})
+	w.deliver(decision{cold: w.cold})
 	return actions
 }
 
 func (c *core) isUsable(t admission.Target) bool {
 	if c.machine == nil {
-		return c.up
+		return c.serviceUp
 	}
 	return c.usable[t]
 }
@@ -92,7 +94,7 @@
 // replica's batch.
 func (c *core) hasRoom(t admission.Target) bool { return c.runningOf(t) < c.limit(t) }
 
-// limit is how many requests run at once at the target's replica or service.
+// limit returns the concurrency limit of the target's replica or service.
 func (c *core) limit(t admission.Target) int {
 	name := t.Model
 	if t.Service != "" {
@@ -104,10 +106,10 @@
 	return c.capacity
 }
 
-// runningOf counts the requests that run at the target's replica or service.
+// runningOf counts the running requests of the target's replica or service.
 func (c *core) runningOf(t admission.Target) int {
 	n := 0
-	for other, count := range c.busy {
+	for other, count := range c.runningByTarget {
 		if other.Model == t.Model && other.Service == t.Service {
 			n += count
 		}
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -11,77 +11,78 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// loadReportInterval is the least time between two batches that tell of nothing but load. At some ten requests a second
-// every start and end would otherwise send a batch to every entry, many times what the rest of the control takes. What
-// follows from a choice of half a second old load is measured with the routing slice.
+// loadReportInterval is the minimum interval between two batches that carry only load. At about ten requests a second,
+// every start and end would otherwise send a batch to every entry, many times the rest of the control traffic. The
+// routing package measures the effect of routing by load that is half a second old.
 const loadReportInterval = 250 * time.Millisecond
 
-// news is how a status differs from what an entry was last told.
-type news int
+// statusChange classifies how a status differs from the one last sent to an entry.
+type statusChange int
 
 const (
-	// newsNone: nothing that the entry does not work out by itself.
-	newsNone news = iota
-	// newsLoad: only how many requests run or wait.
-	newsLoad
-	// newsState: anything else.
-	newsState
+	// changeNone means that nothing differs that the entry cannot compute itself.
+	changeNone statusChange = iota
+	// changeLoad means that only the numbers of running or queued requests differ, or whether a replica is idle.
+	changeLoad
+	// changeState means that anything else differs.
+	changeState
 )
 
-// statusMemo remembers what an entry was last told, so that a batch carries only what changed.
-type statusMemo struct {
-	// last is the status that was last told, whole; nil before the first.
+// sentStatus records the status last sent to an entry, so that a batch carries only changes.
+type sentStatus struct {
+	// last is the complete status that was last sent; nil before the first.
 	last     *wirepb.Status
 	replicas map[string]*wirepb.Replica
 }
 
-// compare says what a status holds that was not told.
-func (m *statusMemo) compare(status *wirepb.Status) news {
+// compare classifies the changes of a status since the last one sent.
+func (m *sentStatus) compare(status *wirepb.Status) statusChange {
 	switch {
-	case m.last == nil, !m.sameFixed(status), !sameState(m.last, status), len(status.Replicas) != len(m.replicas):
-		return newsState
+	case m.last == nil, !m.sameStatic(status), !sameState(m.last, status), len(status.Replicas) != len(m.replicas):
+		return changeState
 	}
-	found := newsNone
+	change := changeNone
 	if !proto.Equal(m.last.Load, status.Load) {
-		found = newsLoad
+		change = changeLoad
 	}
 	for _, r := range status.Replicas {
-		found = max(found, replicaNews(m.replicas[r.Model], r))
+		change = max(change, compareReplica(m.replicas[r.Model], r))
 	}
-	return found
+	return change
 }
 
-// sameState compares what may change at any time and matters at once.
+// sameState compares the fields that may change at any time and must be reported at once.
 func sameState(a, b *wirepb.Status) bool {
 	return a.Leaving == b.Leaving && a.Ready == b.Ready && a.MemoryReservedBytes == b.MemoryReservedBytes &&
 		a.DeclarationsRevision == b.DeclarationsRevision &&
 		a.LoadsInFlight == b.LoadsInFlight && a.AdaptersInFlight == b.AdaptersInFlight
 }
 
-// sameFixed compares what hardly ever changes. The rest of it is fixed for the life of an agent.
-func (m *statusMemo) sameFixed(status *wirepb.Status) bool {
+// sameStatic compares the fields that rarely change. All fields not compared here or in sameState, other than load and
+// replicas, are constant for the lifetime of an agent.
+func (m *sentStatus) sameStatic(status *wirepb.Status) bool {
 	return m.last.MemoryBytes == status.MemoryBytes && slices.Equal(m.last.Cached, status.Cached)
 }
 
-// replicaNews compares a replica with what was told of it.
-func replicaNews(told, now *wirepb.Replica) news {
+// compareReplica classifies the changes of a replica since it was last sent.
+func compareReplica(sent, now *wirepb.Replica) statusChange {
 	switch {
-	case told == nil, told.State != now.State, told.Revision != now.Revision, !slices.Equal(told.Adapters, now.Adapters):
-		return newsState
-	case told.Running != now.Running, told.Queued != now.Queued, (told.IdleMillis == 0) != (now.IdleMillis == 0):
-		return newsLoad
+	case sent == nil, sent.State != now.State, sent.Revision != now.Revision, !slices.Equal(sent.Adapters, now.Adapters):
+		return changeState
+	case sent.Running != now.Running, sent.Queued != now.Queued, (sent.IdleMillis == 0) != (now.IdleMillis == 0):
+		return changeLoad
 	default:
-		// The entry works the idle time out by itself, from when it was told.
-		return newsNone
+		// The entry computes the idle time from the value that was sent when the replica became idle.
+		return changeNone
 	}
 }
 
-// change returns the status as it is sent. The first one is whole, and so is one in which something changed that hardly
-// ever does; others leave out what is fixed and the replicas that were told as they are.
-func (m *statusMemo) change(status *wirepb.Status) *wirepb.Status {
+// delta returns the status as it is sent. It is complete the first time and whenever a rarely changing field differs;
+// otherwise it omits the constant fields and unchanged replicas.
+func (m *sentStatus) delta(status *wirepb.Status) *wirepb.Status {
 	previous := m.replicas
-	whole := m.last == nil || !m.sameFixed(status)
-	m.remember(status)
+	whole := m.last == nil || !m.sameStatic(status)
+	m.store(status)
 	if whole {
 		status.Full = true
 		return status
@@ -98,11 +99,12 @@
 	}
 }
 
-// changedReplicas returns the replicas that differ from those before, with an absent one for each that is gone.
+// changedReplicas returns the replicas that differ from the previous ones, and one in state ABSENT for each that is
+// gone.
 func changedReplicas(before, after map[string]*wirepb.Replica, now []*wirepb.Replica) []*wirepb.Replica {
 	var changed []*wirepb.Replica
 	for _, r := range now {
-		if replicaNews(before[r.Model], r) != newsNone {
+		if compareReplica(before[r.Model], r) != changeNone {
 			changed = append(changed, r)
 		}
 	}
@@ -114,7 +116,7 @@
 	return changed
 }
 
-func (m *statusMemo) remember(status *wirepb.Status) {
+func (m *sentStatus) store(status *wirepb.Status) {
 	m.last = status
 	m.replicas = make(map[string]*wirepb.Replica, len(status.Replicas))
 	for _, r := range status.Replicas {
@@ -122,7 +124,7 @@
 	}
 }
 
-// status is the agent's whole state.
+// status returns the agent's complete status.
 func (a *Agent) status() *wirepb.Status {
 	status := a.core.status()
 	status.Endpoint = a.options.Endpoint
@@ -135,13 +137,13 @@
 	return status
 }
 
-// status is the part of the agent's state that the core knows.
+// status returns the part of the agent's status that the core holds.
 func (c *core) status() *wirepb.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	status := &wirepb.Status{
 		Leaving: c.leaving,
-		Ready:   c.up,
+		Ready:   c.serviceUp,
 		Load:    c.loadLocked(admission.Target{}),
 	}
 	if c.machine == nil {
@@ -168,7 +170,7 @@
 	return status
 }
 
-// rows are the rows of grants that the machine holds.
+// rows returns the rows of grants that the machine holds.
 func (c *core) rows() []*replicaspb.Row {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,12 +190,12 @@
 	return n
 }
 
-// isReady reports whether the endpoint's state is known and offers are taken.
+// isReady reports whether the endpoint's state has been read and offers are accepted.
 func (c *core) isReady() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.machine == nil {
-		return c.up
+		return c.serviceUp
 	}
 	return c.machine.Status(c.clock.Now()).Ready
 }
--- a/internal/agent/status_test.go
+++ b/internal/agent/status_test.go
@@ -13,8 +13,8 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// begin is the time at which the tests begin.
-var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// testStart is the time at which the tests begin.
+var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func engineStatus(change func(*wirepb.Status)) *wirepb.Status {
 	s := &wirepb.Status{
@@ -38,48 +38,49 @@
 	return s
 }
 
-// What an entry is told must follow at once when an endpoint leaves, is ready or holds something else, and must not follow
-// each request: at ten requests a second that was fourteen batches a second to every entry.
+// An entry must be notified at once when an endpoint leaves, changes its readiness or holds something else, but not of
+// each request: at ten requests a second that caused fourteen batches a second to every entry.
 func TestStatusNews(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*wirepb.Status)
-		want   news
+		want   statusChange
 	}{
-		{"nothing", nil, newsNone},
-		{"a request waits", func(s *wirepb.Status) { s.Load.Queued++ }, newsLoad},
-		{"a request waits for a model", func(s *wirepb.Status) { s.Replicas[0].Queued++ }, newsLoad},
-		{"a model has become idle", func(s *wirepb.Status) { s.Replicas[0].IdleMillis = 3 }, newsLoad},
-		{"leaving", func(s *wirepb.Status) { s.Leaving = true }, newsState},
-		{"not ready", func(s *wirepb.Status) { s.Ready = false }, newsState},
-		{"new declarations", func(s *wirepb.Status) { s.DeclarationsRevision++ }, newsState},
-		{"memory reserved", func(s *wirepb.Status) { s.MemoryReservedBytes++ }, newsState},
-		{"memory known", func(s *wirepb.Status) { s.MemoryBytes++ }, newsState},
-		{"a load in flight", func(s *wirepb.Status) { s.LoadsInFlight++ }, newsState},
-		{"an adapter in flight", func(s *wirepb.Status) { s.AdaptersInFlight++ }, newsState},
-		{"a checkpoint cached", func(s *wirepb.Status) { s.Cached = append(s.Cached, "n@1") }, newsState},
-		{"a replica unloads", func(s *wirepb.Status) { s.Replicas[0].State = wirepb.ReplicaState_UNLOADING }, newsState},
-		{"an adapter loaded", func(s *wirepb.Status) { s.Replicas[0].Adapters = []string{"a"} }, newsState},
-		{"a newer grant", func(s *wirepb.Status) { s.Replicas[0].Revision++ }, newsState},
-		{"a replica gone", func(s *wirepb.Status) { s.Replicas = nil }, newsState},
-		{"another replica", func(s *wirepb.Status) { s.Replicas[0].Model = "n@1" }, newsState},
-		{"load and state", func(s *wirepb.Status) { s.Load.Queued++; s.Replicas[0].Revision++ }, newsState},
+		{"nothing", nil, changeNone},
+		{"a request waits", func(s *wirepb.Status) { s.Load.Queued++ }, changeLoad},
+		{"a request waits for a model", func(s *wirepb.Status) { s.Replicas[0].Queued++ }, changeLoad},
+		{"a model has become idle", func(s *wirepb.Status) { s.Replicas[0].IdleMillis = 3 }, changeLoad},
+		{"leaving", func(s *wirepb.Status) { s.Leaving = true }, changeState},
+		{"not ready", func(s *wirepb.Status) { s.Ready = false }, changeState},
+		{"new declarations", func(s *wirepb.Status) { s.DeclarationsRevision++ }, changeState},
+		{"memory reserved", func(s *wirepb.Status) { s.MemoryReservedBytes++ }, changeState},
+		{"memory size changed", func(s *wirepb.Status) { s.MemoryBytes++ }, changeState},
+		{"a load in flight", func(s *wirepb.Status) { s.LoadsInFlight++ }, changeState},
+		{"an adapter in flight", func(s *wirepb.Status) { s.AdaptersInFlight++ }, changeState},
+		{"a checkpoint cached", func(s *wirepb.Status) { s.Cached = append(s.Cached, "n@1") }, changeState},
+		{"a replica unloads", func(s *wirepb.Status) { s.Replicas[0].State = wirepb.ReplicaState_UNLOADING }, changeState},
+		{"an adapter loaded", func(s *wirepb.Status) { s.Replicas[0].Adapters = []string{"a"} }, changeState},
+		{"a newer grant", func(s *wirepb.Status) { s.Replicas[0].Revision++ }, changeState},
+		{"a replica gone", func(s *wirepb.Status) { s.Replicas = nil }, changeState},
+		{"another replica", func(s *wirepb.Status) { s.Replicas[0].Model = "n@1" }, changeState},
+		{"load and state", func(s *wirepb.Status) { s.Load.Queued++; s.Replicas[0].Revision++ }, changeState},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var memo statusMemo
-			if got := memo.compare(engineStatus(nil)); got != newsState {
-				t.Errorf("before anything was told: %v", got)
+			var sent sentStatus
+			if got := sent.compare(engineStatus(nil)); got != changeState {
+				t.Errorf("before the first status was sent: %v", got)
 			}
-			memo.change(engineStatus(nil))
-			if got := memo.compare(engineStatus(c.change)); got != c.want {
+			sent.delta(engineStatus(nil))
+			if got := sent.compare(engineStatus(c.change)); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A batch that tells only of load waits for more of its kind; whatever else is queued or changed makes it leave at once.
+// A batch that carries only load is delayed to merge several changes; any other change or pending message sends it at
+// once.
 func TestBatchPatience(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -102,13 +103,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := newControlStream(&wirepb.StreamHeader{Entry: "entry-1"})
-			s.sent.change(engineStatus(nil))
-			s.sentAt = begin
+			s.sent.delta(engineStatus(nil))
+			s.sentAt = testStart
 			s.acknowledge(3)
 			if c.queue != nil {
-				s.queue(c.queue)
+				s.enqueue(c.queue)
 			}
-			wait, due := s.patience(engineStatus(c.change), begin.Add(c.after))
+			wait, due := s.sendDelay(engineStatus(c.change), testStart.Add(c.after))
 			if wait != c.want || due != c.due {
 				t.Errorf("wait %v, due %v; want %v, %v", wait, due, c.want, c.due)
 			}
@@ -116,33 +117,33 @@
 	}
 }
 
-// An entry works with what change reports add up to. If a report left out something that had changed, the entry would go
-// on routing to a replica that is gone, or pass over one that is there, until the agent connects anew. Random statuses in
-// a row must leave the entry with the last one, whole.
+// An entry works with the accumulated status changes. If a batch omitted a field that had changed, the entry would
+// route to a replica that is gone, or ignore one that exists, until the agent reconnects. After any sequence of random
+// statuses the entry must hold the last one completely.
 func TestChangeReportsAddUp(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	view := membership.NewView()
 	view.HostsRead([]backing.Host{{ID: "h", Role: backing.RoleEndpoint, State: backing.HostLive, Endpoint: "engine-1"}}, 1)
-	var memo statusMemo
+	var sent sentStatus
 	for step := range 5000 {
 		status := randomStatus(random)
 		whole := proto.CloneOf(status)
 		if random.IntN(50) == 0 {
-			memo = statusMemo{}
+			sent = sentStatus{}
 			view.Lost("engine-1")
 		}
-		told := proto.CloneOf(memo.change(status))
-		if !view.Reported(begin.Add(time.Duration(step)*time.Second), "engine-1", told) {
+		update := proto.CloneOf(sent.delta(status))
+		if !view.Reported(testStart.Add(time.Duration(step)*time.Second), "engine-1", update) {
 			t.Fatalf("step %d: the report was dropped", step)
 		}
 		endpoint, _ := view.Endpoint("engine-1")
 		if problem := difference(endpoint, whole); problem != "" {
-			t.Fatalf("step %d: %s; told %v, agent %v", step, problem, told, whole)
+			t.Fatalf("step %d: %s; sent %v, agent %v", step, problem, update, whole)
 		}
 	}
 }
 
-// difference says where an entry's view differs from the agent's status.
+// difference describes how an entry's view differs from the agent's status.
 func difference(e *membership.Endpoint, whole *wirepb.Status) string {
 	held := proto.CloneOf(e.Status)
 	held.Full, held.Replicas = false, nil
@@ -155,7 +156,7 @@
 		return fmt.Sprintf("the entry holds %d replicas", len(e.Replicas))
 	}
 	for _, r := range whole.Replicas {
-		if replicaNews(e.Replicas[r.Model], r) != newsNone {
+		if compareReplica(e.Replicas[r.Model], r) != changeNone {
 			return fmt.Sprintf("the entry holds %v", e.Replicas[r.Model])
 		}
 	}
