--- a/internal/endpoint/admin.go
+++ b/internal/endpoint/admin.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// The paths of an engine's administration interface. Orders and reads that fail are answered with a refusal document,
-// {"error":{"code","message"}}, whose code tells a definite refusal from an answer of something in between.
+// The paths of an engine's administration interface. Failed orders and reads are answered with a JSON error document,
+// {"error":{"code","message"}}. Its code distinguishes a definite refusal by the engine from an error of a proxy in
+// between.
 const (
 	PathOrders = "/admin/orders"
 	PathState  = "/admin/state"
@@ -11,7 +12,7 @@
 	PathEvents = "/admin/events"
 )
 
-// HeaderRequestID carries a request's identifier to an endpoint and, where the endpoint echoes it, back.
+// HeaderRequestID carries a request's identifier to an endpoint and, if the endpoint echoes it, back.
 const HeaderRequestID = "X-Request-Id"
 
 // HeaderPriority carries a request's class to an engine.
@@ -23,7 +24,7 @@
 	PriorityBatch       = "batch"
 )
 
-// The codes of an engine's refusals.
+// The error codes of an engine.
 const (
 	CodeFenced       = "fenced"
 	CodeNoMemory     = "no_memory"
@@ -33,18 +34,18 @@
 	CodeInvalid      = "invalid"
 )
 
-// Refusal is the body of a refusal.
+// Refusal is the error document that an engine returns for a refused order or read.
 type Refusal struct {
 	Error RefusalDetail `json:"error"`
 }
 
-// RefusalDetail names the reason of a refusal.
+// RefusalDetail holds the reason of a refusal.
 type RefusalDetail struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-// CacheEventKind says what happened to a cached prefix.
+// CacheEventKind is the kind of a CacheEvent.
 type CacheEventKind string
 
 // The kinds of a CacheEvent.
@@ -53,18 +54,18 @@
 	PrefixRemoved CacheEventKind = "removed"
 )
 
-// CacheEvent tells that an engine stored a prompt prefix in its cache or removed it. Events come late, and some never.
+// CacheEvent reports that an engine stored a prompt prefix in its cache or removed it. Events may be delayed or lost.
 type CacheEvent struct {
-	// Sequence rises by one with each event of an incarnation; a jump shows that events are missing.
+	// Sequence increases by one with each event of an incarnation; a gap shows that events are missing.
 	Sequence uint64         `json:"sequence"`
 	Kind     CacheEventKind `json:"kind"`
 	Model    string         `json:"model"`
-	// Prefix identifies the prefix's content.
+	// Prefix identifies the content of the prefix.
 	Prefix string    `json:"prefix"`
 	At     time.Time `json:"at"`
 }
 
-// CacheEvents is the answer to a read of the events after a sequence number.
+// CacheEvents is the response to a read of the events after a sequence number.
 type CacheEvents struct {
 	Incarnation string       `json:"incarnation"`
 	Events      []CacheEvent `json:"events"`
--- a/internal/endpoint/caller.go
+++ b/internal/endpoint/caller.go
@@ -11,17 +11,18 @@
 	"balsamsail/internal/sendonce"
 )
 
-// CallerOptions are the settings of a Caller. A zero takes the default that is given with it.
+// CallerOptions are the settings of a Caller. Zero values select the defaults given in parentheses.
 type CallerOptions struct {
-	// EchoesRequestID says that the endpoint sends each request's HeaderRequestID back; an answer with another one, or
-	// with none, is then ErrWrongAnswer.
+	// EchoesRequestID means that the endpoint returns each request's HeaderRequestID. An answer with a different or no
+	// identifier is then rejected with ErrWrongAnswer.
 	EchoesRequestID bool
-	// DialTimeout bounds the making of a connection (2 seconds).
+	// DialTimeout bounds connection setup (2 seconds).
 	DialTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept (30 seconds). Below the endpoint's own it keeps calls from
-	// meeting a connection that the endpoint is just closing, whose outcome would be unknown.
+	// IdleTimeout is how long an unused connection is kept (30 seconds). It should be shorter than the endpoint's own
+	// idle timeout: a call on a connection that the endpoint is just closing has an unknown outcome.
 	IdleTimeout time.Duration
-	// FreshConnections makes a new connection for each call, which rules that meeting out.
+	// FreshConnections makes a new connection for each call, which rules out calls on a connection that is being
+	// closed.
 	FreshConnections bool
 }
 
@@ -31,15 +32,15 @@
 	client *sendonce.Client
 }
 
-// NewHTTPCaller returns a caller of the endpoint at a base URL. Redirects are answers like any other. It fails with
-// ErrInvalid if the URL is not a scheme and a host.
+// NewHTTPCaller returns a caller of the endpoint at a base URL. Redirects are returned like any other answer. It fails
+// with ErrInvalid if the URL does not consist of just a scheme and a host.
 func NewHTTPCaller(baseURL string, o CallerOptions) (Caller, error) {
 	base, err := url.Parse(baseURL)
 	if err != nil {
-		return nil, fail(ErrInvalid, err)
+		return nil, wrapKind(ErrInvalid, err)
 	}
 	if base.Host == "" || (base.Path != "" && base.Path != "/") {
-		return nil, fail(ErrInvalid, errors.Errorf("base URL %q: need scheme and host, and no path", baseURL))
+		return nil, wrapKind(ErrInvalid, errors.Errorf("base URL %q: need scheme and host, and no path", baseURL))
 	}
 	transport := sendonce.NewTransport()
 	if o.DialTimeout > 0 {
@@ -52,8 +53,9 @@
 	return &httpCaller{base: base, echoes: o.EchoesRequestID, client: sendonce.New(transport)}, nil
 }
 
-// Call implements Caller. ErrUnreachable is also returned where a kept connection broke before a byte went out. The
-// sender of a request may not get another one's answer: one whose identifier differs is dropped with its connection.
+// Call implements Caller. It also returns ErrUnreachable if a reused connection broke before a byte was sent. An answer
+// with another request's identifier is discarded together with its connection, so that it cannot reach the wrong
+// caller.
 func (c *httpCaller) Call(req *http.Request) (*http.Response, error) {
 	target := *req.URL
 	target.Scheme = c.base.Scheme
@@ -63,12 +65,12 @@
 	out.RequestURI = ""
 	result, err := c.client.Do(out)
 	if err != nil {
-		return nil, lost(result, err)
+		return nil, callError(result, err)
 	}
 	id := req.Header.Get(HeaderRequestID)
 	if got := result.Response.Header.Get(HeaderRequestID); c.echoes && id != "" && got != id {
 		result.Discard()
-		return nil, fail(ErrWrongAnswer, errors.Errorf("request %q was answered as %q", id, got))
+		return nil, wrapKind(ErrWrongAnswer, errors.Errorf("request %q was answered as %q", id, got))
 	}
 	return result.Response, nil
 }
--- a/internal/endpoint/caller_contract_test.go
+++ b/internal/endpoint/caller_contract_test.go
@@ -36,14 +36,14 @@
 	return req
 }
 
-// A contractor is billed twice, or not at all while the ledger is told he was. The service runs a notice and its answer
-// is lost, over a connection that served calls before; what the caller is told must agree with what ran, and whatever
-// happens the notice runs once at most.
+// A service runs a call over a reused connection and its answer is lost. The error must agree with whether the service
+// ran the call, and the call must never run more than once: otherwise it would be executed twice, or not at all while
+// the caller is told that it was.
 func TestServiceCallFaults(t *testing.T) {
 	cases := []struct {
 		name       string
 		faults     service.Faults
-		silent     bool
+		timesOut   bool
 		want       error
 		status     int
 		executions int
@@ -52,11 +52,11 @@
 		{name: "refuses", faults: service.Faults{Refuse: true}, status: http.StatusServiceUnavailable},
 		{name: "cut before it runs", faults: service.Faults{CutBefore: always}, want: endpoint.ErrOutcomeUnknown},
 		{name: "cut after it ran", faults: service.Faults{CutAfter: always}, want: endpoint.ErrOutcomeUnknown, executions: 1},
-		{name: "hangs before it runs", faults: service.Faults{HangBefore: always}, silent: true, want: endpoint.ErrOutcomeUnknown},
+		{name: "hangs before it runs", faults: service.Faults{HangBefore: always}, timesOut: true, want: endpoint.ErrOutcomeUnknown},
 		{
 			name:       "hangs after it ran",
 			faults:     service.Faults{HangAfter: always},
-			silent:     true,
+			timesOut:   true,
 			want:       endpoint.ErrOutcomeUnknown,
 			executions: 1,
 		},
@@ -71,12 +71,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			drain(t, resp)
+			readBody(t, resp)
 			s.Faults().Update(func(f *service.Faults) { *f = c.faults })
 			ctx := t.Context()
-			if c.silent {
+			if c.timesOut {
 				var cancel context.CancelFunc
-				ctx, cancel = context.WithTimeout(ctx, impatience)
+				ctx, cancel = context.WithTimeout(ctx, shortTimeout)
 				defer cancel()
 			}
 			req := request(ctx, t, http.MethodPost, "/notices?ward=7", "r1", `{"marker":"notice-1"}`)
@@ -84,19 +84,19 @@
 			resp, err = caller.Call(req)
 			checkError(t, err, c.want)
 			if err == nil {
-				drain(t, resp)
+				readBody(t, resp)
 				if resp.StatusCode != c.status {
 					t.Errorf("status %d, want %d", resp.StatusCode, c.status)
 				}
 			}
-			if got := executionsOf(s, "notice-1"); got != c.executions {
+			if got := executionCount(s, "notice-1"); got != c.executions {
 				t.Errorf("ran %d times, want %d", got, c.executions)
 			}
 		})
 	}
 }
 
-func drain(t *testing.T, resp *http.Response) string {
+func readBody(t *testing.T, resp *http.Response) string {
 	t.Helper()
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
@@ -106,7 +106,7 @@
 	return string(data)
 }
 
-func executionsOf(s *service.Server, key string) int {
+func executionCount(s *service.Server, key string) int {
 	for _, call := range s.Truth().Calls {
 		if call.Key == key {
 			return call.Executions
@@ -129,7 +129,8 @@
 	}
 }
 
-// A body is streamed both ways at once: the first byte of the answer comes while the request's body is still open.
+// Request and response bodies are streamed concurrently: the first byte of the answer arrives while the request's body
+// is still open.
 func TestCallerStreamsBothWays(t *testing.T) {
 	server := httptest.NewServer(service.New(service.Options{}).Handler())
 	defer server.Close()
@@ -150,20 +151,20 @@
 		io.WriteString(writer, "second")
 		writer.Close()
 	}()
-	if rest := drain(t, resp); rest != "second" {
+	if rest := readBody(t, resp); rest != "second" {
 		t.Errorf("got %q", rest)
 	}
 }
 
 const chatBody = `{"model":"m@1","max_tokens":8,"stream":%t,"messages":[{"role":"user","content":"crack at km 3"}]}`
 
-// An inspector's narration breaks off, comes late, or is another inspector's. The caller must get the whole answer to
-// the request that was sent, or an error that shows that it did not.
+// A streamed answer breaks off, is delayed, or belongs to another request. The caller must get the complete answer to
+// its own request, or an error that shows that it did not.
 func TestChatFaults(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults engine.Faults
-		// wantErr is Call's error, whole whether the body then comes to its proper end.
+		// wantErr is Call's error; whole is whether the body then ends properly.
 		wantErr error
 		status  int
 		whole   bool
@@ -171,7 +172,7 @@
 		{name: "no fault", status: http.StatusOK, whole: true},
 		{name: "slow and late", faults: engine.Faults{SlowFactor: 2, Late: always, LateSeconds: 0.01}, status: http.StatusOK, whole: true},
 		{name: "refuses", faults: engine.Faults{Refuse: true}, status: http.StatusServiceUnavailable},
-		{name: "another's answer", faults: engine.Faults{Cross: always}, wantErr: endpoint.ErrWrongAnswer},
+		{name: "another request's answer", faults: engine.Faults{Cross: always}, wantErr: endpoint.ErrWrongAnswer},
 		{name: "cut in the middle", faults: engine.Faults{Cut: always, CutAfterTokens: 3}, status: http.StatusOK},
 		{name: "cut after the last token", faults: engine.Faults{Cut: always, CutAfterTokens: 8}, status: http.StatusOK},
 	}
@@ -187,7 +188,7 @@
 				body := fmt.Sprintf(chatBody, stream)
 				resp, err := caller.Call(request(t.Context(), t, http.MethodPost, "/v1/chat/completions", "r1", body))
 				if !stream && !c.whole && c.status == http.StatusOK {
-					// A whole answer has not begun when it is cut.
+					// An answer that is not streamed has not begun when it is cut.
 					checkError(t, err, endpoint.ErrOutcomeUnknown)
 					return
 				}
@@ -219,7 +220,7 @@
 	} `json:"choices"`
 }
 
-// readChat returns the text of an answer and whether it came to its proper end.
+// readChat returns the text of an answer and whether it ended properly.
 func readChat(body io.Reader, stream bool) (string, bool) {
 	var chunk chatChunk
 	if !stream {
@@ -248,7 +249,8 @@
 	return text, done && lines.Err() == nil
 }
 
-// A caller goes away in the middle of a stream: the engine must be told, or it generates for nobody.
+// A caller disconnects in the middle of a stream. The engine must be notified, otherwise it continues to generate the
+// answer.
 func TestCallerCancelsAtTheEngine(t *testing.T) {
 	o := fastEngine()
 	o.BetweenTokens = time.Hour
@@ -268,8 +270,8 @@
 	waitFor(t, "the cancellation", func() bool { return s.Truth().Cancelled == 1 })
 }
 
-// An endpoint that should echo identifiers answers without one, as a layer before it would: whose answer it is cannot
-// be told. One that is not declared to echo them is not checked.
+// An endpoint that should echo identifiers answers without one, as a proxy in front of it might. The answer cannot be
+// matched to its request and must be rejected. An endpoint that is not declared to echo identifiers is not checked.
 func TestCallerChecksTheEcho(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -289,13 +291,14 @@
 			resp, err := caller.Call(request(t.Context(), t, http.MethodGet, "/x", "r1", ""))
 			checkError(t, err, c.want)
 			if err == nil {
-				drain(t, resp)
+				readBody(t, resp)
 			}
 		})
 	}
 }
 
-// The faults' document of each stand-in is checked: a misspelt fault would let a test pass without its failure.
+// The simulated endpoints must reject unknown fields in their fault settings: a misspelt fault would let a test pass
+// without its failure.
 func TestFaultsAreChecked(t *testing.T) {
 	handlers := []http.Handler{engine.New(engine.Options{}).Handler(), service.New(service.Options{}).Handler()}
 	for _, handler := range handlers {
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,4 +1,4 @@
-// Package endpoint holds the clients of the back ends beside which an agent runs: model engines and plain services.
+// Package endpoint contains the clients for the back ends that agents run beside: model engines and plain services.
 package endpoint
 
 import (
@@ -10,28 +10,28 @@
 )
 
 var (
-	// ErrUnreachable says that no connection could be made; the call had no effect.
+	// ErrUnreachable means that no connection could be made; the call had no effect.
 	ErrUnreachable = errors.New("endpoint: unreachable")
-	// ErrOutcomeUnknown says that the call was sent and no definite answer came; it may have had or may still have its
-	// effect.
+	// ErrOutcomeUnknown means that the call was sent but got no definite answer; it may have taken effect or may still
+	// do so.
 	ErrOutcomeUnknown = errors.New("endpoint: outcome unknown")
-	// ErrFenced says that the engine refused an order carrying an old fencing number; it had no effect.
+	// ErrFenced means that the engine refused an order because its fencing token is outdated; the order had no effect.
 	ErrFenced = errors.New("endpoint: order fenced off")
-	// ErrNoMemory says that the engine refused a load for lack of memory; it had no effect.
+	// ErrNoMemory means that the engine refused a load for lack of memory; the order had no effect.
 	ErrNoMemory = errors.New("endpoint: out of memory")
-	// ErrLoadFailed says that a load ended in a definite failure and the engine holds nothing of it.
+	// ErrLoadFailed means that a load definitely failed and the engine holds nothing of it.
 	ErrLoadFailed = errors.New("endpoint: load failed")
-	// ErrUnauthorized says that the endpoint refused the credentials of an order.
+	// ErrUnauthorized means that the endpoint rejected the credentials of an order.
 	ErrUnauthorized = errors.New("endpoint: unauthorized")
-	// ErrUnavailable says that the endpoint refused to take the call just now; it had no effect.
+	// ErrUnavailable means that the endpoint currently does not take the call; it had no effect.
 	ErrUnavailable = errors.New("endpoint: unavailable")
-	// ErrInvalid says that the endpoint found the call malformed; it had no effect.
+	// ErrInvalid means that the endpoint rejected the call as malformed; it had no effect.
 	ErrInvalid = errors.New("endpoint: invalid call")
-	// ErrWrongAnswer says that an answer carried another request's identifier.
+	// ErrWrongAnswer means that an answer did not carry the request's identifier.
 	ErrWrongAnswer = errors.New("endpoint: answer to another request")
 )
 
-// OrderKind names what an order does.
+// OrderKind is the operation of an order.
 type OrderKind string
 
 // The orders that an engine takes.
@@ -42,20 +42,20 @@
 	OrderUnloadAdapter OrderKind = "unload_adapter"
 )
 
-// Order is one command to an engine. It returns when it is carried out or has failed.
+// Order is one command to an engine. The engine answers when the command has completed or failed.
 type Order struct {
 	ID   string    `json:"id"`
 	Kind OrderKind `json:"kind"`
 	// Model is "name@version".
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
-	// Fence is the fencing number; it rises with each order that an agent gives, and over agents.
+	// Fence is the fencing token. It increases with each order of an agent and from each agent to the next.
 	Fence uint64 `json:"fence"`
-	// MemoryBytes is what the load is declared to take.
+	// MemoryBytes is the declared memory demand of the load.
 	MemoryBytes int64 `json:"memory_bytes"`
 }
 
-// LoadedModel is one model version that an engine holds, loads or drops.
+// LoadedModel is one model version that an engine holds, is loading or is unloading.
 type LoadedModel struct {
 	Model string `json:"model"`
 	// State is "loading", "loaded" or "unloading".
@@ -72,7 +72,7 @@
 	EngineUnloading = "unloading"
 )
 
-// EngineState is what an engine says of itself when asked; it is current, not lagging.
+// EngineState is the present state of an engine, read from the engine itself.
 type EngineState struct {
 	// Incarnation changes when the engine process restarts; a restarted engine holds nothing.
 	Incarnation string        `json:"incarnation"`
@@ -81,11 +81,11 @@
 	Models      []LoadedModel `json:"models"`
 	// Cached lists model versions whose checkpoint is in host memory ("memory") or on local disk ("disk").
 	Cached map[string]string `json:"cached,omitempty"`
-	// HighestFence is the highest fencing number seen; 0 where the engine ignores them.
+	// HighestFence is the highest fencing token seen; 0 if the engine ignores them.
 	HighestFence uint64 `json:"highest_fence"`
 }
 
-// LoadReport is an engine's lagging report of its load.
+// LoadReport is an engine's report of its load. It lags behind the actual load.
 type LoadReport struct {
 	Running    int       `json:"running"`
 	Waiting    int       `json:"waiting"`
@@ -95,17 +95,17 @@
 
 // Engine is a model engine.
 type Engine interface {
-	// Do gives an order and waits for its end.
+	// Do sends an order and waits for its result.
 	Do(ctx context.Context, order Order) error
-	// State reads the engine's real state.
+	// State reads the engine's present state.
 	State(ctx context.Context) (EngineState, error)
-	// Report reads the engine's lagging load report.
+	// Report reads the engine's load report, which lags.
 	Report(ctx context.Context) (LoadReport, error)
 }
 
-// Caller sends requests to an endpoint, engine or plain service. It never repeats one by itself.
+// Caller sends requests to an endpoint, which may be an engine or a plain service. It never retries a request.
 type Caller interface {
-	// Call sends one request. The request's URL holds path and query only. ErrUnreachable means that not a byte was
-	// sent; any other error means that the endpoint may have run it.
+	// Call sends one request, whose URL holds only path and query. ErrUnreachable means that no byte was sent; after
+	// any other error the endpoint may have run the request.
 	Call(req *http.Request) (*http.Response, error)
 }
--- a/internal/endpoint/engine.go
+++ b/internal/endpoint/engine.go
@@ -17,26 +17,26 @@
 
 // Timeouts bound the calls to an engine.
 type Timeouts struct {
-	// Order bounds an order from sending it to its end (15 minutes).
+	// Order bounds an order from sending it to its result (15 minutes).
 	Order time.Duration
-	// Read bounds a read of the state, the report or the events (2 seconds).
+	// Read bounds a read of the state, the load report or the events (2 seconds).
 	Read time.Duration
 }
 
 const (
 	defaultOrderTimeout = 15 * time.Minute
 	defaultReadTimeout  = 2 * time.Second
-	// maxAnswer bounds an answer of the administration interface, in bytes.
-	maxAnswer = 16 << 20
+	// maxAnswerBytes is the maximum size of an answer of the administration interface.
+	maxAnswerBytes = 16 << 20
 )
 
-// EventSource is an engine that publishes its prefix cache's events.
+// EventSource is an engine that publishes the events of its prefix cache.
 type EventSource interface {
 	// Events returns the events with a sequence number above after.
 	Events(ctx context.Context, after uint64) (CacheEvents, error)
 }
 
-// HTTPEngine is an engine behind its HTTP administration interface. It implements Engine and EventSource.
+// HTTPEngine is a client of an engine's HTTP administration interface. It implements Engine and EventSource.
 type HTTPEngine struct {
 	base        string
 	credentials string
@@ -44,8 +44,8 @@
 	client      *sendonce.Client
 }
 
-// NewHTTPEngine returns a client of the engine at a base URL. Credentials, if any, go with each order as a bearer token
-// and are never logged.
+// NewHTTPEngine returns a client of the engine at a base URL. Credentials, if any, are sent with each order as a bearer
+// token and are never logged.
 func NewHTTPEngine(baseURL, credentials string, timeouts Timeouts) *HTTPEngine {
 	if timeouts.Order <= 0 {
 		timeouts.Order = defaultOrderTimeout
@@ -56,18 +56,18 @@
 	return &HTTPEngine{base: baseURL, credentials: credentials, timeouts: timeouts, client: sendonce.New(nil)}
 }
 
-// Do implements Engine. Only an answer that names its code is a definite refusal: a bare status may come from
-// something between the agent and the engine, and proves nothing about the order.
+// Do implements Engine. Only an answer with an error code is a definite refusal: a status without one may come from a
+// proxy between the agent and the engine and says nothing about the order.
 func (e *HTTPEngine) Do(ctx context.Context, order Order) error {
 	ctx, cancel := context.WithTimeout(ctx, e.timeouts.Order)
 	defer cancel()
 	body, err := json.Marshal(order)
 	if err != nil {
-		return fail(ErrInvalid, err)
+		return wrapKind(ErrInvalid, err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, e.base+PathOrders, bytes.NewReader(body))
 	if err != nil {
-		return fail(ErrInvalid, err)
+		return wrapKind(ErrInvalid, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	if e.credentials != "" {
@@ -75,13 +75,13 @@
 	}
 	result, err := e.client.Do(req)
 	if err != nil {
-		return lost(result, err)
+		return callError(result, err)
 	}
 	defer result.Response.Body.Close()
 	if result.Response.StatusCode == http.StatusOK {
 		return nil
 	}
-	return refusal(result.Response)
+	return refusalError(result.Response)
 }
 
 // State implements Engine.
@@ -105,65 +105,66 @@
 	return events, err
 }
 
-// read reads a document. A read has no effect, so that each failure without a definite refusal is ErrUnavailable.
+// read reads a JSON document. A read has no effect, so every failure after the request may have been sent is
+// ErrUnavailable.
 func (e *HTTPEngine) read(ctx context.Context, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, e.timeouts.Read)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, e.base+path, nil)
 	if err != nil {
-		return fail(ErrInvalid, err)
+		return wrapKind(ErrInvalid, err)
 	}
 	result, err := e.client.Do(req)
 	if err != nil && !result.MaybeSent {
-		return fail(ErrUnreachable, err)
+		return wrapKind(ErrUnreachable, err)
 	}
 	if err != nil {
-		return fail(ErrUnavailable, err)
+		return wrapKind(ErrUnavailable, err)
 	}
 	defer result.Response.Body.Close()
 	if result.Response.StatusCode != http.StatusOK {
-		return fail(ErrUnavailable, errors.Errorf("status %d", result.Response.StatusCode))
+		return wrapKind(ErrUnavailable, errors.Errorf("status %d", result.Response.StatusCode))
 	}
-	if err := json.NewDecoder(io.LimitReader(result.Response.Body, maxAnswer)).Decode(into); err != nil {
-		return fail(ErrUnavailable, err)
+	if err := json.NewDecoder(io.LimitReader(result.Response.Body, maxAnswerBytes)).Decode(into); err != nil {
+		return wrapKind(ErrUnavailable, err)
 	}
 	return nil
 }
 
-// refusal returns the error of an order that was answered with something other than success.
-func refusal(resp *http.Response) error {
+// refusalError returns the error for an order that was not answered with success.
+func refusalError(resp *http.Response) error {
 	var document Refusal
-	// An answer that is no refusal document has no code and leaves the outcome unknown.
-	_ = json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&document)
+	// An answer that is not an error document has no code and leaves the outcome unknown.
+	_ = json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&document)
 	cause := errors.Errorf("status %d %s", resp.StatusCode, document.Error.Message)
-	// Credentials are checked before an order is looked at, often by a layer that knows no codes.
+	// Credentials are checked before an order is processed, often by a proxy that does not use the error codes.
 	if resp.StatusCode == http.StatusUnauthorized || resp.StatusCode == http.StatusForbidden {
-		return fail(ErrUnauthorized, cause)
+		return wrapKind(ErrUnauthorized, cause)
 	}
 	switch document.Error.Code {
 	case CodeFenced:
-		return fail(ErrFenced, cause)
+		return wrapKind(ErrFenced, cause)
 	case CodeNoMemory:
-		return fail(ErrNoMemory, cause)
+		return wrapKind(ErrNoMemory, cause)
 	case CodeLoadFailed:
-		return fail(ErrLoadFailed, cause)
+		return wrapKind(ErrLoadFailed, cause)
 	case CodeUnauthorized:
-		return fail(ErrUnauthorized, cause)
+		return wrapKind(ErrUnauthorized, cause)
 	case CodeUnavailable:
-		return fail(ErrUnavailable, cause)
+		return wrapKind(ErrUnavailable, cause)
 	case CodeInvalid:
-		return fail(ErrInvalid, cause)
+		return wrapKind(ErrInvalid, cause)
 	}
-	return fail(ErrOutcomeUnknown, cause)
+	return wrapKind(ErrOutcomeUnknown, cause)
 }
 
-// lost returns the error of a call that got no answer.
-func lost(result sendonce.Result, err error) error {
+// callError returns the error of a call that got no answer.
+func callError(result sendonce.Result, err error) error {
 	if !result.MaybeSent {
-		return fail(ErrUnreachable, err)
+		return wrapKind(ErrUnreachable, err)
 	}
-	return fail(ErrOutcomeUnknown, err)
+	return wrapKind(ErrOutcomeUnknown, err)
 }
 
-// fail joins one of the package's errors with its cause; errors.Is finds both.
-func fail(kind, cause error) error { return fmt.Errorf("%w: %w", kind, cause) }
+// wrapKind combines one of the package's errors with its cause; errors.Is matches both.
+func wrapKind(kind, cause error) error { return fmt.Errorf("%w: %w", kind, cause) }
--- a/internal/endpoint/engine_contract_test.go
+++ b/internal/endpoint/engine_contract_test.go
@@ -15,14 +15,14 @@
 
 const (
 	credentials = "secret"
-	// impatience bounds the calls that get no answer.
-	impatience = 250 * time.Millisecond
+	// shortTimeout bounds the calls that get no answer.
+	shortTimeout = 250 * time.Millisecond
 )
 
-// always hits every call.
+// always injects a fault into every call.
 var always = control.Chance{Fraction: 1}
 
-// fastEngine are the settings of an engine that loses no time.
+// fastEngine returns the options of a simulated engine without delays.
 func fastEngine() engine.Options {
 	return engine.Options{
 		MemoryBytes:    100,
@@ -56,13 +56,13 @@
 	deadline := time.Now().Add(10 * time.Second)
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// checkError checks that an error is the wanted sentinel and none of the others.
+// checkError checks that an error matches the wanted sentinel and none of the others.
 func checkError(t *testing.T, err, want error) {
 	t.Helper()
 	if !errors.Is(err, want) {
@@ -79,37 +79,37 @@
 	}
 }
 
-// holding is what an engine comes to hold of a model: nothing, or the model in some state.
-type holding string
+// modelState is the state of a model at an engine, or notHeld.
+type modelState string
 
-const nothing holding = ""
+const notHeld modelState = ""
 
-// An agent's ledger follows its orders' errors. If a definite error leaves memory in use the engine is overcommitted by
-// the next load; if an unknown one is taken for definite the same happens when the order is carried out late. Each case
-// compares what the agent is told with what the engine comes to hold.
+// An agent tracks the engine's memory by the errors of its orders. If the engine uses memory in spite of a definite
+// error, the next load overcommits it; the same happens if an unknown outcome is reported as definite and the order
+// takes effect later. Each case compares the error with the state that the engine reaches.
 func TestOrderFaults(t *testing.T) {
 	checks, ignores := engine.FencingChecks, engine.FencingIgnores
 	cases := []struct {
 		name string
-		// The engine has loaded "old@1" with 40 of 80 bytes and fencing number 5.
+		// At the start the engine has loaded "old@1" with 40 of 80 bytes and fencing token 5.
 		options func(*engine.Options)
 		faults  engine.Faults
 		order   endpoint.Order
 		token   string
-		// silent says that the agent must give up by itself; during runs while the order does.
-		silent bool
-		during func(*engine.Server)
-		want   error
-		holds  holding
+		// timesOut means that the client must give up by its own timeout. during runs while the order is in progress.
+		timesOut  bool
+		during    func(*engine.Server)
+		want      error
+		wantState modelState
 	}{
-		{name: "no fault", order: load("new@1", 6, 40), holds: endpoint.EngineLoaded},
-		{name: "same fence", order: load("new@1", 5, 40), holds: endpoint.EngineLoaded},
+		{name: "no fault", order: load("new@1", 6, 40), wantState: endpoint.EngineLoaded},
+		{name: "same fence", order: load("new@1", 5, 40), wantState: endpoint.EngineLoaded},
 		{name: "old fence refused", order: load("new@1", 4, 40), want: endpoint.ErrFenced},
 		{
-			name:    "old fence ignored",
-			options: func(o *engine.Options) { o.Fencing = ignores },
-			order:   load("new@1", 4, 40),
-			holds:   endpoint.EngineLoaded,
+			name:      "old fence ignored",
+			options:   func(o *engine.Options) { o.Fencing = ignores },
+			order:     load("new@1", 4, 40),
+			wantState: endpoint.EngineLoaded,
 		},
 		{
 			name:    "fence checked before memory",
@@ -119,7 +119,7 @@
 		},
 		{name: "one byte too many", order: load("new@1", 6, 41), want: endpoint.ErrNoMemory},
 		{
-			name:    "one byte too many, begun",
+			name:    "one byte too many, load begun",
 			options: func(o *engine.Options) { o.Overcommit = engine.OvercommitFails },
 			order:   load("new@1", 6, 41),
 			want:    endpoint.ErrLoadFailed,
@@ -138,34 +138,34 @@
 		{name: "wrong credentials", token: "guess", order: load("new@1", 6, 40), want: endpoint.ErrUnauthorized},
 		{name: "refuses", faults: engine.Faults{Refuse: true}, order: load("new@1", 6, 40), want: endpoint.ErrUnavailable},
 		{
-			name:   "hangs",
-			faults: engine.Faults{Hang: true},
-			order:  load("new@1", 6, 40),
-			silent: true,
-			want:   endpoint.ErrOutcomeUnknown,
+			name:     "hangs",
+			faults:   engine.Faults{Hang: true},
+			order:    load("new@1", 6, 40),
+			timesOut: true,
+			want:     endpoint.ErrOutcomeUnknown,
 		},
 		{
-			name:   "answer lost",
-			faults: engine.Faults{LoseOrders: always},
-			order:  load("new@1", 6, 40),
-			want:   endpoint.ErrOutcomeUnknown,
-			holds:  endpoint.EngineLoaded,
+			name:      "answer lost",
+			faults:    engine.Faults{LoseOrders: always},
+			order:     load("new@1", 6, 40),
+			want:      endpoint.ErrOutcomeUnknown,
+			wantState: endpoint.EngineLoaded,
 		},
 		{
-			name:   "order arrives late",
-			faults: engine.Faults{DelayOrders: always, DelayOrdersSeconds: 2 * impatience.Seconds()},
-			order:  load("new@1", 6, 40),
-			silent: true,
-			want:   endpoint.ErrOutcomeUnknown,
-			holds:  endpoint.EngineLoaded,
+			name:      "order arrives late",
+			faults:    engine.Faults{DelayOrders: always, DelayOrdersSeconds: 2 * shortTimeout.Seconds()},
+			order:     load("new@1", 6, 40),
+			timesOut:  true,
+			want:      endpoint.ErrOutcomeUnknown,
+			wantState: endpoint.EngineLoaded,
 		},
 		{
-			name:   "load hangs",
-			faults: engine.Faults{LoadHangs: always},
-			order:  load("new@1", 6, 40),
-			silent: true,
-			want:   endpoint.ErrOutcomeUnknown,
-			holds:  endpoint.EngineLoading,
+			name:      "load hangs",
+			faults:    engine.Faults{LoadHangs: always},
+			order:     load("new@1", 6, 40),
+			timesOut:  true,
+			want:      endpoint.ErrOutcomeUnknown,
+			wantState: endpoint.EngineLoading,
 		},
 		{
 			name:   "engine dies in the middle of the load",
@@ -191,8 +191,8 @@
 			if c.token != "" {
 				token = c.token
 			}
-			if c.silent {
-				timeouts.Order = impatience
+			if c.timesOut {
+				timeouts.Order = shortTimeout
 			}
 			if c.during != nil {
 				go func() {
@@ -202,12 +202,13 @@
 			}
 			checkError(t, endpoint.NewHTTPEngine(url, token, timeouts).Do(t.Context(), c.order), c.want)
 			s.Faults().Update(func(f *engine.Faults) { *f = engine.Faults{} })
-			waitFor(t, "holding", func() bool { return holdingOf(t, url, c.order.Model) == c.holds })
+			waitFor(t, "the expected state of the model", func() bool { return modelStateOf(t, url, c.order.Model) == c.wantState })
 		})
 	}
 }
 
-// waitUntilLoading waits until an engine began to load a model, for goroutines other than the test's.
+// waitUntilLoading waits until an engine has begun to load a model. Unlike waitFor it may be used outside the test's
+// goroutine.
 func waitUntilLoading(s *engine.Server, model string) {
 	for {
 		for _, entry := range s.Truth().History {
@@ -219,7 +220,7 @@
 	}
 }
 
-func holdingOf(t *testing.T, url, model string) holding {
+func modelStateOf(t *testing.T, url, model string) modelState {
 	t.Helper()
 	state, err := endpoint.NewHTTPEngine(url, credentials, endpoint.Timeouts{}).State(t.Context())
 	if err != nil {
@@ -227,14 +228,14 @@
 	}
 	for _, m := range state.Models {
 		if m.Model == model {
-			return holding(m.State)
+			return modelState(m.State)
 		}
 	}
-	return nothing
+	return notHeld
 }
 
-// Something between agent and engine answers, such as a gateway that lost the engine's answer: a bare status proves
-// nothing about the order, and no redirect may give it a second time.
+// A proxy between agent and engine answers, such as a gateway that lost the engine's answer. A status without an error
+// code proves nothing about the order, and a redirect must not send the order a second time.
 func TestOrderAnswersThatProveNothing(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -250,7 +251,7 @@
 		{"redirect", http.StatusPermanentRedirect, ``, endpoint.ErrOutcomeUnknown},
 		{"accepted", http.StatusAccepted, ``, endpoint.ErrOutcomeUnknown},
 		{"named code", http.StatusBadGateway, `{"error":{"code":"load_failed"}}`, endpoint.ErrLoadFailed},
-		{"credentials refused by a layer before", http.StatusForbidden, ``, endpoint.ErrUnauthorized},
+		{"credentials rejected by a proxy", http.StatusForbidden, ``, endpoint.ErrUnauthorized},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -265,7 +266,7 @@
 			err := endpoint.NewHTTPEngine(server.URL, "", endpoint.Timeouts{}).Do(t.Context(), load("m@1", 1, 1))
 			checkError(t, err, c.want)
 			if calls != 1 {
-				t.Errorf("the order arrived %d times", calls)
+				t.Errorf("the order arrived %d times, want once", calls)
 			}
 		})
 	}
@@ -273,7 +274,7 @@
 
 func TestEngineReads(t *testing.T) {
 	s, url := startEngine(t, fastEngine())
-	client := endpoint.NewHTTPEngine(url, "", endpoint.Timeouts{Read: impatience})
+	client := endpoint.NewHTTPEngine(url, "", endpoint.Timeouts{Read: shortTimeout})
 	reads := []struct {
 		name string
 		read func(context.Context) error
