--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -169,22 +169,22 @@
 	incarnation string
 }
 
-func (w *engineMonitor) recordLost(a *Agent) {
-	if !w.unreachable {
+func (m *engineMonitor) recordLost(a *Agent) {
+	if !m.unreachable {
 		a.recorder.Record(timeline.Event{Kind: timeline.EngineLost, Endpoint: a.options.Endpoint})
 	}
-	w.unreachable = true
+	m.unreachable = true
 }
 
-func (w *engineMonitor) recordRead(a *Agent, incarnation string) {
-	if w.unreachable || w.incarnation == "" {
+func (m *engineMonitor) recordRead(a *Agent, incarnation string) {
+	if m.unreachable || m.incarnation == "" {
 		a.recorder.Record(timeline.Event{Kind: timeline.EngineRead, Endpoint: a.options.Endpoint, Detail: incarnation})
 	}
-	if w.incarnation != "" && w.incarnation != incarnation {
+	if m.incarnation != "" && m.incarnation != incarnation {
 		a.recorder.Record(timeline.Event{Kind: timeline.EngineRestarted, Endpoint: a.options.Endpoint, Detail: incarnation})
 	}
-	w.unreachable = false
-	w.incarnation = incarnation
+	m.unreachable = false
+	m.incarnation = incarnation
 }
 
 // runProbe periodically checks whether a plain service is up.
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -47,8 +47,8 @@
 	s.wakeWriter()
 }
 
-// acknowledge records the sequence number of the last batch received. It is sent with the next batch; a separate
-// acknowledgement would double the heartbeats.
+// acknowledge records the sequence number of the last batch received. It is sent with the next batch: a separate
+// acknowledgement would answer each heartbeat with a batch.
 func (s *controlStream) acknowledge(sequence uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/agent/core_rig_test.go
+++ b/internal/agent/core_rig_test.go
@@ -72,7 +72,7 @@
 	ordersSent      int
 	offerCount      int
 	requests        map[string]*pendingRequest
-	// outcomes holds the final outcomes of requests; a request without one is waiting.
+	// outcomes holds the outcomes seen so far. A request without one is waiting, or its decision has not been read yet.
 	outcomes map[string]string
 }
 
--- a/internal/agent/exchange_test.go
+++ b/internal/agent/exchange_test.go
@@ -37,7 +37,7 @@
 			x.await("ready")
 			x.commit()
 		}, want: endTrailer, ran: 1},
-		{name: "no commit comes", offer: twoStep, commit: time.Millisecond, run: func(*entryExchange) {}, want: "CANCELLED"},
+		{name: "no commit arrives", offer: twoStep, commit: time.Millisecond, run: func(*entryExchange) {}, want: "CANCELLED"},
 		{name: "withdrawn instead of committed", offer: twoStep, run: func(x *entryExchange) {
 			x.await("ready")
 			x.cancel()
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -36,24 +36,24 @@
 
 // newDeadlineTimer starts a timer that calls cancel after left.
 func newDeadlineTimer(c clock.Clock, left time.Duration, cancel context.CancelFunc) *deadlineTimer {
-	w := &deadlineTimer{stopped: make(chan struct{}), timer: c.NewTimer(left)}
+	t := &deadlineTimer{stopped: make(chan struct{}), timer: c.NewTimer(left)}
 	go func() {
 		select {
-		case <-w.timer.C():
+		case <-t.timer.C():
 			cancel()
-		case <-w.stopped:
+		case <-t.stopped:
 		}
 	}()
-	return w
+	return t
 }
 
 // stop disarms the timer. It may be called more than once, by one goroutine.
-func (w *deadlineTimer) stop() {
-	w.timer.Stop()
+func (t *deadlineTimer) stop() {
+	t.timer.Stop()
 	select {
-	case <-w.stopped:
+	case <-t.stopped:
 	default:
-		close(w.stopped)
+		close(t.stopped)
 	}
 }
 
@@ -183,18 +183,18 @@
 	return &streamEndCheck{enabled: model && streamed && response.StatusCode == http.StatusOK}
 }
 
-func (t *streamEndCheck) add(data []byte) {
-	if !t.enabled {
+func (c *streamEndCheck) add(data []byte) {
+	if !c.enabled {
 		return
 	}
-	t.tail = append(t.tail, data...)
-	if len(t.tail) > streamTailBytes {
-		t.tail = append(t.tail[:0], t.tail[len(t.tail)-streamTailBytes:]...)
+	c.tail = append(c.tail, data...)
+	if len(c.tail) > streamTailBytes {
+		c.tail = append(c.tail[:0], c.tail[len(c.tail)-streamTailBytes:]...)
 	}
 }
 
-func (t *streamEndCheck) err() error {
-	if !t.enabled || bytes.Contains(t.tail, []byte(streamEnd)) {
+func (c *streamEndCheck) err() error {
+	if !c.enabled || bytes.Contains(c.tail, []byte(streamEnd)) {
 		return nil
 	}
 	return errNoStreamEnd
--- a/internal/endpoint/caller.go
+++ b/internal/endpoint/caller.go
@@ -27,9 +27,9 @@
 }
 
 type httpCaller struct {
-	base   *url.URL
-	echoes bool
-	client *sendonce.Client
+	base            *url.URL
+	echoesRequestID bool
+	client          *sendonce.Client
 }
 
 // NewHTTPCaller returns a caller of the endpoint at a base URL. Redirects are returned like any other answer. It fails
@@ -50,7 +50,7 @@
 		transport.IdleConnTimeout = o.IdleTimeout
 	}
 	transport.DisableKeepAlives = o.FreshConnections
-	return &httpCaller{base: base, echoes: o.EchoesRequestID, client: sendonce.New(transport)}, nil
+	return &httpCaller{base: base, echoesRequestID: o.EchoesRequestID, client: sendonce.New(transport)}, nil
 }
 
 // Call implements Caller. It also returns ErrUnreachable if a reused connection broke before a byte was sent. An answer
@@ -68,7 +68,7 @@
 		return nil, callError(result, err)
 	}
 	id := req.Header.Get(HeaderRequestID)
-	if got := result.Response.Header.Get(HeaderRequestID); c.echoes && id != "" && got != id {
+	if got := result.Response.Header.Get(HeaderRequestID); c.echoesRequestID && id != "" && got != id {
 		result.Discard()
 		return nil, wrapKind(ErrWrongAnswer, errors.Errorf("request %q was answered as %q", id, got))
 	}
