--- a/internal/childprocess/childprocess.go
+++ b/internal/childprocess/childprocess.go
@@ -1,5 +1,5 @@
-// Package childprocess starts and ends the processes of tests that run the product's real programs. The product itself starts
-// no process.
+// Package childprocess starts and stops processes for tests that run the real balsamsail binary. The binary itself starts no
+// processes.
 package childprocess
 
 import (
@@ -12,30 +12,30 @@
 	"github.com/pkg/errors"
 )
 
-// BuildProgram builds the product's program to a path, with further flags of the go command.
+// BuildProgram builds the balsamsail binary at path, with additional flags for go build.
 func BuildProgram(path string, flags ...string) error {
 	args := append([]string{"build", "-o", path}, flags...)
 	output, err := exec.Command("go", append(args, "balsamsail/cmd/balsamsail")...).CombinedOutput()
-	return errors.Wrapf(err, "the program does not build:\n%s", output)
+	return errors.Wrapf(err, "build balsamsail:\n%s", output)
 }
 
-// Process is one program, over all its starts.
+// Process is a child process that can be started again after it has exited.
 type Process struct {
-	// Name is unique among the processes of a test, Path the program's file and Args its arguments.
+	// Name is unique among the processes of a test. Path is the program's file and Args are its arguments.
 	Name string
 	Path string
 	Args []string
 	// Log is the file to which the output of all starts is appended.
 	Log string
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	exited chan struct{}
-	exit   error
+	mu      sync.Mutex
+	cmd     *exec.Cmd
+	exited  chan struct{}
+	exitErr error
 }
 
-// starter starts all processes from one thread that lives as long as the program, because the kernel kills a child that
-// was started with Pdeathsig when the thread that started it ends.
+// starter returns a channel of functions that run on one OS thread, which lives as long as the program. All processes are
+// started there, because the kernel kills a child with Pdeathsig when the thread that started it exits.
 var starter = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
@@ -47,7 +47,7 @@
 	return work
 })
 
-// Start starts the process, unless it runs. It ends when this program does, whatever happens.
+// Start starts the process unless it is running. The kernel kills it when this program exits, however that happens.
 func (p *Process) Start() error {
 	if p.Signal(0) {
 		return nil
@@ -73,14 +73,14 @@
 		err := cmd.Wait()
 		_ = log.Close()
 		p.mu.Lock()
-		p.exit = err
+		p.exitErr = err
 		p.mu.Unlock()
 		close(exited)
 	}()
 	return nil
 }
 
-// Signal sends a signal to the process and reports whether it runs.
+// Signal sends a signal to the process. It returns false if the process is not running.
 func (p *Process) Signal(s syscall.Signal) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,21 +95,21 @@
 	}
 }
 
-// Exited is closed when the present start has ended; it is nil before the first one.
+// Exited returns a channel that is closed when the process that was started last has exited; nil before the first start.
 func (p *Process) Exited() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
 }
 
-// ExitError is how the last start that ended did so; nil for a clean exit.
+// ExitError returns the error of the last exit; nil for a clean one.
 func (p *Process) ExitError() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.exit
+	return p.exitErr
 }
 
-// Kill ends the process at once and waits until it is gone.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	if p.Signal(syscall.SIGKILL) {
 		<-p.Exited()
--- a/internal/faultlink/link.go
+++ b/internal/faultlink/link.go
@@ -1,5 +1,5 @@
-// Package faultlink is a TCP path between two processes that a test can delay, cut, reset, or silence in one direction or
-// both. It stands between processes on loopback, where the network itself never fails.
+// Package faultlink is a TCP proxy that injects network faults in tests: it can delay, hold back, drop, cut or reset the
+// traffic between two processes, in one direction or both. It is needed on loopback, where the network itself never fails.
 package faultlink
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Direction is a direction of bytes through a link.
+// Direction is a direction of traffic through a link.
 type Direction int
 
 // The directions.
@@ -23,25 +23,24 @@
 type Flow int
 
 const (
-	// Pass passes bytes on.
+	// Pass forwards bytes.
 	Pass Flow = iota
-	// Hold keeps bytes back until the flow passes again, as TCP does over a network that comes back.
+	// Hold buffers bytes until the flow changes again, as TCP does when the network recovers from an outage.
 	Hold
-	// Vanish loses bytes. A connection that has lost some is cut when the link is healed.
+	// Vanish discards bytes. A connection that has lost some is reset when the link is healed.
 	Vanish
 )
 
-// Slowness is how a link slows each piece of data; its zero value is full speed.
+// Slowness is the delay and the bandwidth limit that a link applies to each chunk of data; its zero value is full speed.
 type Slowness struct {
 	Delay          time.Duration
 	BytesPerSecond int
 }
 
-// noCut says that no byte count cuts a connection.
+// noCut means that there is no limit after which a connection is cut.
 const noCut = -1
 
-// Link is one TCP path through the fault proxy: whoever connects to its address reaches the target, as well as the
-// link's faults let it.
+// Link proxies TCP connections from its address to a target and applies the faults that are set.
 type Link struct {
 	address, target string
 
@@ -50,24 +49,24 @@
 	pipes    map[*pipe]struct{}
 	flows    [directions]Flow
 	slow     Slowness
-	// mute accepts connections and leaves them alone.
-	mute bool
-	// left is how many bytes of a direction may pass before the connection is cut, or noCut.
-	left [directions]int64
+	// blackhole is set while new connections are accepted but not connected to the target.
+	blackhole bool
+	// untilCut is how many more bytes of a direction may pass before the connection is cut, or noCut.
+	untilCut [directions]int64
 	// changed is closed when any of the above changes.
-	changed chan struct{}
-	closed  bool
-	pumps   sync.WaitGroup
+	changed    chan struct{}
+	closed     bool
+	goroutines sync.WaitGroup
 }
 
-// New returns a link that listens on the address, which may end in ":0".
+// New returns a link that listens on the address; a port of 0 picks a free one.
 func New(address, target string) (*Link, error) {
 	l := &Link{
-		address: address,
-		target:  target,
-		pipes:   map[*pipe]struct{}{},
-		left:    [directions]int64{noCut, noCut},
-		changed: make(chan struct{}),
+		address:  address,
+		target:   target,
+		pipes:    map[*pipe]struct{}{},
+		untilCut: [directions]int64{noCut, noCut},
+		changed:  make(chan struct{}),
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +81,7 @@
 	}
 	l.listener = listener
 	l.address = listener.Addr().String()
-	l.pumps.Go(func() { l.accept(listener) })
+	l.goroutines.Go(func() { l.accept(listener) })
 	return nil
 }
 
@@ -96,7 +95,7 @@
 	}
 }
 
-// start takes a client's connection up.
+// start begins to proxy a client's connection.
 func (l *Link) start(client *net.TCPConn) {
 	p := &pipe{link: l, client: client, done: make(chan struct{})}
 	l.mu.Lock()
@@ -107,10 +106,10 @@
 	}
 	l.pipes[p] = struct{}{}
 	l.mu.Unlock()
-	l.pumps.Go(p.run)
+	l.goroutines.Go(p.run)
 }
 
-// update changes the link's faults and wakes what waits for them.
+// update changes the link's faults and wakes the connections that are held back by them.
 func (l *Link) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +118,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Address is where the link listens.
+// Address returns the address on which the link listens.
 func (l *Link) Address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,19 +128,21 @@
 // Block sets what happens to the bytes of one direction.
 func (l *Link) Block(d Direction, f Flow) { l.update(func() { l.flows[d] = f }) }
 
-// Freeze silences the link both ways without closing anything: new connections are accepted and never answered.
+// Freeze applies f to both directions without closing anything, and accepts new connections without connecting them to
+// the target.
 func (l *Link) Freeze(f Flow) {
 	l.update(func() {
 		l.flows = [directions]Flow{f, f}
-		l.mute = true
+		l.blackhole = true
 	})
 }
 
 // SetSlow slows both directions.
 func (l *Link) SetSlow(s Slowness) { l.update(func() { l.slow = s }) }
 
-// CutAfter lets n more bytes of a direction pass, over all connections, and cuts the connection that reaches them.
-func (l *Link) CutAfter(d Direction, n int64) { l.update(func() { l.left[d] = n }) }
+// CutAfter lets n more bytes of a direction pass, counted over all connections, and then resets the connection that carried
+// the last of them.
+func (l *Link) CutAfter(d Direction, n int64) { l.update(func() { l.untilCut[d] = n }) }
 
 // Cut resets all connections and refuses new ones.
 func (l *Link) Cut() {
@@ -154,7 +155,7 @@
 	l.Reset()
 }
 
-// Reset resets the present connections.
+// Reset resets the open connections.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,18 +164,18 @@
 	}
 }
 
-// Heal ends all faults. Connections that have lost bytes, or were never connected to the target, are reset.
+// Heal clears all faults. Connections that have lost bytes, or were never connected to the target, are reset.
 func (l *Link) Heal() error {
 	l.update(func() {
 		l.flows = [directions]Flow{Pass, Pass}
 		l.slow = Slowness{}
-		l.mute = false
-		l.left = [directions]int64{noCut, noCut}
+		l.blackhole = false
+		l.untilCut = [directions]int64{noCut, noCut}
 	})
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.pipes {
-		if p.lost {
+		if p.bytesLost {
 			p.reset()
 		}
 	}
@@ -184,56 +185,56 @@
 	return l.listen()
 }
 
-// Close ends the link.
+// Close closes the link and all its connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
 	l.Cut()
-	l.pumps.Wait()
+	l.goroutines.Wait()
 }
 
-// verdict is what becomes of a piece of data.
-type verdict struct {
-	// pass bytes go on; drop loses the rest; cut ends the connection after them.
+// decision says what happens to a chunk of data.
+type decision struct {
+	// pass is the number of bytes to forward. drop discards the whole chunk; cut resets the connection after pass bytes.
 	pass      int
 	drop, cut bool
 	slow      Slowness
-	// wait, if not nil, is closed when the question should be asked again; nothing passes before.
+	// wait, if not nil, is closed when the link's faults change; the chunk is held until then and decided on again.
 	wait <-chan struct{}
 }
 
-// judge decides on n bytes of a direction of a pipe.
-func (l *Link) judge(p *pipe, d Direction, n int) verdict {
+// decide returns what happens to n bytes that p carries in direction d.
+func (l *Link) decide(p *pipe, d Direction, n int) decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch l.flows[d] {
 	case Hold:
-		return verdict{wait: l.changed}
+		return decision{wait: l.changed}
 	case Vanish:
-		p.lost = true
-		return verdict{drop: true}
+		p.bytesLost = true
+		return decision{drop: true}
 	}
-	v := verdict{pass: n, slow: l.slow}
-	if l.left[d] == noCut {
-		return v
+	dec := decision{pass: n, slow: l.slow}
+	if l.untilCut[d] == noCut {
+		return dec
 	}
-	v.pass = int(min(int64(n), l.left[d]))
-	l.left[d] -= int64(v.pass)
-	v.cut = l.left[d] == 0
-	if v.cut {
-		l.left[d] = noCut
+	dec.pass = int(min(int64(n), l.untilCut[d]))
+	l.untilCut[d] -= int64(dec.pass)
+	dec.cut = l.untilCut[d] == 0
+	if dec.cut {
+		l.untilCut[d] = noCut
 	}
-	return v
+	return dec
 }
 
-// dial connects to the target unless the link is mute; then it waits until it no longer is, and gives up.
+// dial connects to the target. While the link is a black hole it waits instead until p is reset, and returns false.
 func (l *Link) dial(p *pipe) (*net.TCPConn, bool) {
 	l.mu.Lock()
-	mute := l.mute
-	p.lost = mute
+	blackhole := l.blackhole
+	p.bytesLost = blackhole
 	l.mu.Unlock()
-	if mute {
+	if blackhole {
 		<-p.done
 		return nil, false
 	}
--- a/internal/faultlink/link_test.go
+++ b/internal/faultlink/link_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// selfPatience bounds each wait of the proxy's own tests, and silence is how long nothing must come.
+// waitTimeout bounds each wait in these tests. quietPeriod is how long wantNoData waits for data that must not arrive.
 const (
-	selfPatience = 5 * time.Second
-	silence      = 50 * time.Millisecond
+	waitTimeout = 5 * time.Second
+	quietPeriod = 50 * time.Millisecond
 )
 
-// startEcho runs a server that sends back what it gets and ends when its client ends.
+// startEcho runs an echo server that closes a connection when its client closes it.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,7 +51,7 @@
 
 func dialLink(t *testing.T, l *Link) *net.TCPConn {
 	t.Helper()
-	conn, err := net.DialTimeout("tcp", l.address, selfPatience)
+	conn, err := net.DialTimeout("tcp", l.address, waitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,24 +69,24 @@
 func wantText(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
-	_ = c.SetReadDeadline(time.Now().Add(selfPatience))
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != want {
 		t.Fatalf("read %q, %v; want %q", got, err, want)
 	}
 }
 
-func wantSilence(t *testing.T, c net.Conn) {
+func wantNoData(t *testing.T, c net.Conn) {
 	t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(silence))
+	_ = c.SetReadDeadline(time.Now().Add(quietPeriod))
 	n, err := c.Read(make([]byte, 1))
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("read %d bytes, %v; want silence", n, err)
+		t.Fatalf("read %d bytes, %v; want no data", n, err)
 	}
 }
 
 func wantReset(t *testing.T, c net.Conn) {
 	t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(selfPatience))
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := io.Copy(io.Discard, c); !errors.Is(err, syscall.ECONNRESET) {
 		t.Fatalf("read: %v; want a reset", err)
 	}
@@ -104,13 +104,13 @@
 		name string
 		run  func(t *testing.T, l *Link)
 	}{
-		{"pass and end", func(t *testing.T, l *Link) {
+		{"data and end of file are forwarded", func(t *testing.T, l *Link) {
 			c := dialLink(t, l)
 			send(t, c, "hello")
 			wantText(t, c, "hello")
 			_ = c.CloseWrite()
 			if rest, err := io.ReadAll(c); err != nil || len(rest) > 0 {
-				t.Fatalf("read %q, %v; want a clean end", rest, err)
+				t.Fatalf("read %q, %v; want end of file", rest, err)
 			}
 		}},
 		{"cut resets and refuses until healed", func(t *testing.T, l *Link) {
@@ -120,7 +120,7 @@
 			l.Cut()
 			wantReset(t, c)
 			if _, err := net.Dial("tcp", l.address); !errors.Is(err, syscall.ECONNREFUSED) {
-				t.Fatalf("dial: %v; want a refusal", err)
+				t.Fatalf("dial: %v; want connection refused", err)
 			}
 			heal(t, l)
 			c = dialLink(t, l)
@@ -131,25 +131,25 @@
 			c := dialLink(t, l)
 			l.Block(ToClient, Hold)
 			send(t, c, "late")
-			wantSilence(t, c)
+			wantNoData(t, c)
 			heal(t, l)
 			wantText(t, c, "late")
 		}},
-		{"vanish loses one direction and resets when healed", func(t *testing.T, l *Link) {
+		{"vanish drops one direction and resets when healed", func(t *testing.T, l *Link) {
 			c := dialLink(t, l)
 			l.Block(ToServer, Vanish)
 			send(t, c, "lost")
-			wantSilence(t, c)
+			wantNoData(t, c)
 			heal(t, l)
 			wantReset(t, c)
 		}},
-		{"vanish swallows the end too", func(t *testing.T, l *Link) {
+		{"vanish drops the end of file too", func(t *testing.T, l *Link) {
 			c := dialLink(t, l)
 			l.Block(ToServer, Vanish)
 			_ = c.CloseWrite()
-			wantSilence(t, c)
+			wantNoData(t, c)
 		}},
-		{"freeze accepts and says nothing", func(t *testing.T, l *Link) {
+		{"freeze accepts connections and sends nothing", func(t *testing.T, l *Link) {
 			old := dialLink(t, l)
 			send(t, old, "a")
 			wantText(t, old, "a")
@@ -157,19 +157,19 @@
 			fresh := dialLink(t, l)
 			send(t, fresh, "x")
 			send(t, old, "b")
-			wantSilence(t, fresh)
-			wantSilence(t, old)
+			wantNoData(t, fresh)
+			wantNoData(t, old)
 			heal(t, l)
 			wantText(t, old, "b")
 			wantReset(t, fresh)
 		}},
-		{"slow takes its time", func(t *testing.T, l *Link) {
+		{"slow link delays each direction", func(t *testing.T, l *Link) {
 			l.SetSlow(Slowness{Delay: 20 * time.Millisecond, BytesPerSecond: 1000})
 			c := dialLink(t, l)
 			began := time.Now()
 			send(t, c, "0123456789")
 			wantText(t, c, "0123456789")
-			// Each way 20 ms and 10 bytes at 1 ms.
+			// Each direction takes 20 ms plus 1 ms for each of 10 bytes.
 			if took := time.Since(began); took < 60*time.Millisecond {
 				t.Fatalf("took %v; want at least 60ms", took)
 			}
@@ -178,7 +178,7 @@
 			c := dialLink(t, l)
 			l.CutAfter(ToClient, 4)
 			send(t, c, "abcdef")
-			_ = c.SetReadDeadline(time.Now().Add(selfPatience))
+			_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 			got, err := io.ReadAll(c)
 			if !errors.Is(err, syscall.ECONNRESET) || len(got) > 4 {
 				t.Fatalf("read %q, %v; want at most 4 bytes and a reset", got, err)
--- a/internal/faultlink/pipe.go
+++ b/internal/faultlink/pipe.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// pipe is one connection through a link.
+// pipe is one proxied connection.
 type pipe struct {
 	link   *Link
 	client *net.TCPConn
 	done   chan struct{}
 	once   sync.Once
-	// lost says that bytes of the connection are missing; guarded by the link's mu.
-	lost bool
+	// bytesLost is set when bytes of the connection were discarded, or it was never connected to the target. It is guarded
+	// by the link's mu.
+	bytesLost bool
 }
 
-// run connects to the target and pumps until both directions have ended or one has failed.
+// run connects to the target and copies data until both directions have ended or one has failed.
 func (p *pipe) run() {
-	defer p.forget()
+	defer p.remove()
 	server, ok := p.link.dial(p)
 	if !ok {
 		p.reset()
@@ -35,21 +36,21 @@
 			_ = server.Close()
 		}
 	}()
-	var pumps sync.WaitGroup
-	pumps.Go(func() { p.pump(ToServer, p.client, server) })
-	pumps.Go(func() { p.pump(ToClient, server, p.client) })
-	pumps.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { p.copyDirection(ToServer, p.client, server) })
+	copies.Go(func() { p.copyDirection(ToClient, server, p.client) })
+	copies.Wait()
 	close(stop)
 }
 
-func (p *pipe) forget() {
+func (p *pipe) remove() {
 	_ = p.client.Close()
 	p.link.mu.Lock()
 	defer p.link.mu.Unlock()
 	delete(p.link.pipes, p)
 }
 
-// Reset ends the connection on both sides with a reset.
+// reset ends the connection on both sides with a TCP reset.
 func (p *pipe) reset() {
 	p.once.Do(func() {
 		close(p.done)
@@ -57,28 +58,29 @@
 	})
 }
 
-// resetConn closes a connection so that the peer sees a reset and not an end.
+// resetConn closes a connection so that the peer gets a TCP reset instead of an end of file.
 func resetConn(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
 
-// pumpBytes is the most that is passed on at once.
-const pumpBytes = 16 << 10
+// copyBufferBytes is the largest chunk that is forwarded at once.
+const copyBufferBytes = 16 << 10
 
-// pump passes one direction on until it ends. The end is passed on like data; a failure resets the connection.
-func (p *pipe) pump(d Direction, from, to *net.TCPConn) {
-	buffer := make([]byte, pumpBytes)
+// copyDirection copies one direction until it ends. The end of file is subject to the same faults as data; an error resets
+// the connection.
+func (p *pipe) copyDirection(d Direction, from, to *net.TCPConn) {
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !p.pass(d, to, buffer[:n]) {
+		if n > 0 && !p.forward(d, to, buffer[:n]) {
 			p.reset()
 			return
 		}
 		if err == nil {
 			continue
 		}
-		if errors.Is(err, io.EOF) && p.pass(d, to, nil) && to.CloseWrite() == nil {
+		if errors.Is(err, io.EOF) && p.forward(d, to, nil) && to.CloseWrite() == nil {
 			return
 		}
 		p.reset()
@@ -86,31 +88,31 @@
 	}
 }
 
-// pass brings a piece of data to the other side as the link's faults let it. It reports whether the connection goes on.
-// Empty data stands for the end.
-func (p *pipe) pass(d Direction, to *net.TCPConn, data []byte) bool {
+// forward writes a chunk of data to the other side, subject to the link's faults, and reports whether the connection stays
+// open. Empty data stands for the end of file.
+func (p *pipe) forward(d Direction, to *net.TCPConn, data []byte) bool {
 	for {
-		v := p.link.judge(p, d, len(data))
-		if v.wait != nil {
-			if !p.waitFor(v.wait) {
+		dec := p.link.decide(p, d, len(data))
+		if dec.wait != nil {
+			if !p.waitFor(dec.wait) {
 				return false
 			}
 			continue
 		}
-		if v.drop {
+		if dec.drop {
 			return len(data) > 0 || p.waitFor(nil)
 		}
-		if !p.sleep(v.slow, v.pass) {
+		if !p.delay(dec.slow, dec.pass) {
 			return false
 		}
-		if _, err := to.Write(data[:v.pass]); err != nil {
+		if _, err := to.Write(data[:dec.pass]); err != nil {
 			return false
 		}
-		return !v.cut
+		return !dec.cut
 	}
 }
 
-// waitFor waits for the channel and reports whether the connection is still open.
+// waitFor waits until c is closed. It returns false if the connection is reset first; with a nil c it always waits for that.
 func (p *pipe) waitFor(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -120,8 +122,8 @@
 	}
 }
 
-// sleep takes the time that a slow link needs for n bytes.
-func (p *pipe) sleep(s Slowness, n int) bool {
+// delay waits for as long as a slow link needs for n bytes. It returns false if the connection is reset first.
+func (p *pipe) delay(s Slowness, n int) bool {
 	d := s.Delay
 	if s.BytesPerSecond > 0 {
 		d += time.Duration(n) * time.Second / time.Duration(s.BytesPerSecond)
