--- a/soak/answers.go
+++ b/soak/answers.go
@@ -10,39 +10,39 @@
 	"balsamsail/platform/standin"
 )
 
-// The subjects that faults disturb beside processes and places, which bear their own names.
-const storeSubject = "store"
+// storeTarget is the fault target that stands for the store. Processes and endpoint hosts are targets under their own names.
+const storeTarget = "store"
 
-// storeOf is the path from a gateway to the store, stopOf the gateway's planned stop.
-func storeOf(gateway string) string { return "store>" + gateway }
-func stopOf(gateway string) string  { return "stop of " + gateway }
+// storeLinkOf names the fault target of a gateway's link to the store, plannedStopOf that of the gateway's planned stop.
+func storeLinkOf(gateway string) string   { return "store>" + gateway }
+func plannedStopOf(gateway string) string { return "stop of " + gateway }
 
-// ended judges how a request ended for its client.
-func (j *judge) ended(r *record, e ending) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// checkOutcome checks how a request ended for its client.
+func (c *checker) checkOutcome(r *record, e outcome) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	r.status = e.status
-	j.count(r, e)
+	c.countOutcome(r, e)
 	switch {
-	case e.left:
+	case e.cancelled:
 	case e.status == 0:
-		j.unanswered(r, e)
+		c.checkUnanswered(r, e)
 	case e.status >= 200 && e.status < 300:
-		j.success(r, e)
+		c.checkSuccess(r, e)
 	case standin.NotRun(e.status):
 		if len(r.runs) > 0 {
-			j.violate("not run", "request %s was refused with %d after it had run at %v", r.call.ID, e.status, r.runs)
+			c.addViolationLocked("not run", "request %s was refused with %d after it had run at %v", r.call.ID, e.status, r.runs)
 		}
 	case e.status < http.StatusInternalServerError:
-		j.violate("denied", "request %s to %s, which is always allowed, got %d of %s", r.call.ID, r.call.Path, e.status, r.gateway)
+		c.addViolationLocked("denied", "request %s to %s, which is always allowed, got %d from %s", r.call.ID, r.call.Path, e.status, r.gateway)
 	}
 }
 
-// count keeps the figures that the report shows.
-func (j *judge) count(r *record, e ending) {
+// countOutcome updates the report's counts.
+func (c *checker) countOutcome(r *record, e outcome) {
 	name := fmt.Sprint(e.status)
 	switch {
-	case e.left:
+	case e.cancelled:
 		name = "left by the client"
 	case e.status == 0 && e.timedOut:
 		name = "no answer in time"
@@ -53,58 +53,59 @@
 	case e.err != nil:
 		name = "broken off"
 	}
-	j.counts["ended: "+name]++
+	c.counts["ended: "+name]++
 	if e.status == http.StatusOK && e.err == nil && r.call.Model != "" {
 		model, _, _ := strings.Cut(r.call.Model, "/")
-		j.counts["served: "+model]++
+		c.counts["served: "+model]++
 	}
 }
 
-// unanswered judges a request without an answer.
-func (j *judge) unanswered(r *record, e ending) {
+// checkUnanswered checks a request that got no response.
+func (c *checker) checkUnanswered(r *record, e outcome) {
 	now := time.Now()
-	if !j.calm(r.sentAt, now, r.gateway) {
+	if !c.faultFree(r.sentAt, now, r.gateway) {
 		return
 	}
 	switch {
 	case e.timedOut && e.maybeSent:
-		j.violate("in time", "request %s had no answer of %s %v after its patience of %v; it ran at %v",
-			r.call.ID, r.gateway, answerSlack, r.call.Patience, r.runs)
-	case e.maybeSent && (r.reached > 0 || e.took > unread):
-		j.cutOff++
-		planned := !j.calm(r.sentAt, now, stopOf(r.gateway))
-		if planned || j.cutOff > endedWithout {
-			j.violate("lost", "request %s, which had arrived %d times at endpoints, lost its connection to %s after %v: %v (planned stop: %v)",
-				r.call.ID, r.reached, r.gateway, e.took, e.err, planned)
+		c.addViolationLocked("in time", "request %s had no answer from %s %v after its timeout of %v; it ran at %v",
+			r.call.ID, r.gateway, responseSlack, r.call.Patience, r.runs)
+	case e.maybeSent && (r.arrivals > 0 || e.took > readDelay):
+		c.unexplainedCloses++
+		plannedStop := !c.faultFree(r.sentAt, now, plannedStopOf(r.gateway))
+		if plannedStop || c.unexplainedCloses > maxUnexplainedCloses {
+			c.addViolationLocked("lost", "request %s, which had arrived %d times at endpoints, lost its connection to %s after %v: %v (planned stop: %v)",
+				r.call.ID, r.arrivals, r.gateway, e.took, e.err, plannedStop)
 		}
 	}
 }
 
-// success judges a successful answer. One that visibly broke off is none.
-func (j *judge) success(r *record, e ending) {
+// checkSuccess checks a response with a 2xx status. One whose body broke off with an error does not count as successful: only
+// the order of its events is checked, and that it was not cut by a planned stop.
+func (c *checker) checkSuccess(r *record, e outcome) {
 	if e.err == nil {
 		if err := r.call.CheckSuccess(e.header, e.body); err != nil {
-			j.violate("whole", "the answer to request %s of %s, run at %v: %v", r.call.ID, r.gateway, r.runs, err)
+			c.addViolationLocked("whole", "the answer to request %s from %s, run at %v: %v", r.call.ID, r.gateway, r.runs, err)
 		}
 		return
 	}
-	if err := inOrder(e.body); err != nil {
-		j.violate("order", "the stream of request %s: %v", r.call.ID, err)
+	if err := checkEventOrder(e.body); err != nil {
+		c.addViolationLocked("order", "the stream of request %s: %v", r.call.ID, err)
 	}
 	now := time.Now()
-	if e.timedOut || !j.calm(r.sentAt, now, r.gateway) || j.calm(r.sentAt, now, stopOf(r.gateway)) {
+	if e.timedOut || !c.faultFree(r.sentAt, now, r.gateway) || c.faultFree(r.sentAt, now, plannedStopOf(r.gateway)) {
 		return
 	}
 	for _, id := range r.runs {
-		if !j.calm(r.sentAt, now, j.endpoints[id].place) {
+		if !c.faultFree(r.sentAt, now, c.endpoints[id].host) {
 			return
 		}
 	}
-	j.violate("lost", "the stream of request %s was cut by the planned stop of %s after %v: %v", r.call.ID, r.gateway, e.took, e.err)
+	c.addViolationLocked("lost", "the stream of request %s was cut by the planned stop of %s after %v: %v", r.call.ID, r.gateway, e.took, e.err)
 }
 
-// inOrder checks the events of a stream that broke off.
-func inOrder(body []byte) error {
+// checkEventOrder checks that the event ids of a stream that broke off count up from 1 without gaps.
+func checkEventOrder(body []byte) error {
 	next := 1
 	for line := range strings.Lines(string(body)) {
 		id, ok := strings.CutPrefix(line, "id: ")
@@ -112,61 +113,62 @@
 			continue
 		}
 		if strings.TrimSpace(id) != fmt.Sprint(next) {
-			return fmt.Errorf("event %s came where %d was due", strings.TrimSpace(id), next)
+			return fmt.Errorf("got event %s, want %d", strings.TrimSpace(id), next)
 		}
 		next++
 	}
 	return nil
 }
 
-// routeToProbe names a route that was added or removed, or one that was never there.
-func (j *judge) routeToProbe(random *rand.Rand) string {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	var known []string
-	for prefix := range j.routes {
+// routeToProbe returns the prefix of a route that was added or removed, or of one that was never declared.
+func (c *checker) routeToProbe(random *rand.Rand) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var prefixes []string
+	for prefix := range c.routes {
 		if strings.HasPrefix(prefix, addedPrefix) {
-			known = append(known, prefix)
+			prefixes = append(prefixes, prefix)
 		}
 	}
-	if len(known) == 0 || random.IntN(10) == 0 {
+	if len(prefixes) == 0 || random.IntN(10) == 0 {
 		return "/never-there/"
 	}
-	return known[random.IntN(len(known))]
+	return prefixes[random.IntN(len(prefixes))]
 }
 
-// seen is the newest route that one start of a gateway is known to have in force.
-type seen struct {
+// newestRoute is the most recently added route that a gateway has served since it was started for the start-th time.
+type newestRoute struct {
 	start int
 	added time.Time
 }
 
-// probed judges how a probe of a route ended; start counts the starts of the gateway.
-func (j *judge) probed(r *record, e ending, start int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// checkProbe checks the outcome of a probe against the route's lifetime. start is the number of starts of the gateway so
+// far: only within one of them may it not go back to an older configuration.
+func (c *checker) checkProbe(r *record, e outcome, start int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	r.status = e.status
 	prefix := r.call.Path[:strings.LastIndex(r.call.Path, "/")+1]
-	life := j.routes[prefix]
+	lifetime := c.routes[prefix]
 	now := time.Now()
-	known := e.status >= 200 && e.status < 300
-	unknown := e.status == http.StatusNotFound
-	last := j.newest[r.gateway]
-	if known && life != nil && (last.start != start || life.added.After(last.added)) {
-		j.newest[r.gateway] = seen{start: start, added: life.added}
-		last = j.newest[r.gateway]
+	served := e.status >= 200 && e.status < 300
+	notFound := e.status == http.StatusNotFound
+	last := c.newestRoutes[r.gateway]
+	if served && lifetime != nil && (last.start != start || lifetime.added.After(last.added)) {
+		c.newestRoutes[r.gateway] = newestRoute{start: start, added: lifetime.added}
+		last = c.newestRoutes[r.gateway]
 	}
-	steady := j.calm(r.sentAt, now, storeSubject, storeOf(r.gateway), r.gateway, stopOf(r.gateway))
+	stable := c.faultFree(r.sentAt, now, storeTarget, storeLinkOf(r.gateway), r.gateway, plannedStopOf(r.gateway))
 	switch {
-	case life == nil:
-		if known {
-			j.violate("configuration", "%s answered %d on %s, which was never declared", r.gateway, e.status, prefix)
+	case lifetime == nil:
+		if served {
+			c.addViolationLocked("configuration", "%s answered %d on %s, which was never declared", r.gateway, e.status, prefix)
 		}
-	case known && !life.removed.IsZero() && r.sentAt.Sub(life.removed) > applyBound && steady:
-		j.violate("configuration", "%s still served %s %v after its removal", r.gateway, prefix, r.sentAt.Sub(life.removed))
-	case unknown && life.removed.IsZero() && r.sentAt.Sub(life.added) > applyBound && steady:
-		j.violate("configuration", "%s did not know %s %v after it was added", r.gateway, prefix, r.sentAt.Sub(life.added))
-	case unknown && life.removed.IsZero() && last.start == start && last.added.After(life.added):
-		j.violate("configuration", "%s did not know %s, after it had a newer route in force", r.gateway, prefix)
+	case served && !lifetime.removed.IsZero() && r.sentAt.Sub(lifetime.removed) > maxApplyDelay && stable:
+		c.addViolationLocked("configuration", "%s still served %s %v after its removal", r.gateway, prefix, r.sentAt.Sub(lifetime.removed))
+	case notFound && lifetime.removed.IsZero() && r.sentAt.Sub(lifetime.added) > maxApplyDelay && stable:
+		c.addViolationLocked("configuration", "%s answered 404 on %s %v after it was added", r.gateway, prefix, r.sentAt.Sub(lifetime.added))
+	case notFound && lifetime.removed.IsZero() && last.start == start && last.added.After(lifetime.added):
+		c.addViolationLocked("configuration", "%s answered 404 on %s after it had served a newer route", r.gateway, prefix)
 	}
 }
--- a/soak/clients.go
+++ b/soak/clients.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	// longestPatience is the longest time that a client waits.
-	longestPatience = 8 * time.Second
-	// leavers is the share of requests that their clients give up early, within leaveWithin.
-	leavers     = 0.05
-	leaveWithin = 300 * time.Millisecond
-	// thinkTime is the mean pause of a client between two requests, and awayPause the one after a failed connection.
-	thinkTime = 60 * time.Millisecond
-	awayPause = 100 * time.Millisecond
-	// dialTimeout is how long a client waits for a connection.
+	// maxTimeout is the longest request timeout of a client.
+	maxTimeout = 8 * time.Second
+	// cancelShare is the share of requests that clients cancel early, within cancelWithin.
+	cancelShare  = 0.05
+	cancelWithin = 300 * time.Millisecond
+	// thinkTime is the mean pause between two requests of a client; reconnectPause is added after a request without an answer.
+	thinkTime      = 60 * time.Millisecond
+	reconnectPause = 100 * time.Millisecond
+	// dialTimeout bounds a client's connection attempt.
 	dialTimeout = time.Second
-	// maxEvents is the length of the longest stream.
+	// maxEvents is the largest number of events in a stream.
 	maxEvents = 40
 )
 
-// profile is how clients use a kind of request.
+// profile is the share of a kind of request in the load, and how it is sent.
 type profile struct {
-	kind     kind
-	share    float64
-	prefix   string
-	method   string
-	patience time.Duration
+	kind    kind
+	share   float64
+	prefix  string
+	method  string
+	timeout time.Duration
 }
 
 var profiles = []profile{
 	{read, 0.3, prefixRead, http.MethodGet, 1500 * time.Millisecond},
 	{notice, 0.2, prefixNotice, http.MethodPost, 1500 * time.Millisecond},
-	{chat, 0.3, prefixChat, http.MethodPost, longestPatience},
+	{chat, 0.3, prefixChat, http.MethodPost, maxTimeout},
 	{once, 0.2, prefixOnce, http.MethodPost, 4 * time.Second},
 }
 
-// client sends requests to one gateway, over connections that it keeps as long as the gateway does.
+// client sends requests to one gateway, over connections that are kept alive.
 type client struct {
 	site    *site
 	gateway *host
@@ -73,15 +73,15 @@
 func (c *client) run(ctx context.Context) {
 	defer c.close()
 	for ctx.Err() == nil {
-		if !c.one(c.draw()) {
-			clock.Pause(ctx, awayPause)
+		if !c.send(c.nextRequest()) {
+			clock.Pause(ctx, reconnectPause)
 		}
 		clock.Pause(ctx, time.Duration(c.random.ExpFloat64()*float64(thinkTime)))
 	}
 }
 
-// draw makes the next request.
-func (c *client) draw() *record {
+// nextRequest returns a random request.
+func (c *client) nextRequest() *record {
 	c.n++
 	p := profiles[0]
 	at := c.random.Float64()
@@ -91,7 +91,7 @@
 		}
 	}
 	r := &record{kind: p.kind, gateway: c.gateway.name, call: standin.Call{
-		ID: fmt.Sprintf("%s-%d", c.name, c.n), Host: siteHost, Method: p.method, Path: p.prefix + "item?n=" + fmt.Sprint(c.n), Patience: p.patience,
+		ID: fmt.Sprintf("%s-%d", c.name, c.n), Host: siteHost, Method: p.method, Path: p.prefix + "item?n=" + fmt.Sprint(c.n), Patience: p.timeout,
 	}}
 	if p.kind == notice {
 		r.call.Body = fmt.Appendf(nil, "notice %d", c.n)
@@ -99,13 +99,13 @@
 	if p.kind == chat || p.kind == once {
 		r.call.Body = []byte("layer 3 is loose")
 		r.call.Events = 1 + c.random.IntN(maxEvents)
-		r.call.Model = c.drawModel()
+		r.call.Model = c.pickModel()
 	}
 	return r
 }
 
-// drawModel prefers few models, and now and then asks for an adapter.
-func (c *client) drawModel() string {
+// pickModel returns a random model from a skewed distribution, one time in four with an adapter.
+func (c *client) pickModel() string {
 	models := c.site.models
 	i := min(int(c.random.ExpFloat64()*float64(len(models))/3), len(models)-1)
 	if c.random.IntN(4) == 0 {
@@ -114,65 +114,65 @@
 	return models[i]
 }
 
-// ending is how a request ended for its client.
-type ending struct {
+// outcome is the result of a request as its client sees it.
+type outcome struct {
 	status int
 	header http.Header
 	body   []byte
-	// err is set when there was no answer, or it broke off.
+	// err is set if there was no response or its body is incomplete.
 	err error
-	// maybeSent is set when the gateway may have got the request.
+	// maybeSent is set if the gateway may have received the request.
 	maybeSent bool
-	// left is set when the client itself gave the request up early, timedOut when its patience had ended.
-	left, timedOut bool
-	took           time.Duration
+	// cancelled is set if the client cancelled the request early, timedOut if its timeout expired.
+	cancelled, timedOut bool
+	took                time.Duration
 }
 
-// one sends a request and judges how it ended. It returns false when the gateway could not be reached.
-func (c *client) one(r *record) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), r.call.Patience+answerSlack)
+// send sends a request and checks its outcome. It returns false if no response was received.
+func (c *client) send(r *record) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), r.call.Patience+responseSlack)
 	defer cancel()
-	if c.random.Float64() < leavers {
-		leave := time.AfterFunc(rand.N(leaveWithin), func() {
-			c.site.judge.left(r.call.ID)
+	if c.random.Float64() < cancelShare {
+		cancelTimer := time.AfterFunc(rand.N(cancelWithin), func() {
+			c.site.checker.recordCancelled(r.call.ID)
 			cancel()
 		})
-		defer leave.Stop()
+		defer cancelTimer.Stop()
 	}
 	r.sentAt = time.Now()
-	c.site.judge.sent(r)
+	c.site.checker.recordSent(r)
 	e := c.exchange(ctx, r.call)
 	e.took = time.Since(r.sentAt)
-	c.site.judge.ended(r, e)
+	c.site.checker.checkOutcome(r, e)
 	return e.status != 0
 }
 
-// exchange sends a call and reads the answer.
-func (c *client) exchange(ctx context.Context, call standin.Call) ending {
-	request, err := call.Request(ctx, c.gateway.clients)
+// exchange sends a call and reads the response.
+func (c *client) exchange(ctx context.Context, call standin.Call) outcome {
+	request, err := call.Request(ctx, c.gateway.frontend)
 	if err != nil {
-		return ending{err: err}
+		return outcome{err: err}
 	}
 	result, err := c.http.Do(request)
 	if err != nil {
-		return c.failed(ctx, ending{err: err, maybeSent: result.MaybeSent})
+		return c.classifyError(ctx, outcome{err: err, maybeSent: result.MaybeSent})
 	}
 	defer func() { _ = result.Response.Body.Close() }()
-	e := ending{status: result.Response.StatusCode, header: result.Response.Header, maybeSent: true}
+	e := outcome{status: result.Response.StatusCode, header: result.Response.Header, maybeSent: true}
 	e.body, e.err = io.ReadAll(result.Response.Body)
-	return c.failed(ctx, e)
+	return c.classifyError(ctx, e)
 }
 
-// failed tells a client's own giving up from other failures.
-func (c *client) failed(ctx context.Context, e ending) ending {
+// classifyError marks failures that the client's own timeout or cancellation caused.
+func (c *client) classifyError(ctx context.Context, e outcome) outcome {
 	if e.err != nil {
 		e.timedOut = ctx.Err() == context.DeadlineExceeded
-		e.left = ctx.Err() == context.Canceled
+		e.cancelled = ctx.Err() == context.Canceled
 	}
 	return e
 }
 
-// probeRoutes asks gateways again and again for routes that were added, removed or never there, until ctx ends.
+// probeRoutes sends requests to random gateways on routes that were added, removed or never declared, until ctx ends.
 func probeRoutes(ctx context.Context, s *site) {
 	const interval = 50 * time.Millisecond
 	var clients []*client
@@ -189,14 +189,14 @@
 		c.n++
 		r := &record{kind: probe, gateway: c.gateway.name, call: standin.Call{
 			ID: fmt.Sprintf("%s-p%d", c.name, c.n), Host: siteHost, Method: http.MethodGet,
-			Path: s.judge.routeToProbe(random) + "probe", Patience: 1500 * time.Millisecond,
+			Path: s.checker.routeToProbe(random) + "probe", Patience: 1500 * time.Millisecond,
 		}}
 		probes.Go(func() {
 			timeout, cancel := context.WithTimeout(context.Background(), r.call.Patience)
 			defer cancel()
 			r.sentAt = time.Now()
-			s.judge.sent(r)
-			s.judge.probed(r, c.exchange(timeout, r.call), s.startsOf(c.gateway))
+			s.checker.recordSent(r)
+			s.checker.checkProbe(r, c.exchange(timeout, r.call), s.startsOf(c.gateway))
 		})
 		clock.Pause(ctx, interval)
 	}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -14,18 +14,19 @@
 	ms     = time.Millisecond
 	// restartPause is how long the platform takes to start a process that has ended.
 	restartPause = 300 * ms
-	// reuseAfter is when the address of an endpoint that is gone may be used by one of another service.
-	reuseAfter = 2 * time.Second
-	// addedPrefix begins the prefixes of the routes that come and go.
+	// addressReuseDelay is how long after the end of an endpoint its address may be used by one of another service.
+	addressReuseDelay = 2 * time.Second
+	// addedPrefix begins the prefixes of the routes that are added and removed during the run.
 	addedPrefix = "/added-"
 )
 
-// faults are the kinds of faults. Each befalls the programs from outside: by signals, on the network, at the stand-ins.
+// faults are the kinds of faults. Each is injected from outside the programs: by signals, on the network, or in the
+// stand-ins.
 var faults = []fault{
-	{"gateway stopped", 4, 0, 0, func(s *site, pick uint64, _ time.Duration) func() { s.planned(s.gateway(pick)); return nil }},
+	{"gateway stopped", 4, 0, 0, func(s *site, pick uint64, _ time.Duration) func() { s.plannedStop(s.gateway(pick)); return nil }},
 	{"gateway killed", 4, 0, 0, func(s *site, pick uint64, _ time.Duration) func() { s.kill(s.gateway(pick)); return nil }},
 	{"gateway frozen", 4, 300 * ms, 5 * second, func(s *site, pick uint64, _ time.Duration) func() { return s.freeze(s.gateway(pick)) }},
-	{"agent stopped", 3, 0, 0, func(s *site, pick uint64, _ time.Duration) func() { s.planned(s.agent(pick)); return nil }},
+	{"agent stopped", 3, 0, 0, func(s *site, pick uint64, _ time.Duration) func() { s.plannedStop(s.agent(pick)); return nil }},
 	{"agent killed", 3, 0, 0, func(s *site, pick uint64, _ time.Duration) func() { s.kill(s.agent(pick)); return nil }},
 	{"agent frozen", 4, 300 * ms, 5 * second, func(s *site, pick uint64, _ time.Duration) func() { return s.freeze(s.agent(pick)) }},
 	{"all gateways killed", 1, 0, 0, func(s *site, _ uint64, _ time.Duration) func() { s.kill(s.gateways...); return nil }},
@@ -63,24 +64,24 @@
 		return s.storeLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToClient, faultlink.Vanish) })
 	}},
 
-	{"way to an endpoint reset", 3, 0, 0, func(s *site, pick uint64, _ time.Duration) func() { return s.placeLink(pick, (*faultlink.Link).Reset) }},
+	{"way to an endpoint reset", 3, 0, 0, func(s *site, pick uint64, _ time.Duration) func() { return s.hostLink(pick, (*faultlink.Link).Reset) }},
 	{"way to an endpoint cut", 3, 300 * ms, 4 * second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.placeLink(pick, (*faultlink.Link).Cut)
+		return s.hostLink(pick, (*faultlink.Link).Cut)
 	}},
 	{"way to an endpoint silent", 3, 300 * ms, 4 * second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.placeLink(pick, func(l *faultlink.Link) { l.Freeze(faultlink.Hold) })
+		return s.hostLink(pick, func(l *faultlink.Link) { l.Freeze(faultlink.Hold) })
 	}},
 	{"requests to an endpoint lost", 2, 300 * ms, 4 * second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.placeLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToServer, faultlink.Vanish) })
+		return s.hostLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToServer, faultlink.Vanish) })
 	}},
 	{"answers of an endpoint lost", 2, 300 * ms, 4 * second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.placeLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToClient, faultlink.Vanish) })
+		return s.hostLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToClient, faultlink.Vanish) })
 	}},
 	{"way to an endpoint slow", 2, second, 4 * second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.placeLink(pick, func(l *faultlink.Link) { l.SetSlow(faultlink.Slowness{Delay: 80 * ms, BytesPerSecond: 32 << 10}) })
+		return s.hostLink(pick, func(l *faultlink.Link) { l.SetSlow(faultlink.Slowness{Delay: 80 * ms, BytesPerSecond: 32 << 10}) })
 	}},
 	{"answer broken off on its way", 3, second, 2 * second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.placeLink(pick, func(l *faultlink.Link) { l.CutAfter(faultlink.ToClient, int64(pick%2000)) })
+		return s.hostLink(pick, func(l *faultlink.Link) { l.CutAfter(faultlink.ToClient, int64(pick%2000)) })
 	}},
 	{"way to an agent cut", 2, 300 * ms, 4 * second, func(s *site, pick uint64, _ time.Duration) func() {
 		return s.agentLink(pick, (*faultlink.Link).Cut)
@@ -92,18 +93,18 @@
 		return s.agentLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToClient, faultlink.Vanish) })
 	}},
 
-	{"endpoint crashed", 4, 200 * ms, 3 * second, func(s *site, pick uint64, _ time.Duration) func() { return s.crash(s.place(pick)) }},
+	{"endpoint crashed", 4, 200 * ms, 3 * second, func(s *site, pick uint64, _ time.Duration) func() { return s.crash(s.endpoint(pick)) }},
 	{"endpoint gone, still listed", 1, 3 * second, 5 * second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.crash(s.place(pick))
+		return s.crash(s.endpoint(pick))
 	}},
-	{"endpoint drained", 4, leaveBound + second, leaveBound + 3*second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.drain(s.place(pick), true)
+	{"endpoint drained", 4, maxLeaveDelay + second, maxLeaveDelay + 3*second, func(s *site, pick uint64, _ time.Duration) func() {
+		return s.drain(s.endpoint(pick), true)
 	}},
-	{"endpoint leaves without a word", 2, leaveBound + second, leaveBound + 3*second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.drain(s.place(pick), false)
+	{"endpoint leaves without a word", 2, maxLeaveDelay + second, maxLeaveDelay + 3*second, func(s *site, pick uint64, _ time.Duration) func() {
+		return s.drain(s.endpoint(pick), false)
 	}},
-	{"address used again by another service", 2, reuseAfter + second, reuseAfter + 4*second, func(s *site, pick uint64, lasts time.Duration) func() {
-		return s.reuse(s.plainPlace(pick), lasts)
+	{"address used again by another service", 2, addressReuseDelay + second, addressReuseDelay + 4*second, func(s *site, pick uint64, duration time.Duration) func() {
+		return s.reuseAddress(s.serviceHost(pick), duration)
 	}},
 	{"endpoint mute", 3, 300 * ms, 4 * second, endpointFault(func(f *standin.EndpointFaults) { f.Mute = true })},
 	{"endpoint slow", 3, second, 5 * second, endpointFault(func(f *standin.EndpointFaults) { f.Slow = 8 })},
@@ -121,71 +122,71 @@
 	}},
 }
 
-func (s *site) gateway(pick uint64) *host { return s.gateways[pick%uint64(len(s.gateways))] }
-func (s *site) agent(pick uint64) *host   { return s.agents[pick%uint64(len(s.agents))] }
-func (s *site) place(pick uint64) *place  { return s.places[pick%uint64(len(s.places))] }
+func (s *site) gateway(pick uint64) *host          { return s.gateways[pick%uint64(len(s.gateways))] }
+func (s *site) agent(pick uint64) *host            { return s.agents[pick%uint64(len(s.agents))] }
+func (s *site) endpoint(pick uint64) *endpointHost { return s.endpoints[pick%uint64(len(s.endpoints))] }
 
-// plainPlace is one on which a plain service runs.
-func (s *site) plainPlace(pick uint64) *place {
-	plain := s.places[len(s.agents):]
-	return plain[pick%uint64(len(plain))]
+// serviceHost returns a host that runs an endpoint of a plain service.
+func (s *site) serviceHost(pick uint64) *endpointHost {
+	services := s.endpoints[len(s.agents):]
+	return services[pick%uint64(len(services))]
 }
 
-// planned tells a process to stop, waits for it, and starts it again.
-func (s *site) planned(h *host) {
-	if !s.take(h) {
+// plannedStop sends SIGTERM to a process, waits for its exit and starts it again. After the grace period it is killed.
+func (s *site) plannedStop(h *host) {
+	if !s.claimRestart(h) {
 		return
 	}
-	end := s.judge.disturb(stopOf(h.name))
+	end := s.checker.beginFault(plannedStopOf(h.name))
 	go func() {
-		defer s.give(h)
+		defer s.releaseRestart(h)
 		defer end()
 		h.process.Signal(syscall.SIGTERM)
 		select {
 		case <-h.process.Exited():
-			if err := h.process.ExitError(); err != nil && !s.killedSince(h) {
-				s.judge.Violate("clean stop", "%s, told to stop, ended with %v", h.name, err)
+			if err := h.process.ExitError(); err != nil && !s.killedDuringRestart(h) {
+				s.checker.addViolation("clean stop", "%s exited with %v after SIGTERM", h.name, err)
 			}
 		case <-time.After(grace):
-			s.judge.disturb(h.name)()
+			s.checker.beginFault(h.name)()
 			h.process.Kill()
 		}
-		s.startAgain(h)
+		s.restart(h)
 	}()
 }
 
-// kill ends processes at once and starts them again.
+// kill kills processes and starts them again.
 func (s *site) kill(hosts ...*host) {
 	for _, h := range hosts {
-		end := s.judge.disturb(h.name)
-		s.noteKill(h)
+		end := s.checker.beginFault(h.name)
+		s.recordKill(h)
 		h.process.Kill()
-		if !s.take(h) {
-			// A planned stop is under way and starts it again.
+		if !s.claimRestart(h) {
+			// A planned stop or another kill is in progress and will restart the process.
 			end()
 			continue
 		}
 		go func() {
-			defer s.give(h)
+			defer s.releaseRestart(h)
 			defer end()
-			s.startAgain(h)
+			s.restart(h)
 		}()
 	}
 }
 
-func (s *site) startAgain(h *host) {
+func (s *site) restart(h *host) {
 	time.Sleep(restartPause)
-	s.noteStart(h)
+	s.recordStart(h)
 	if err := h.process.Start(); err != nil {
-		s.judge.Violate("start", "%s: %v", h.name, err)
+		s.checker.addViolation("start", "%s: %v", h.name, err)
 	}
 }
 
-// freeze suspends processes; the function that it returns lets them go on.
+// freeze suspends processes; the function that it returns resumes them.
 func (s *site) freeze(hosts ...*host) func() {
 	var ends []func()
 	for _, h := range hosts {
-		ends = append(ends, s.judge.disturb(h.name))
+		ends = append(ends, s.checker.beginFault(h.name))
 		h.process.Signal(syscall.SIGSTOP)
 	}
 	return func() {
@@ -197,7 +198,7 @@
 }
 
 func (s *site) storeFault(change func(*standin.StoreFaults)) func() {
-	end := s.judge.disturb(storeSubject)
+	end := s.checker.beginFault(storeTarget)
 	s.store.SetFaults(change)
 	return func() {
 		s.store.SetFaults(func(f *standin.StoreFaults) { *f = standin.StoreFaults{} })
@@ -205,103 +206,104 @@
 	}
 }
 
-// spoil harms a link; the function that it returns heals it.
-func (s *site) spoil(l *faultlink.Link, harm func(*faultlink.Link), subjects ...string) func() {
-	end := s.judge.disturb(subjects...)
-	harm(l)
+// disruptLink applies a fault to a link; the function that it returns heals the link.
+func (s *site) disruptLink(l *faultlink.Link, apply func(*faultlink.Link), targets ...string) func() {
+	end := s.checker.beginFault(targets...)
+	apply(l)
 	return func() {
 		if err := l.Heal(); err != nil {
-			s.judge.Violate("soak itself", "the link at %s does not heal: %v", l.Address(), err)
+			s.checker.addViolation("soak itself", "heal the link at %s: %v", l.Address(), err)
 		}
 		end()
 	}
 }
 
-func (s *site) storeLink(pick uint64, harm func(*faultlink.Link)) func() {
+func (s *site) storeLink(pick uint64, apply func(*faultlink.Link)) func() {
 	h := s.gateway(pick)
-	return s.spoil(h.links[0], harm, storeOf(h.name))
+	return s.disruptLink(h.links[0], apply, storeLinkOf(h.name))
 }
 
-func (s *site) placeLink(pick uint64, harm func(*faultlink.Link)) func() {
-	p := s.place(pick)
-	return s.spoil(p.link, harm, p.name)
+// hostLink disrupts the link to an endpoint.
+func (s *site) hostLink(pick uint64, apply func(*faultlink.Link)) func() {
+	p := s.endpoint(pick)
+	return s.disruptLink(p.link, apply, p.name)
 }
 
-func (s *site) agentLink(pick uint64, harm func(*faultlink.Link)) func() {
+func (s *site) agentLink(pick uint64, apply func(*faultlink.Link)) func() {
 	h := s.agent(pick)
-	return s.spoil(h.links[0], harm, h.name)
+	return s.disruptLink(h.links[0], apply, h.name)
 }
 
-// crash ends an endpoint without a word; the function that it returns starts its next incarnation.
-func (s *site) crash(p *place) func() {
-	end := s.judge.disturb(p.name)
-	p.crash(false)
+// crash stops an endpoint and leaves its registration; the function that it returns starts its next incarnation.
+func (s *site) crash(p *endpointHost) func() {
+	end := s.checker.beginFault(p.name)
+	p.stopEndpoint(false)
 	return func() {
 		defer end()
-		s.startIfGone(p, p.service)
+		s.startIfStopped(p, p.service)
 	}
 }
 
-// startIfGone starts an endpoint at a place unless one runs there.
-func (s *site) startIfGone(p *place, service string) {
-	gone := true
-	p.with(func(*standin.Endpoint) { gone = false })
-	if !gone {
+// startIfStopped starts an endpoint on a host unless one is running there.
+func (s *site) startIfStopped(p *endpointHost, service string) {
+	stopped := true
+	p.withEndpoint(func(*standin.Endpoint) { stopped = false })
+	if !stopped {
 		return
 	}
 	if err := s.startEndpoint(p, service); err != nil {
-		s.judge.Violate("soak itself", "%s does not start: %v", p.name, err)
+		s.checker.addViolation("soak itself", "start %s: %v", p.name, err)
 	}
 }
 
-// drain lets an endpoint leave: it says so, or its registration just goes. It serves on until the function that is returned
-// ends it and starts the next incarnation.
-func (s *site) drain(p *place, says bool) func() {
-	leaving := ""
-	p.with(func(e *standin.Endpoint) {
-		if says && e.Drain() || !says && e.Unregister() {
-			leaving = e.ID
+// drain makes an endpoint leave: it either announces that it is draining, or its registration is removed without notice. The
+// endpoint goes on serving until the returned function stops it and starts the next incarnation.
+func (s *site) drain(p *endpointHost, announce bool) func() {
+	id := ""
+	p.withEndpoint(func(e *standin.Endpoint) {
+		if announce && e.Drain() || !announce && e.Unregister() {
+			id = e.ID
 		}
 	})
-	if leaving != "" {
-		s.judge.leaves(leaving)
+	if id != "" {
+		s.checker.recordLeaving(id)
 	}
 	return func() {
-		end := s.judge.disturb(p.name)
+		end := s.checker.beginFault(p.name)
 		defer end()
-		p.crash(true)
-		s.startIfGone(p, p.service)
+		p.stopEndpoint(true)
+		s.startIfStopped(p, p.service)
 	}
 }
 
-// reuse ends a plain service's endpoint, and starts one of another service at its address until the function that is
-// returned brings the first one back.
-func (s *site) reuse(p *place, lasts time.Duration) func() {
-	end := s.judge.disturb(p.name)
-	p.crash(true)
-	other := ledger
-	if p.service == ledger {
-		other = pads
+// reuseAddress stops a plain service's endpoint and, after addressReuseDelay, starts one of another service at its address.
+// The returned function restores the original service.
+func (s *site) reuseAddress(p *endpointHost, duration time.Duration) func() {
+	end := s.checker.beginFault(p.name)
+	p.stopEndpoint(true)
+	other := ledgerService
+	if p.service == ledgerService {
+		other = padsService
 	}
-	if lasts > reuseAfter {
-		time.AfterFunc(reuseAfter, func() { s.startIfGone(p, other) })
+	if duration > addressReuseDelay {
+		time.AfterFunc(addressReuseDelay, func() { s.startIfStopped(p, other) })
 	}
 	return func() {
 		defer end()
-		p.crash(true)
-		time.Sleep(reuseAfter)
-		s.startIfGone(p, p.service)
+		p.stopEndpoint(true)
+		time.Sleep(addressReuseDelay)
+		s.startIfStopped(p, p.service)
 	}
 }
 
-// endpointFault lets an endpoint misbehave.
+// endpointFault returns a fault that makes an endpoint misbehave.
 func endpointFault(change func(*standin.EndpointFaults)) func(*site, uint64, time.Duration) func() {
 	return func(s *site, pick uint64, _ time.Duration) func() {
-		p := s.place(pick)
-		end := s.judge.disturb(p.name)
-		p.with(func(e *standin.Endpoint) { e.SetFaults(change) })
+		p := s.endpoint(pick)
+		end := s.checker.beginFault(p.name)
+		p.withEndpoint(func(e *standin.Endpoint) { e.SetFaults(change) })
 		return func() {
-			p.with(func(e *standin.Endpoint) {
+			p.withEndpoint(func(e *standin.Endpoint) {
 				e.SetFaults(func(f *standin.EndpointFaults) { *f = standin.EndpointFaults{} })
 			})
 			end()
@@ -309,7 +311,7 @@
 	}
 }
 
-// reconfigure adds a route and removes the oldest added one, every other time.
+// reconfigure removes the oldest added route if pick is even and there is one, and adds a route otherwise.
 func (s *site) reconfigure(pick uint64) {
 	config, when, ok := s.operator.Change(func(c *standin.Config) {
 		var added []int
@@ -324,10 +326,10 @@
 		}
 		prefix := fmt.Sprintf("%s%d/", addedPrefix, c.Version)
 		c.Routes = append(c.Routes, standin.Route{
-			Name: prefix, Host: siteHost, Prefix: prefix, Type: standin.RouteSafe, TimeoutMS: 2000, TargetLatencyMS: 300, Service: pads, MaxAttempts: 2,
+			Name: prefix, Host: siteHost, Prefix: prefix, Type: standin.RouteSafe, TimeoutMS: 2000, TargetLatencyMS: 300, Service: padsService, MaxAttempts: 2,
 		})
 	})
 	if ok {
-		s.judge.declared(config, when)
+		s.checker.recordConfig(config, when)
 	}
 }
--- a/soak/hosts.go
+++ b/soak/hosts.go
@@ -9,74 +9,75 @@
 	"balsamsail/internal/clock"
 )
 
-// life is what a run knows of a host's process beside its present state.
-type life struct {
-	// busy is set while a planned stop or a restart is under way, which alone starts the process again.
-	busy   bool
-	killed bool
-	starts int
+// processState tracks the kills and restarts of a host's process.
+type processState struct {
+	// restarting is set while a planned stop or a restart is in progress; only its holder may start the process.
+	restarting bool
+	killed     bool
+	starts     int
 }
 
-// take claims the restart of a host's process; it fails while another claim is held.
-func (s *site) take(h *host) bool {
+// claimRestart claims the exclusive right to restart a host's process. It returns false while another claim is held.
+func (s *site) claimRestart(h *host) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.lifeOf(h)
-	if l.busy {
+	state := s.stateOf(h)
+	if state.restarting {
 		return false
 	}
-	l.busy, l.killed = true, false
+	state.restarting, state.killed = true, false
 	return true
 }
 
-func (s *site) give(h *host) {
+func (s *site) releaseRestart(h *host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lifeOf(h).busy = false
+	s.stateOf(h).restarting = false
 }
 
-// lifeOf returns a host's life. The caller holds mu.
-func (s *site) lifeOf(h *host) *life {
-	if s.lives[h.name] == nil {
-		s.lives[h.name] = &life{starts: 1}
+// stateOf returns the state of a host's process. The caller holds mu.
+func (s *site) stateOf(h *host) *processState {
+	if s.states[h.name] == nil {
+		s.states[h.name] = &processState{starts: 1}
 	}
-	return s.lives[h.name]
+	return s.states[h.name]
 }
 
-func (s *site) noteKill(h *host) {
+func (s *site) recordKill(h *host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lifeOf(h).killed = true
+	s.stateOf(h).killed = true
 }
 
-func (s *site) noteStart(h *host) {
+func (s *site) recordStart(h *host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lifeOf(h).starts++
+	s.stateOf(h).starts++
 }
 
-// killedSince reports whether the process was killed since its restart was claimed.
-func (s *site) killedSince(h *host) bool {
+// killedDuringRestart reports whether the process was killed after its restart was claimed.
+func (s *site) killedDuringRestart(h *host) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lifeOf(h).killed
+	return s.stateOf(h).killed
 }
 
 func (s *site) startsOf(h *host) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lifeOf(h).starts
+	return s.stateOf(h).starts
 }
 
-// watchProcesses finds processes that end by themselves, and what they say when they panic.
+// watchProcesses reports and restarts processes that exit unexpectedly until ctx ends, and then searches all logs for panics
+// and data races.
 func (s *site) watchProcesses(ctx context.Context) {
 	const interval = 200 * time.Millisecond
 	for ctx.Err() == nil {
 		for _, h := range s.hosts() {
-			if !s.endedByItself(h) {
+			if !s.exitedUnexpectedly(h) {
 				continue
 			}
-			s.judge.Violate("ended by itself", "%s: %v", h.name, h.process.ExitError())
+			s.checker.addViolation("ended by itself", "%s: %v", h.name, h.process.ExitError())
 			s.kill(h)
 		}
 		clock.Pause(ctx, interval)
@@ -84,20 +85,20 @@
 	for _, h := range s.hosts() {
 		log, err := os.ReadFile(h.process.Log)
 		if err != nil {
-			s.judge.Violate("soak itself", "%s has no log: %v", h.name, err)
+			s.checker.addViolation("soak itself", "%s has no log: %v", h.name, err)
 		}
-		for _, word := range []string{"panic:", "DATA RACE", "fatal error:"} {
-			if at := bytes.Index(log, []byte(word)); at >= 0 {
-				s.judge.Violate("panic", "%s: %.300s", h.name, log[at:])
+		for _, marker := range []string{"panic:", "DATA RACE", "fatal error:"} {
+			if at := bytes.Index(log, []byte(marker)); at >= 0 {
+				s.checker.addViolation("panic", "%s: %.300s", h.name, log[at:])
 			}
 		}
 	}
 }
 
-func (s *site) endedByItself(h *host) bool {
+func (s *site) exitedUnexpectedly(h *host) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lifeOf(h).busy {
+	if s.stateOf(h).restarting {
 		return false
 	}
 	select {
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -9,31 +9,32 @@
 	"balsamsail/platform/standin"
 )
 
-// The bounds that the judge holds the system to.
+// The bounds that the checker enforces.
 const (
-	// inTouch is how long before an event nothing must have disturbed what it concerns.
-	inTouch = 4 * time.Second
-	// leaveBound is the time after which an endpoint that is leaving gets no new work, and applyBound the one after which a
-	// configuration is in force.
-	leaveBound = 2 * time.Second
-	applyBound = 2 * time.Second
-	// answerSlack is how long after its patience a client's request may still be without an answer, and goneSlack how long
-	// after a client has left its request may still reach an endpoint.
-	answerSlack = 500 * time.Millisecond
-	goneSlack   = 500 * time.Millisecond
-	// unread is the time after which a request that was sent whole counts as read.
-	unread = 200 * time.Millisecond
-	// ceilingWindow and ceilingOver bound the loads from the weight store.
-	ceilingWindow = 5 * time.Second
-	ceilingOver   = 1.1
-	ceilingExtra  = 3
-	// lateArrivals and endedWithout are how many single cases are borne: what crosses on its way cannot be told
-	// from what is wrong.
-	lateArrivals = 3
-	endedWithout = 3
+	// recoveryPeriod is how long after the end of a fault its target still counts as affected.
+	recoveryPeriod = 4 * time.Second
+	// maxLeaveDelay is the time after which a leaving endpoint must get no new work, maxApplyDelay the time after which a new
+	// configuration must be in force.
+	maxLeaveDelay = 2 * time.Second
+	maxApplyDelay = 2 * time.Second
+	// responseSlack is how long after the request's timeout a client waits for the response. cancelSlack is how long after its
+	// cancellation a request may still reach an endpoint.
+	responseSlack = 500 * time.Millisecond
+	cancelSlack   = 500 * time.Millisecond
+	// readDelay is the time after which the gateway is assumed to have read a request that was sent.
+	readDelay = 200 * time.Millisecond
+	// At most loadTolerance times the configured rate of loads from the weight store, plus extraLoads, may start within
+	// loadWindow.
+	loadWindow    = 5 * time.Second
+	loadTolerance = 1.1
+	extraLoads    = 3
+	// maxLateArrivals and maxUnexplainedCloses are the numbers of cases that are tolerated per run, because a request that
+	// crosses a cancellation or a closing connection on the network cannot be told from a fault of the system.
+	maxLateArrivals      = 3
+	maxUnexplainedCloses = 3
 )
 
-// kind says what may be done with a request.
+// kind is the kind of a request. It determines its route and whether it may run more than once.
 type kind int
 
 // The kinds of requests.
@@ -48,92 +49,92 @@
 // repeatable reports whether a request may run more than once.
 func (k kind) repeatable() bool { return k == read || k == chat || k == probe }
 
-// record is what is known of one request.
+// record tracks one request.
 type record struct {
 	call    standin.Call
 	kind    kind
 	gateway string
 	sentAt  time.Time
-	// leftAt is when the client gave it up.
-	leftAt time.Time
-	// runs are the incarnations that ran it, reached how many times it arrived.
-	runs    []string
-	reached int
-	// status is the answer's, 0 before.
+	// cancelledAt is when the client cancelled the request; zero if it did not.
+	cancelledAt time.Time
+	// runs are the ids of the incarnations that ran the request. arrivals is how often it arrived at an endpoint.
+	runs     []string
+	arrivals int
+	// status is the status of the response; 0 before it.
 	status int
 }
 
-// judge checks what callers and endpoints see, while the run goes on.
-type judge struct {
+// checker checks during the run that what clients and endpoints observe agrees with the system's guarantees.
+type checker struct {
 	began time.Time
 
-	mu         sync.Mutex
-	requests   map[string]*record
-	endpoints  map[string]*incarnation
-	disturbed  map[string][]span
-	loads      []time.Time
-	arrivals   map[string][]time.Time
-	repeats    map[string][]time.Time
-	routes     map[string]*routeLife
-	newest     map[string]seen
-	late       int
-	cutOff     int
-	violations []string
-	counts     map[string]int
-	used       []resources
+	mu                sync.Mutex
+	requests          map[string]*record
+	endpoints         map[string]*incarnation
+	faultPeriods      map[string][]span
+	storeLoads        []time.Time
+	arrivals          map[string][]time.Time
+	retries           map[string][]time.Time
+	routes            map[string]*routeLifetime
+	newestRoutes      map[string]newestRoute
+	lateArrivals      int
+	unexplainedCloses int
+	violations        []string
+	counts            map[string]int
+	usage             []resources
 }
 
-// span is a time from begin to end; a zero end is still to come.
+// span is a period of time; its end is zero while it lasts.
 type span struct{ begin, end time.Time }
 
 // incarnation is one start of an endpoint.
 type incarnation struct {
-	place, service string
-	leavesAt       time.Time
-	holder         string
+	host, service string
+	leavingSince  time.Time
+	holder        string
 }
 
-// routeLife is when a route was added and removed, as acknowledged by the store.
-type routeLife struct{ added, removed time.Time }
+// routeLifetime is when a route was added and removed, as acknowledged by the store.
+type routeLifetime struct{ added, removed time.Time }
 
-func newJudge() *judge {
-	return &judge{
-		began: time.Now(), requests: map[string]*record{}, endpoints: map[string]*incarnation{}, disturbed: map[string][]span{},
-		arrivals: map[string][]time.Time{}, repeats: map[string][]time.Time{}, routes: map[string]*routeLife{}, newest: map[string]seen{}, counts: map[string]int{},
+func newChecker() *checker {
+	return &checker{
+		began: time.Now(), requests: map[string]*record{}, endpoints: map[string]*incarnation{}, faultPeriods: map[string][]span{},
+		arrivals: map[string][]time.Time{}, retries: map[string][]time.Time{}, routes: map[string]*routeLifetime{}, newestRoutes: map[string]newestRoute{}, counts: map[string]int{},
 	}
 }
 
-// violate notes a broken promise. The caller holds mu.
-func (j *judge) violate(rule, format string, args ...any) {
-	const most = 200
-	j.counts["broken: "+rule]++
-	if len(j.violations) < most {
-		j.violations = append(j.violations, fmt.Sprintf("%8.3f %s: %s", time.Since(j.began).Seconds(), rule, fmt.Sprintf(format, args...)))
+// addViolationLocked records a violation of a rule. The caller holds mu.
+func (c *checker) addViolationLocked(rule, format string, args ...any) {
+	const maxViolations = 200
+	c.counts["broken: "+rule]++
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, fmt.Sprintf("%8.3f %s: %s", time.Since(c.began).Seconds(), rule, fmt.Sprintf(format, args...)))
 	}
 }
 
-// Violate notes a broken promise that something else than the judge has seen.
-func (j *judge) Violate(rule, format string, args ...any) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.violate(rule, format, args...)
+// addViolation records a violation that was found outside the checker.
+func (c *checker) addViolation(rule, format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addViolationLocked(rule, format, args...)
 }
 
-// disturb notes that something is disturbed from now on; the function that it returns ends that.
-func (j *judge) disturb(subjects ...string) func() {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// beginFault marks targets as affected by a fault from now on. The function that it returns marks the end of the fault.
+func (c *checker) beginFault(targets ...string) func() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	begin := time.Now()
-	for _, s := range subjects {
-		j.disturbed[s] = append(j.disturbed[s], span{begin: begin})
+	for _, s := range targets {
+		c.faultPeriods[s] = append(c.faultPeriods[s], span{begin: begin})
 	}
 	return sync.OnceFunc(func() {
-		j.mu.Lock()
-		defer j.mu.Unlock()
-		for _, s := range subjects {
-			for i := range j.disturbed[s] {
-				if j.disturbed[s][i].begin.Equal(begin) && j.disturbed[s][i].end.IsZero() {
-					j.disturbed[s][i].end = time.Now()
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		for _, s := range targets {
+			for i := range c.faultPeriods[s] {
+				if c.faultPeriods[s][i].begin.Equal(begin) && c.faultPeriods[s][i].end.IsZero() {
+					c.faultPeriods[s][i].end = time.Now()
 					break
 				}
 			}
@@ -141,11 +142,12 @@
 	})
 }
 
-// calm reports whether none of the subjects was disturbed from inTouch before a time until another. The caller holds mu.
-func (j *judge) calm(from, to time.Time, subjects ...string) bool {
-	for _, s := range subjects {
-		for _, d := range j.disturbed[s] {
-			if d.begin.Before(to) && (d.end.IsZero() || d.end.After(from.Add(-inTouch))) {
+// faultFree reports whether none of the targets was affected by a fault between from and to, nor within recoveryPeriod
+// before from. The caller holds mu.
+func (c *checker) faultFree(from, to time.Time, targets ...string) bool {
+	for _, s := range targets {
+		for _, d := range c.faultPeriods[s] {
+			if d.begin.Before(to) && (d.end.IsZero() || d.end.After(from.Add(-recoveryPeriod))) {
 				return false
 			}
 		}
@@ -153,170 +155,170 @@
 	return true
 }
 
-// sent notes that a client sends a request.
-func (j *judge) sent(r *record) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.requests[r.call.ID] = r
-	j.counts["requests"]++
+// recordSent records that a client sends a request.
+func (c *checker) recordSent(r *record) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requests[r.call.ID] = r
+	c.counts["requests"]++
 }
 
-// left notes that a client gives a request up.
-func (j *judge) left(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.requests[id].leftAt = time.Now()
+// recordCancelled records that a client cancels a request.
+func (c *checker) recordCancelled(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requests[id].cancelledAt = time.Now()
 }
 
-// started notes a new incarnation at a place.
-func (j *judge) started(id, place, service string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.endpoints[id] = &incarnation{place: place, service: service}
+// recordStarted records a new incarnation on a host.
+func (c *checker) recordStarted(id, host, service string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.endpoints[id] = &incarnation{host: host, service: service}
 }
 
-// leaves notes that the store shows an endpoint as leaving.
-func (j *judge) leaves(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.endpoints[id].leavesAt = time.Now()
+// recordLeaving records that the store lists an endpoint as leaving.
+func (c *checker) recordLeaving(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.endpoints[id].leavingSince = time.Now()
 }
 
-// declared notes a configuration that the store has acknowledged.
-func (j *judge) declared(c standin.Config, when time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// recordConfig records a configuration that the store has acknowledged.
+func (c *checker) recordConfig(config standin.Config, when time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	present := map[string]bool{}
-	for _, r := range c.Routes {
+	for _, r := range config.Routes {
 		present[r.Prefix] = true
-		if j.routes[r.Prefix] == nil {
-			j.routes[r.Prefix] = &routeLife{added: when}
+		if c.routes[r.Prefix] == nil {
+			c.routes[r.Prefix] = &routeLifetime{added: when}
 		}
 	}
-	for prefix, life := range j.routes {
-		if !present[prefix] && life.removed.IsZero() {
-			life.removed = when
+	for prefix, lifetime := range c.routes {
+		if !present[prefix] && lifetime.removed.IsZero() {
+			lifetime.removed = when
 		}
 	}
 }
 
 // Arrived implements standin.Observer.
-func (j *judge) Arrived(a standin.Arrival) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.requests[a.RequestID]
+func (c *checker) Arrived(a standin.Arrival) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[a.RequestID]
 	if r == nil {
-		j.violate("asked", "%s got request %q, which no client sent", a.Incarnation, a.RequestID)
+		c.addViolationLocked("asked", "%s got request %q, which no client sent", a.Incarnation, a.RequestID)
 		return
 	}
-	r.reached++
-	j.arrivals[a.Service] = append(j.arrivals[a.Service], a.At)
-	if r.reached > 1 {
-		j.repeats[a.Service] = append(j.repeats[a.Service], a.At)
+	r.arrivals++
+	c.arrivals[a.Service] = append(c.arrivals[a.Service], a.At)
+	if r.arrivals > 1 {
+		c.retries[a.Service] = append(c.retries[a.Service], a.At)
 	}
 	if len(a.Foreign) > 0 {
-		j.violate("asked", "request %s bears %v, which its client set", a.RequestID, a.Foreign)
+		c.addViolationLocked("asked", "request %s carries %v, which its client set", a.RequestID, a.Foreign)
 	}
-	place := j.endpoints[a.Incarnation].place
-	if !r.leftAt.IsZero() && a.At.Sub(r.leftAt) > goneSlack && j.calm(r.sentAt, a.At, r.gateway, place) {
-		j.late++
-		if j.late > lateArrivals {
-			j.violate("left", "request %s reached %s %v after its client had left", a.RequestID, a.Incarnation, a.At.Sub(r.leftAt))
+	host := c.endpoints[a.Incarnation].host
+	if !r.cancelledAt.IsZero() && a.At.Sub(r.cancelledAt) > cancelSlack && c.faultFree(r.sentAt, a.At, r.gateway, host) {
+		c.lateArrivals++
+		if c.lateArrivals > maxLateArrivals {
+			c.addViolationLocked("left", "request %s reached %s %v after its client had cancelled it", a.RequestID, a.Incarnation, a.At.Sub(r.cancelledAt))
 		}
 	}
 }
 
 // Ran implements standin.Observer.
-func (j *judge) Ran(a standin.Arrival) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.requests[a.RequestID]
+func (c *checker) Ran(a standin.Arrival) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[a.RequestID]
 	if r == nil {
 		return
 	}
-	e := j.endpoints[a.Incarnation]
+	e := c.endpoints[a.Incarnation]
 	r.runs = append(r.runs, a.Incarnation)
 	if a.Path != r.call.Path || a.Method != r.call.Method || a.Model != r.call.Model || string(a.Body) != string(r.call.Body) {
-		j.violate("unchanged", "request %s ran as %s %s %s with %d bytes", a.RequestID, a.Method, a.Path, a.Model, len(a.Body))
+		c.addViolationLocked("unchanged", "request %s ran as %s %s %s with %d bytes", a.RequestID, a.Method, a.Path, a.Model, len(a.Body))
 	}
 	if len(r.runs) > 1 && !r.kind.repeatable() {
-		j.violate("once", "request %s ran at %v", a.RequestID, r.runs)
+		c.addViolationLocked("once", "request %s ran at %v", a.RequestID, r.runs)
 	}
 	if standin.NotRun(r.status) {
-		j.violate("not run", "request %s was refused with %d and ran at %s afterwards", a.RequestID, r.status, a.Incarnation)
+		c.addViolationLocked("not run", "request %s was refused with %d and ran at %s afterwards", a.RequestID, r.status, a.Incarnation)
 	}
-	if want := j.serviceOf(r); want != "" && want != e.service {
-		j.violate("route", "request %s for %s ran at %s, an endpoint of %s", a.RequestID, want, a.Incarnation, e.service)
+	if want := c.serviceOf(r); want != "" && want != e.service {
+		c.addViolationLocked("route", "request %s for %s ran at %s, an endpoint of %s", a.RequestID, want, a.Incarnation, e.service)
 	}
-	if !e.leavesAt.IsZero() && r.sentAt.Sub(e.leavesAt) > leaveBound && j.calm(e.leavesAt, a.At, r.gateway, e.place, storeSubject, storeOf(r.gateway)) {
-		j.violate("leaving", "request %s ran at %s, which had been leaving for %v", a.RequestID, a.Incarnation, a.At.Sub(e.leavesAt))
+	if !e.leavingSince.IsZero() && r.sentAt.Sub(e.leavingSince) > maxLeaveDelay && c.faultFree(e.leavingSince, a.At, r.gateway, e.host, storeTarget, storeLinkOf(r.gateway)) {
+		c.addViolationLocked("leaving", "request %s ran at %s, which had been leaving for %v", a.RequestID, a.Incarnation, a.At.Sub(e.leavingSince))
 	}
 }
 
-// serviceOf is the service that a request's route leads to.
-func (j *judge) serviceOf(r *record) string {
+// serviceOf returns the service of a request's route.
+func (c *checker) serviceOf(r *record) string {
 	switch r.kind {
 	case read, probe:
-		return pads
+		return padsService
 	case notice:
-		return ledger
+		return ledgerService
 	}
-	return engines
+	return engineService
 }
 
 // Ended implements standin.Observer.
-func (j *judge) Ended(a standin.Arrival, whole bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *checker) Ended(a standin.Arrival, whole bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if whole {
-		j.counts["answers made"]++
+		c.counts["answers made"]++
 	}
 }
 
 // Ordered implements standin.Observer.
-func (j *judge) Ordered(o standin.OrderSeen) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.counts["orders"]++
+func (c *checker) Ordered(o standin.OrderSeen) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts["orders"]++
 	if o.Overcommits {
-		j.violate("memory", "order %v exceeds what the engine holds", o)
+		c.addViolationLocked("memory", "order %v exceeds the engine's memory", o)
 	}
-	e := j.endpoints[o.Incarnation]
+	e := c.endpoints[o.Incarnation]
 	if e.holder != "" && e.holder != o.Holder {
-		j.violate("one holder", "order %v, and one of %s before", o, e.holder)
+		c.addViolationLocked("one holder", "order %v, after one from holder %s", o, e.holder)
 	}
 	e.holder = o.Holder
 	if !o.FromStore {
 		return
 	}
-	j.counts["loads from the store"]++
-	j.loads = append(j.loads, o.At)
-	window := slices.DeleteFunc(slices.Clone(j.loads), func(t time.Time) bool { return o.At.Sub(t) > ceilingWindow })
-	if most := int(loadsPerSecond*ceilingWindow.Seconds()*ceilingOver) + ceilingExtra; len(window) > most && j.calm(window[0], o.At, storeSubject) {
-		j.violate("store loads", "%d loads began within %v", len(window), ceilingWindow)
+	c.counts["loads from the store"]++
+	c.storeLoads = append(c.storeLoads, o.At)
+	window := slices.DeleteFunc(slices.Clone(c.storeLoads), func(t time.Time) bool { return o.At.Sub(t) > loadWindow })
+	if maxLoads := int(loadsPerSecond*loadWindow.Seconds()*loadTolerance) + extraLoads; len(window) > maxLoads && c.faultFree(window[0], o.At, storeTarget) {
+		c.addViolationLocked("store loads", "%d loads began within %v", len(window), loadWindow)
 	}
 }
 
-// budget checks that repeated sendings stayed within the budget that all gateways share.
-func (j *judge) budget() {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for service, repeats := range j.repeats {
-		for i, first := range repeats {
+// checkRetryBudget checks that the retries to each service stayed within the budget that all gateways share.
+func (c *checker) checkRetryBudget() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for service, retries := range c.retries {
+		for i, first := range retries {
 			n := 0
-			for _, t := range repeats[i:] {
+			for _, t := range retries[i:] {
 				if t.Sub(first) <= retryWindow {
 					n++
 				}
 			}
 			requests := 0
-			for _, t := range j.arrivals[service] {
+			for _, t := range c.arrivals[service] {
 				if t.After(first.Add(-retryWindow)) && t.Before(first.Add(retryWindow)) {
 					requests++
 				}
 			}
-			if allowed := retryShare*float64(requests) + retryExtra; float64(n) > allowed {
-				j.violate("retry budget", "%d repeated sendings to %s within %v, %.0f allowed", n, service, retryWindow, allowed)
+			if allowed := retryRatio*float64(requests) + retryExtra; float64(n) > allowed {
+				c.addViolationLocked("retry budget", "%d retries to %s within %v, %.0f allowed", n, service, retryWindow, allowed)
 				break
 			}
 		}
--- a/soak/main.go
+++ b/soak/main.go
@@ -1,7 +1,8 @@
-// Command soak runs the real programs as separate processes on loopback, between stand-ins of the users' platform, and harms
-// them from outside: by signals, on the network between them, at the store and the endpoints. While the run goes on it checks
-// what callers and endpoints see against what the system promises. The seed decides on the faults and when they come; what the
-// processes make of them is not repeatable to the microsecond, so that a seed that failed once may need several runs.
+// Command soak is a randomized fault test. It runs the real programs as separate processes on loopback, together with
+// stand-ins for the platform's store, operator, weight store and endpoints, and injects faults from outside: signals, network
+// faults between the processes, and misbehaviour of the store and the endpoints. During the run it checks what clients and
+// endpoints observe against the system's guarantees. The seed determines the faults and their timing, but not how the
+// processes are scheduled, so that a failure may take several runs of the same seed to reproduce.
 package main
 
 import (
@@ -25,17 +26,19 @@
 	"balsamsail/platform/standin"
 )
 
-// options are those of one run.
+// options configure one run.
 type options struct {
 	seed    uint64
 	length  time.Duration
 	size    size
 	clients int
-	// root is the directory with the templates of settings, and binary the program; it is built where none is named.
+	// root is the directory that holds the settings templates. binary is the path of the program, which is built if it is
+	// empty.
 	root, binary string
-	// keep is where logs stay; without it they stay only when a run fails, in a directory that the report names.
+	// keep is the directory for logs. If it is empty, logs go to a temporary directory that is kept only when a run fails;
+	// the report names it.
 	keep string
-	// only names the kinds of faults to inject; all where it is empty.
+	// only selects the faults to inject, as in the flag of the same name; all of them if it is empty.
 	only string
 	out  io.Writer
 }
@@ -63,7 +66,7 @@
 	}
 }
 
-// run makes one run and returns how many promises were broken.
+// run makes one run and returns the number of violations.
 func run(o options) (int, error) {
 	dir, err := workDir(o.keep)
 	if err != nil {
@@ -75,8 +78,8 @@
 			return 0, err
 		}
 	}
-	j := newJudge()
-	s, err := newSite(o.seed, o.size, dir, o.root, o.binary, j)
+	c := newChecker()
+	s, err := newSite(o.seed, o.size, dir, o.root, o.binary, c)
 	if err != nil {
 		return 0, err
 	}
@@ -89,8 +92,8 @@
 		return 0, errors.WithStack(err)
 	}
 	defer func() { _ = log.Close() }()
-	s.play(o, log)
-	violations := j.report(o, dir)
+	s.runWorkload(o, log)
+	violations := c.report(o, dir)
 	if violations == 0 && o.keep == "" {
 		_ = os.RemoveAll(dir)
 	}
@@ -106,17 +109,17 @@
 }
 
 const (
-	// upWithin is the time within which the site serves after its start, and recoverWithin the one after the last fault.
-	upWithin      = 10 * time.Second
-	recoverWithin = 12 * time.Second
-	// showRecovery is how long the recovered site is watched.
-	showRecovery = 2 * time.Second
+	// readyTimeout is how long the gateways may take to become ready after the start, recoveryTimeout after the last fault.
+	readyTimeout    = 10 * time.Second
+	recoveryTimeout = 12 * time.Second
+	// recoveryWatch is how long the share of served requests is measured after the recovery.
+	recoveryWatch = 2 * time.Second
 )
 
-// play sends requests and injects faults for the length of a run, and then lets the site recover.
-func (s *site) play(o options, log io.Writer) {
-	if !s.awaitReady(upWithin) {
-		s.judge.Violate("start", "not all gateways were ready within %v", upWithin)
+// runWorkload sends requests and injects faults for the length of a run, and then checks that the site recovers.
+func (s *site) runWorkload(o options, log io.Writer) {
+	if !s.awaitReady(readyTimeout) {
+		s.checker.addViolation("start", "not all gateways were ready within %v", readyTimeout)
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -127,21 +130,21 @@
 		}
 	}
 	clients.Go(func() { probeRoutes(ctx, s) })
-	watched, stopWatching := context.WithCancel(context.Background())
-	var watching sync.WaitGroup
-	watching.Go(func() { s.watchProcesses(watched) })
-	s.inject(plan(o.seed, o.length, chosen(o.only)), o.length, log)
+	watchCtx, stopWatching := context.WithCancel(context.Background())
+	var watchers sync.WaitGroup
+	watchers.Go(func() { s.watchProcesses(watchCtx) })
+	s.inject(plan(o.seed, o.length, selectFaults(o.only)), o.length, log)
 	s.checkRecovery()
 	s.checkResources()
 	stop()
 	clients.Wait()
 	stopWatching()
-	watching.Wait()
-	s.judge.budget()
+	watchers.Wait()
+	s.checker.checkRetryBudget()
 }
 
-// chosen are the faults whose names contain one of the texts.
-func chosen(only string) []fault {
+// selectFaults returns the faults whose names contain one of the comma-separated texts.
+func selectFaults(only string) []fault {
 	if only == "" {
 		return faults
 	}
@@ -150,72 +153,72 @@
 	})
 }
 
-// inject carries out a plan and ends all faults after the given time.
+// inject executes a plan and clears all faults at its end.
 func (s *site) inject(events []event, length time.Duration, log io.Writer) {
 	began := time.Now()
-	var lasting sync.WaitGroup
+	var active sync.WaitGroup
 	for _, e := range events {
 		time.Sleep(time.Until(began.Add(e.at)))
-		fmt.Fprintf(log, "%8.3f %s, for %v, pick %d\n", time.Since(s.judge.began).Seconds(), e.fault.name, e.lasts.Round(ms), e.pick%60)
-		s.judge.injected(e.fault.name)
-		if end := e.fault.run(s, e.pick, e.lasts); end != nil {
-			lasting.Go(func() {
-				time.Sleep(e.lasts)
+		fmt.Fprintf(log, "%8.3f %s, for %v, pick %d\n", time.Since(s.checker.began).Seconds(), e.fault.name, e.duration.Round(ms), e.pick%60)
+		s.checker.recordFault(e.fault.name)
+		if end := e.fault.run(s, e.pick, e.duration); end != nil {
+			active.Go(func() {
+				time.Sleep(e.duration)
 				end()
-				fmt.Fprintf(log, "%8.3f end of: %s\n", time.Since(s.judge.began).Seconds(), e.fault.name)
+				fmt.Fprintf(log, "%8.3f end of: %s\n", time.Since(s.checker.began).Seconds(), e.fault.name)
 			})
 		}
 	}
 	time.Sleep(time.Until(began.Add(length)))
-	lasting.Wait()
+	active.Wait()
 	s.healAll()
 }
 
-// healAll ends what overlapping faults may have left behind.
+// healAll clears what overlapping faults may have left behind.
 func (s *site) healAll() {
 	s.store.SetFaults(func(f *standin.StoreFaults) { *f = standin.StoreFaults{} })
 	for _, h := range s.hosts() {
 		h.process.Signal(syscall.SIGCONT)
 		for _, l := range h.links {
 			if err := l.Heal(); err != nil {
-				s.judge.Violate("soak itself", "%s: a link does not heal: %v", h.name, err)
+				s.checker.addViolation("soak itself", "%s: heal a link: %v", h.name, err)
 			}
 		}
 	}
-	for _, p := range s.places {
+	for _, p := range s.endpoints {
 		if err := p.link.Heal(); err != nil {
-			s.judge.Violate("soak itself", "%s: a link does not heal: %v", p.name, err)
+			s.checker.addViolation("soak itself", "%s: heal a link: %v", p.name, err)
 		}
-		s.startIfGone(p, p.service)
+		s.startIfStopped(p, p.service)
 	}
 }
 
-// checkRecovery checks that all is well again soon after the last fault: each gateway is ready, and nearly everything is
-// served.
+// checkRecovery checks that the site recovers after the last fault: each gateway is ready, and at least minServedShare of
+// the requests succeed.
 func (s *site) checkRecovery() {
-	if !s.awaitReady(recoverWithin) {
-		s.judge.Violate("recovery", "not all gateways were ready %v after the last fault", recoverWithin)
+	if !s.awaitReady(recoveryTimeout) {
+		s.checker.addViolation("recovery", "not all gateways were ready %v after the last fault", recoveryTimeout)
 	}
-	time.Sleep(recoverWithin / 2)
-	before := s.judge.snapshot()
-	time.Sleep(showRecovery)
-	after := s.judge.snapshot()
+	time.Sleep(recoveryTimeout / 2)
+	before := s.checker.snapshot()
+	time.Sleep(recoveryWatch)
+	after := s.checker.snapshot()
 	ended, served := 0, after["ended: 200"]-before["ended: 200"]
 	for name, n := range after {
 		if strings.HasPrefix(name, "ended: ") && name != "ended: left by the client" {
 			ended += n - before[name]
 		}
 	}
-	const mostOf = 0.6
-	if ended == 0 || float64(served) < mostOf*float64(ended) {
-		s.judge.Violate("recovery", "%d of %d requests were served in %v, %v after the last fault", served, ended, showRecovery, recoverWithin/2)
+	const minServedShare = 0.6
+	if ended == 0 || float64(served) < minServedShare*float64(ended) {
+		s.checker.addViolation("recovery", "%d of %d requests were served in %v, %v after the last fault", served, ended, recoveryWatch, recoveryTimeout/2)
 	}
 }
 
 // awaitReady waits until all gateways are ready.
-func (s *site) awaitReady(patience time.Duration) bool {
+func (s *site) awaitReady(timeout time.Duration) bool {
 	const poll = 50 * time.Millisecond
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	for {
 		ready := 0
 		for _, h := range s.gateways {
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// event is one fault of a run.
+// event is one scheduled fault.
 type event struct {
-	at    time.Duration
-	lasts time.Duration
-	fault fault
-	// pick chooses what the fault befalls, where it befalls one of several.
+	at       time.Duration
+	duration time.Duration
+	fault    fault
+	// pick is a random number that selects the fault's target among several.
 	pick uint64
 }
 
 // fault is a kind of fault.
 type fault struct {
 	name string
-	// weight is how often it comes against others; shortest and longest bound how long it lasts.
-	weight            int
-	shortest, longest time.Duration
-	// run injects the fault and returns what ends it; nil where it ends by itself.
-	run func(s *site, pick uint64, lasts time.Duration) (end func())
+	// weight is how often the fault is picked relative to the others. minDuration and maxDuration bound how long it lasts.
+	weight                   int
+	minDuration, maxDuration time.Duration
+	// run injects the fault and returns the function that ends it; nil if it ends by itself.
+	run func(s *site, pick uint64, duration time.Duration) (end func())
 }
 
 const (
 	// meanGap is the mean time between two faults.
 	meanGap = 900 * time.Millisecond
-	// series is the share of faults that come again at once, and repeatWithin how soon.
-	series       = 0.2
+	// repeatShare is the share of faults that are injected a second time, within repeatWithin of the first.
+	repeatShare  = 0.2
 	repeatWithin = 1500 * time.Millisecond
-	// quietBegin and quietEnd are left without new faults: the site must come up, and show that it recovers.
-	quietBegin = 3 * time.Second
+	// quietStart and quietEnd are the parts of the run without new faults, so that the site can start up and recover.
+	quietStart = 3 * time.Second
 	quietEnd   = 2 * time.Second
 )
 
-// plan draws the faults of a run from its seed. Faults come at any moment, overlap, and some come twice in a row.
+// plan returns the schedule of faults for a seed. Faults may overlap, and some are repeated shortly after.
 func plan(seed uint64, length time.Duration, kinds []fault) []event {
 	random := rand.New(rand.NewPCG(seed, 3))
 	if len(kinds) == 0 {
@@ -47,12 +47,12 @@
 		total += k.weight
 	}
 	var events []event
-	for at := quietBegin; at < length-quietEnd; at += time.Duration(random.ExpFloat64() * float64(meanGap)) {
-		e := event{at: at, fault: draw(random, kinds, total), pick: random.Uint64()}
-		e.lasts = e.fault.shortest + time.Duration(random.Float64()*float64(e.fault.longest-e.fault.shortest))
-		e.lasts = min(e.lasts, length-at)
+	for at := quietStart; at < length-quietEnd; at += time.Duration(random.ExpFloat64() * float64(meanGap)) {
+		e := event{at: at, fault: pickFault(random, kinds, total), pick: random.Uint64()}
+		e.duration = e.fault.minDuration + time.Duration(random.Float64()*float64(e.fault.maxDuration-e.fault.minDuration))
+		e.duration = min(e.duration, length-at)
 		events = append(events, e)
-		if random.Float64() < series {
+		if random.Float64() < repeatShare {
 			e.at += time.Duration(random.Float64() * float64(repeatWithin))
 			events = append(events, e)
 		}
@@ -61,7 +61,7 @@
 	return events
 }
 
-func draw(random *rand.Rand, kinds []fault, total int) fault {
+func pickFault(random *rand.Rand, kinds []fault, total int) fault {
 	at := random.IntN(total)
 	for _, k := range kinds {
 		if at -= k.weight; at < 0 {
--- a/soak/report.go
+++ b/soak/report.go
@@ -6,45 +6,45 @@
 	"slices"
 )
 
-// injected counts a fault.
-func (j *judge) injected(name string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.counts["fault: "+name]++
+// recordFault counts an injected fault.
+func (c *checker) recordFault(name string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts["fault: "+name]++
 }
 
-// uses notes what processes of a role use.
-func (j *judge) uses(r resources) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.used = append(j.used, r)
+// recordUsage records the peak resource usage of the processes of a role.
+func (c *checker) recordUsage(r resources) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.usage = append(c.usage, r)
 }
 
-// snapshot returns the counts so far.
-func (j *judge) snapshot() map[string]int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return maps.Clone(j.counts)
+// snapshot returns a copy of the counts.
+func (c *checker) snapshot() map[string]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.counts)
 }
 
-// report writes what was counted and which promises were broken, and returns how many.
-func (j *judge) report(o options, dir string) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// report writes the counts, the resource usage and the violations, and returns the number of violations.
+func (c *checker) report(o options, dir string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	fmt.Fprintf(o.out, "seed %d for %v: %d gateways, %d engines, %d endpoints of services\n", o.seed, o.length, o.size.gateways, o.size.engines, o.size.services)
-	for _, name := range slices.Sorted(maps.Keys(j.counts)) {
-		fmt.Fprintf(o.out, "  %6d %s\n", j.counts[name], name)
+	for _, name := range slices.Sorted(maps.Keys(c.counts)) {
+		fmt.Fprintf(o.out, "  %6d %s\n", c.counts[name], name)
 	}
-	for _, u := range j.used {
-		fmt.Fprintf(o.out, "  the most that a process uses, %s: %.1f %% of a core, %.0f MB, %.0f descriptors\n", u.role, 100*u.processor, u.memory, u.descriptors)
+	for _, u := range c.usage {
+		fmt.Fprintf(o.out, "  the most that a process uses, %s: %.1f %% of a core, %.0f MB, %.0f descriptors\n", u.role, 100*u.cpu, u.memory, u.descriptors)
 	}
 	broken := 0
-	for name, n := range j.counts {
+	for name, n := range c.counts {
 		if len(name) > len("broken: ") && name[:len("broken: ")] == "broken: " {
 			broken += n
 		}
 	}
-	for _, v := range j.violations {
+	for _, v := range c.violations {
 		fmt.Fprintln(o.out, "BROKEN", v)
 	}
 	if broken > 0 {
--- a/soak/resources.go
+++ b/soak/resources.go
@@ -9,43 +9,44 @@
 	"time"
 )
 
-// resources are what processes of one role use at the end of a run.
+// resources is the resource usage of the processes of one role at the end of a run.
 type resources struct {
 	role string
-	// processor is in shares of a core since the process's start, memory in MB.
-	processor, memory, descriptors float64
+	// cpu is the average number of cores used since the process's start. memory is in MB. descriptors is the number of open
+	// file descriptors.
+	cpu, memory, descriptors float64
 }
 
-// most takes the larger of each figure.
-func (r *resources) most(o resources) {
-	r.processor, r.memory, r.descriptors = max(r.processor, o.processor), max(r.memory, o.memory), max(r.descriptors, o.descriptors)
+// takeMax sets each value to the larger of the two.
+func (r *resources) takeMax(o resources) {
+	r.cpu, r.memory, r.descriptors = max(r.cpu, o.cpu), max(r.memory, o.memory), max(r.descriptors, o.descriptors)
 }
 
-// The bounds of the smallest hosts that the programs run on.
+// The limits of the smallest hosts that the programs run on.
 const (
-	mostMemoryMB    = 184
-	mostDescriptors = 3900
+	maxMemoryMB    = 184
+	maxDescriptors = 3900
 )
 
-// checkResources asks each process what it uses, and counts one that would not fit its host as a broken promise.
+// checkResources reads the resource usage of each process and reports those that exceed the limits.
 func (s *site) checkResources() {
 	for _, group := range []struct {
 		role  string
 		hosts []*host
 	}{{"gateway", s.gateways}, {"agent", s.agents}} {
-		most := resources{role: group.role}
+		peak := resources{role: group.role}
 		for _, h := range group.hosts {
 			used, err := s.resourcesOf(h)
 			if err != nil {
-				s.judge.Violate("metrics", "%s tells nothing of itself: %v", h.name, err)
+				s.checker.addViolation("metrics", "%s: read metrics: %v", h.name, err)
 				continue
 			}
-			if used.memory > mostMemoryMB || used.descriptors > mostDescriptors {
-				s.judge.Violate("resources", "%s uses %.0f MB and %.0f descriptors", h.name, used.memory, used.descriptors)
+			if used.memory > maxMemoryMB || used.descriptors > maxDescriptors {
+				s.checker.addViolation("resources", "%s uses %.0f MB and %.0f descriptors", h.name, used.memory, used.descriptors)
 			}
-			most.most(used)
+			peak.takeMax(used)
 		}
-		s.judge.uses(most)
+		s.checker.recordUsage(peak)
 	}
 }
 
@@ -65,12 +66,12 @@
 			values[name] = value
 		}
 	}
-	lived := float64(time.Now().UnixMilli())/1000 - values["process_start_time_seconds"]
-	if values["process_resident_memory_bytes"] == 0 || lived <= 0 {
-		return resources{}, fmt.Errorf("no figures of the process among %d", len(values))
+	age := float64(time.Now().UnixMilli())/1000 - values["process_start_time_seconds"]
+	if values["process_resident_memory_bytes"] == 0 || age <= 0 {
+		return resources{}, fmt.Errorf("no process metrics among %d values", len(values))
 	}
 	return resources{
-		processor: values["process_cpu_seconds_total"] / lived, memory: values["process_resident_memory_bytes"] / (1 << 20),
+		cpu: values["process_cpu_seconds_total"] / age, memory: values["process_resident_memory_bytes"] / (1 << 20),
 		descriptors: values["process_open_fds"],
 	}, lines.Err()
 }
--- a/soak/site.go
+++ b/soak/site.go
@@ -19,74 +19,74 @@
 
 // Ports are the same on all hosts; each host has a loopback address of its own.
 const (
-	portClients   = 18149
-	portReadiness = 18141
-	portEndpoint  = 18145
-	portAgent     = 18380
-	portPeers     = 18395
-	portStore     = 18142
-	portMetrics   = 9464
-	portAgentInfo = 9465
+	portClients      = 18149
+	portReadiness    = 18141
+	portEndpoint     = 18145
+	portAgent        = 18380
+	portPeers        = 18395
+	portStore        = 18142
+	portMetrics      = 9464
+	portAgentMetrics = 9465
 )
 
-// The figures of the site, scaled down so that a run of a minute sees many loads.
+// The parameters of the site. Times and sizes are scaled down so that a run of a minute sees many model loads.
 const (
-	grace          = 8 * time.Second
-	heartbeat      = 600 * time.Millisecond
-	storeLoad      = 1200 * time.Millisecond
-	diskLoad       = 400 * time.Millisecond
-	memoryLoad     = 150 * time.Millisecond
-	adapterLoad    = 20 * time.Millisecond
-	modelMB        = 100
-	adapterMB      = 1
-	engineMB       = 250
-	adapterPlaces  = 4
-	loadsPerSecond = 2.5
-	fullSpeedLoads = 2
-	engineSlots    = 16
-	serviceSlots   = 8
-	plainWork      = 20 * time.Millisecond
-	eventPause     = 25 * time.Millisecond
-	retryShare     = 0.2
-	retryExtra     = 10
-	retryWindow    = 10 * time.Second
+	grace           = 8 * time.Second
+	heartbeat       = 600 * time.Millisecond
+	storeLoadTime   = 1200 * time.Millisecond
+	diskLoadTime    = 400 * time.Millisecond
+	memoryLoadTime  = 150 * time.Millisecond
+	adapterLoadTime = 20 * time.Millisecond
+	modelMB         = 100
+	adapterMB       = 1
+	engineMB        = 250
+	adapterCapacity = 4
+	loadsPerSecond  = 2.5
+	fullSpeedLoads  = 2
+	engineSlots     = 16
+	serviceSlots    = 8
+	serviceTime     = 20 * time.Millisecond
+	eventInterval   = 25 * time.Millisecond
+	retryRatio      = 0.2
+	retryExtra      = 10
+	retryWindow     = 10 * time.Second
 )
 
 // The names of the site's services and its host name for clients.
 const (
-	engines  = "advisory"
-	ledger   = "ledger"
-	pads     = "pads"
-	siteHost = "site.soak"
+	engineService = "advisory"
+	ledgerService = "ledger"
+	padsService   = "pads"
+	siteHost      = "site.soak"
 )
 
-// size is how many hosts of each kind a site has.
+// size is the number of hosts of each kind in a site, and of models.
 type size struct{ gateways, engines, services, models int }
 
-// host is one host with a program of ours: a gateway, or the agent beside an engine.
+// host is a host that runs one of the programs under test: a gateway, or the agent of an engine.
 type host struct {
 	name    string
 	process *childprocess.Process
-	// readiness and metrics are the addresses at which the process tells about itself.
+	// readiness and metrics are the addresses of the process's readiness check and metrics.
 	readiness, metrics string
-	// links are the network paths that lead to or from this host, all of which a fault may spoil.
+	// links are the proxied network paths to and from this host.
 	links []*faultlink.Link
-	// clients is where a gateway takes clients' requests.
-	clients string
+	// frontend is the address on which a gateway accepts clients' requests.
+	frontend string
 }
 
-// place is a host on which an endpoint runs, one incarnation after another.
-type place struct {
+// endpointHost is a host on which one incarnation of an endpoint runs after another.
+type endpointHost struct {
 	name   string
 	listen string
-	// listed is the address under which gateways reach the endpoint, and link the path behind it.
+	// listed is the registered address of the endpoint; link proxies it to listen.
 	listed string
 	link   *faultlink.Link
-	// service is what runs there at first.
+	// service is the service to which the endpoint belongs, except while a fault reuses its address for another one.
 	service string
 	agent   *host
-	// number counts the places from 0.
-	number int
+	// index is the position in site.endpoints.
+	index int
 
 	mu       sync.Mutex
 	endpoint *standin.Endpoint
@@ -96,25 +96,25 @@
 
 // site is the whole system with its stand-ins.
 type site struct {
-	seed     uint64
-	block    int
-	dir      string
-	store    *standin.Store
-	server   *http.Server
-	operator *standin.Operator
-	weights  *standin.WeightStore
-	judge    *judge
-	gateways []*host
-	agents   []*host
-	places   []*place
-	models   []string
+	seed      uint64
+	octet     int
+	dir       string
+	store     *standin.Store
+	server    *http.Server
+	operator  *standin.Operator
+	weights   *standin.WeightStore
+	checker   *checker
+	gateways  []*host
+	agents    []*host
+	endpoints []*endpointHost
+	models    []string
 
-	mu    sync.Mutex
-	lives map[string]*life
+	mu     sync.Mutex
+	states map[string]*processState
 }
 
-// ip is a loopback address; hosts on which programs listen have other ones than the paths that lead to them.
-func (s *site) ip(kind, n int) string { return fmt.Sprintf("127.%d.%d.%d", s.block, kind, n+1) }
+// ip returns a loopback address. Links listen on addresses of their own, apart from the hosts that they lead to.
+func (s *site) ip(kind, n int) string { return fmt.Sprintf("127.%d.%d.%d", s.octet, kind, n+1) }
 
 // The kinds of addresses.
 const (
@@ -125,19 +125,20 @@
 	ipStorePath
 )
 
-func at(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
+func hostPort(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
 
-// newSite makes the stand-ins and describes the processes; nothing runs yet. Templates are read below root.
-func newSite(seed uint64, sz size, dir, root, binary string, j *judge) (*site, error) {
+// newSite creates the stand-ins, the links and the processes' settings, and starts only the store and the links. Settings
+// templates are read from root.
+func newSite(seed uint64, sz size, dir, root, binary string, c *checker) (*site, error) {
 	s := &site{
-		seed: seed, block: 20 + int(seed%200), dir: dir, store: standin.NewStore(), judge: j, lives: map[string]*life{},
+		seed: seed, octet: 20 + int(seed%200), dir: dir, store: standin.NewStore(), checker: c, states: map[string]*processState{},
 		weights: &standin.WeightStore{FullSpeed: fullSpeedLoads},
 	}
 	s.operator = standin.NewOperator(s.store)
 	for i := range sz.models {
 		s.models = append(s.models, fmt.Sprintf("model-%d", i+1))
 	}
-	listener, err := net.Listen("tcp", at(s.ip(ipStore, 0), portStore))
+	listener, err := net.Listen("tcp", hostPort(s.ip(ipStore, 0), portStore))
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
@@ -149,7 +150,7 @@
 		}
 	}
 	for i := range sz.engines + sz.services {
-		if err := s.addPlace(i, sz, root, binary); err != nil {
+		if err := s.addEndpointHost(i, sz, root, binary); err != nil {
 			return nil, err
 		}
 	}
@@ -158,28 +159,28 @@
 
 func (s *site) addGateway(i int, root, binary string) error {
 	name, ip := fmt.Sprintf("gateway-%d", i+1), s.ip(ipGateway, i)
-	path, err := faultlink.New(at(s.ip(ipStorePath, i), portStore), at(s.ip(ipStore, 0), portStore))
+	path, err := faultlink.New(hostPort(s.ip(ipStorePath, i), portStore), hostPort(s.ip(ipStore, 0), portStore))
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	h := &host{
-		name: name, clients: at(ip, portClients), readiness: at(ip, portReadiness), metrics: at(ip, portMetrics),
+		name: name, frontend: hostPort(ip, portClients), readiness: hostPort(ip, portReadiness), metrics: hostPort(ip, portMetrics),
 		links: []*faultlink.Link{path},
 	}
-	err = s.describe(h, root, binary, "gateway", map[string]string{
-		"node_name": name, "zone": domain(i), "ip": ip, "listen.frontend": h.clients, "listen.readiness": h.readiness,
+	err = s.configureProcess(h, root, binary, "gateway", map[string]string{
+		"node_name": name, "zone": failureDomain(i), "ip": ip, "listen.frontend": h.frontend, "listen.readiness": h.readiness,
 		"platform.address": path.Address(), "internal_ports.0": fmt.Sprint(portAgent), "internal_ports.1": fmt.Sprint(portPeers),
-		"bounds.retry_budget_ratio": fmt.Sprint(retryShare), "bounds.budget_extra_retries": fmt.Sprint(retryExtra),
+		"bounds.retry_budget_ratio": fmt.Sprint(retryRatio), "bounds.budget_extra_retries": fmt.Sprint(retryExtra),
 		"bounds.budget_window_s": fmt.Sprint(retryWindow.Seconds()), "bounds.grace_s": fmt.Sprint(grace.Seconds()),
 	})
 	s.gateways = append(s.gateways, h)
 	return err
 }
 
-func domain(i int) string { return fmt.Sprintf("domain-%d", i%2+1) }
+func failureDomain(i int) string { return fmt.Sprintf("domain-%d", i%2+1) }
 
-// describe writes a process's settings and says how it is started.
-func (s *site) describe(h *host, root, binary, role string, values map[string]string) error {
+// configureProcess writes a process's settings file and sets its command line.
+func (s *site) configureProcess(h *host, root, binary, role string, values map[string]string) error {
 	file := filepath.Join(s.dir, h.name+".ini")
 	if err := standin.FillTemplate(filepath.Join(root, "platform", role+".ini"), file, values); err != nil {
 		return err
@@ -190,44 +191,44 @@
 	return nil
 }
 
-func (s *site) addPlace(i int, sz size, root, binary string) error {
-	p := &place{number: i, listen: at(s.ip(ipEndpoint, i), portEndpoint), listed: at(s.ip(ipEndpointListed, i), portEndpoint), disk: map[string]bool{}}
+func (s *site) addEndpointHost(i int, sz size, root, binary string) error {
+	p := &endpointHost{index: i, listen: hostPort(s.ip(ipEndpoint, i), portEndpoint), listed: hostPort(s.ip(ipEndpointListed, i), portEndpoint), disk: map[string]bool{}}
 	link, err := faultlink.New(p.listed, p.listen)
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	p.link = link
-	s.places = append(s.places, p)
+	s.endpoints = append(s.endpoints, p)
 	if i >= sz.engines {
-		p.service = []string{ledger, pads}[i%2]
+		p.service = []string{ledgerService, padsService}[i%2]
 		p.name = fmt.Sprintf("service-%d", i+1-sz.engines)
 		return nil
 	}
-	p.service, p.name = engines, fmt.Sprintf("engine-%d", i+1)
+	p.service, p.name = engineService, fmt.Sprintf("engine-%d", i+1)
 	ip := s.ip(ipEndpoint, i)
-	path, err := faultlink.New(at(s.ip(ipEndpointListed, i), portAgent), at(ip, portAgent))
+	path, err := faultlink.New(hostPort(s.ip(ipEndpointListed, i), portAgent), hostPort(ip, portAgent))
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	p.agent = &host{name: fmt.Sprintf("agent-%d", i+1), metrics: at(ip, portAgentInfo), links: []*faultlink.Link{path}}
+	p.agent = &host{name: fmt.Sprintf("agent-%d", i+1), metrics: hostPort(ip, portAgentMetrics), links: []*faultlink.Link{path}}
 	s.agents = append(s.agents, p.agent)
-	return s.describe(p.agent, root, binary, "engine-agent", map[string]string{
-		"node_name": p.agent.name, "zone": domain(i), "ip": ip, "app": p.listen,
+	return s.configureProcess(p.agent, root, binary, "engine-agent", map[string]string{
+		"node_name": p.agent.name, "zone": failureDomain(i), "ip": ip, "app": p.listen,
 		"internal_ports.0": fmt.Sprint(portAgent), "internal_ports.1": fmt.Sprint(portPeers),
 	})
 }
 
-// startEndpoint starts the next incarnation at a place, of another service where one is named.
-func (s *site) startEndpoint(p *place, service string) error {
+// startEndpoint starts the next incarnation on a host as an endpoint of the given service.
+func (s *site) startEndpoint(p *endpointHost, service string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.starts++
 	o := standin.EndpointOptions{
-		Listen: p.listen, Listed: p.listed, Service: service, FailureDomain: domain(len(p.name)), Heartbeat: heartbeat,
-		Work: plainWork, Pause: eventPause, Slots: serviceSlots, Store: s.store, Observer: s.judge,
-		Seed: s.seed<<20 + uint64(p.number)<<10 + p.starts,
+		Listen: p.listen, Listed: p.listed, Service: service, FailureDomain: failureDomain(len(p.name)), Heartbeat: heartbeat,
+		Work: serviceTime, Pause: eventInterval, Slots: serviceSlots, Store: s.store, Observer: s.checker,
+		Seed: s.seed<<20 + uint64(p.index)<<10 + p.starts,
 	}
-	if service == engines {
+	if service == engineService {
 		o.Slots = engineSlots
 		o.Engine = s.engineOptions(p)
 	}
@@ -235,27 +236,27 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	s.judge.started(e.ID, p.name, service)
+	s.checker.recordStarted(e.ID, p.name, service)
 	p.endpoint = e
 	return nil
 }
 
-// engineOptions are those of the next incarnation of an engine. The first one holds a model, a later one starts empty with
-// the copies on its disk.
-func (s *site) engineOptions(p *place) *standin.EngineOptions {
+// engineOptions returns the options of an engine's next incarnation. The first one has a model loaded; later ones start with
+// empty memory and the checkpoints on the host's disk.
+func (s *site) engineOptions(p *endpointHost) *standin.EngineOptions {
 	o := &standin.EngineOptions{
-		MemoryMB: engineMB, ModelMB: modelMB, AdapterMB: adapterMB, AdapterPlaces: adapterPlaces,
-		StoreTime: storeLoad, DiskTime: diskLoad, MemoryTime: memoryLoad, AdapterTime: adapterLoad, Weights: s.weights,
+		MemoryMB: engineMB, ModelMB: modelMB, AdapterMB: adapterMB, AdapterPlaces: adapterCapacity,
+		StoreTime: storeLoadTime, DiskTime: diskLoadTime, MemoryTime: memoryLoadTime, AdapterTime: adapterLoadTime, Weights: s.weights,
 	}
 	if p.starts == 1 {
-		o.Holds = []string{s.models[p.number%len(s.models)]}
+		o.Holds = []string{s.models[p.index%len(s.models)]}
 	}
 	o.Disk = slices.Sorted(maps.Keys(p.disk))
 	return o
 }
 
-// crash ends the incarnation at a place without a word, or with its registration.
-func (p *place) crash(unregister bool) {
+// stopEndpoint stops the incarnation on a host; its registration is removed or stays, as in a crash.
+func (p *endpointHost) stopEndpoint(unregister bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.endpoint == nil {
@@ -266,8 +267,8 @@
 	p.endpoint = nil
 }
 
-// with calls f with the endpoint at a place, if there is one.
-func (p *place) with(f func(*standin.Endpoint)) {
+// withEndpoint calls f with the endpoint on a host, if one is running.
+func (p *endpointHost) withEndpoint(f func(*standin.Endpoint)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.endpoint != nil {
@@ -275,14 +276,14 @@
 	}
 }
 
-// start starts everything.
+// start starts the endpoints, writes the initial configuration and starts the processes under test.
 func (s *site) start() error {
-	for _, p := range s.places {
+	for _, p := range s.endpoints {
 		if err := s.startEndpoint(p, p.service); err != nil {
 			return err
 		}
 	}
-	s.declareFirst()
+	s.declareInitialConfig()
 	for _, h := range s.hosts() {
 		if err := h.process.Start(); err != nil {
 			return err
@@ -291,16 +292,16 @@
 	return nil
 }
 
-// hosts are all hosts with programs of ours.
+// hosts returns all hosts that run programs under test.
 func (s *site) hosts() []*host { return append(append([]*host(nil), s.gateways...), s.agents...) }
 
-// stop ends everything that the run started.
+// stop stops everything that the run has started.
 func (s *site) stop() {
 	for _, h := range s.hosts() {
 		h.process.Kill()
 	}
-	for _, p := range s.places {
-		p.crash(false)
+	for _, p := range s.endpoints {
+		p.stopEndpoint(false)
 		p.link.Close()
 	}
 	for _, h := range s.hosts() {
@@ -311,7 +312,7 @@
 	_ = s.server.Close()
 }
 
-// The prefixes of the routes that are always there.
+// The prefixes of the routes that exist for the whole run.
 const (
 	prefixRead   = "/read/"
 	prefixNotice = "/notice/"
@@ -319,28 +320,28 @@
 	prefixOnce   = "/once/"
 )
 
-func (s *site) declareFirst() {
+func (s *site) declareInitialConfig() {
 	route := func(prefix, kind, service string) standin.Route {
 		return standin.Route{
-			Name: "r" + prefix, Host: siteHost, Prefix: prefix, Type: kind, TimeoutMS: int(longestPatience.Milliseconds()),
+			Name: "r" + prefix, Host: siteHost, Prefix: prefix, Type: kind, TimeoutMS: int(maxTimeout.Milliseconds()),
 			TargetLatencyMS: 500, Service: service, MaxAttempts: 2,
 		}
 	}
-	chat, once := route(prefixChat, standin.RouteStreaming, engines), route(prefixOnce, standin.RouteStreaming, engines)
+	chat, once := route(prefixChat, standin.RouteStreaming, engineService), route(prefixOnce, standin.RouteStreaming, engineService)
 	chat.Resumable, chat.TargetGapMS, once.TargetGapMS, once.Priority = true, 300, 300, 1
-	class := &standin.EngineClass{Slots: engineSlots, WeightsMB: engineMB, AdapterCapacity: adapterPlaces, LoadsPerS: loadsPerSecond}
+	class := &standin.EngineClass{Slots: engineSlots, WeightsMB: engineMB, AdapterCapacity: adapterCapacity, LoadsPerS: loadsPerSecond}
 	for _, m := range s.models {
 		class.Models = append(class.Models, standin.Model{
-			Name: m, WeightsMB: modelMB, LoadTimeS: storeLoad.Seconds(), WarmS: memoryLoad.Seconds(), DiskLoadS: diskLoad.Seconds(),
+			Name: m, WeightsMB: modelMB, LoadTimeS: storeLoadTime.Seconds(), WarmS: memoryLoadTime.Seconds(), DiskLoadS: diskLoadTime.Seconds(),
 			Adapters: 3, AdapterMB: adapterMB,
 		})
 	}
 	config, when, ok := s.operator.Change(func(c *standin.Config) {
 		c.Limits = standin.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20, HeaderTimeoutMS: 5000, IdleTimeoutMS: 30000}
-		c.Services = []standin.Service{{Name: engines, MaxConnections: 500, Engine: class}, {Name: ledger, MaxConnections: 500}, {Name: pads, MaxConnections: 500}}
-		c.Routes = []standin.Route{route(prefixRead, standin.RouteSafe, pads), route(prefixNotice, standin.RouteUnsafe, ledger), chat, once}
+		c.Services = []standin.Service{{Name: engineService, MaxConnections: 500, Engine: class}, {Name: ledgerService, MaxConnections: 500}, {Name: padsService, MaxConnections: 500}}
+		c.Routes = []standin.Route{route(prefixRead, standin.RouteSafe, padsService), route(prefixNotice, standin.RouteUnsafe, ledgerService), chat, once}
 	})
 	if ok {
-		s.judge.declared(config, when)
+		s.checker.recordConfig(config, when)
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -10,28 +10,28 @@
 	"balsamsail/internal/childprocess"
 )
 
-// A seed always draws the same faults, all of them while the run lasts.
+// The same seed must always give the same plan, and all faults must lie within the run.
 func TestPlanFollowsItsSeed(t *testing.T) {
 	const length = time.Minute
 	names := func(events []event) (list []string) {
 		for _, e := range events {
 			list = append(list, e.fault.name)
-			if e.at < quietBegin || e.at+e.lasts > length+repeatWithin {
-				t.Errorf("%s from %v for %v", e.fault.name, e.at, e.lasts)
+			if e.at < quietStart || e.at+e.duration > length+repeatWithin {
+				t.Errorf("%s from %v for %v is outside the run", e.fault.name, e.at, e.duration)
 			}
 		}
 		return list
 	}
 	first := names(plan(7, length, faults))
 	if again := names(plan(7, length, faults)); !reflect.DeepEqual(first, again) {
-		t.Errorf("one seed drew %v and %v", first, again)
+		t.Errorf("the same seed gave %v and %v", first, again)
 	}
 	if other := names(plan(8, length, faults)); reflect.DeepEqual(first, other) {
-		t.Error("two seeds drew the same faults")
+		t.Error("two seeds gave the same faults")
 	}
 }
 
-// seeds are runs that CI makes: a fixed one, and each one that has ever shown a broken promise, with its cause.
+// seeds are the runs that CI makes: a fixed one, and each seed that has ever found a violation, with its cause.
 var seeds = []struct {
 	seed  uint64
 	cause string
@@ -39,8 +39,8 @@
 	{2, "none; a fixed run with most kinds of faults"},
 }
 
-// The real programs run for a while between stand-ins of the platform while processes, network, store and endpoints fail. No
-// promise may be broken, and the site must be well again soon after the last fault.
+// Runs the real programs with stand-ins for the platform while processes, network, store and endpoints fail. No guarantee
+// may be violated, and the site must recover soon after the last fault.
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "balsamsail")
 	if err := childprocess.BuildProgram(binary); err != nil {
