--- a/internal/standin/control/control.go
+++ b/internal/standin/control/control.go
@@ -1,4 +1,4 @@
-// Package control holds what the stand-ins share: faults switched over HTTP, strict JSON and lost answers.
+// Package control holds what the stand-ins share: fault injection over HTTP, strict JSON decoding and dropped connections.
 package control
 
 import (
@@ -19,40 +19,40 @@
 // maxDocument bounds a JSON document that a stand-in reads, in bytes.
 const maxDocument = 8 << 20
 
-// Chance says which calls a fault hits: the next Next ones, then a random Fraction of the others (0 to 1).
+// Chance determines which calls a fault affects: the next Next ones, then a random Fraction of the others (0 to 1).
 type Chance struct {
 	Fraction float64 `json:"fraction,omitempty"`
 	Next     int     `json:"next,omitempty"`
 }
 
-// Switch holds a stand-in's faults, a document of type F.
-type Switch[F any] struct {
+// FaultSet holds the active faults of a stand-in as a value of type F.
+type FaultSet[F any] struct {
 	mu     sync.Mutex
 	faults F
 	random *rand.Rand
 }
 
-// NewSwitch returns a switch with all faults off and a seeded source of chance.
-func NewSwitch[F any](seed uint64) *Switch[F] {
-	return &Switch[F]{random: rand.New(rand.NewPCG(seed, seed))}
+// NewFaultSet returns a set with all faults off and a random source with the given seed.
+func NewFaultSet[F any](seed uint64) *FaultSet[F] {
+	return &FaultSet[F]{random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Get returns the faults that are on.
-func (s *Switch[F]) Get() F {
+// Get returns the present faults.
+func (s *FaultSet[F]) Get() F {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
 // Update changes the faults.
-func (s *Switch[F]) Update(change func(*F)) {
+func (s *FaultSet[F]) Update(change func(*F)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.faults)
 }
 
-// Hit decides whether the chosen fault hits this call, and counts down its Next.
-func (s *Switch[F]) Hit(choose func(*F) *Chance) bool {
+// Hit decides whether the chosen fault affects this call, and counts down its Next.
+func (s *FaultSet[F]) Hit(choose func(*F) *Chance) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := choose(&s.faults)
@@ -64,15 +64,15 @@
 }
 
 // Exponential returns a random duration with the given mean.
-func (s *Switch[F]) Exponential(mean time.Duration) time.Duration {
+func (s *FaultSet[F]) Exponential(mean time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Duration(s.random.ExpFloat64() * float64(mean))
 }
 
-// Mount adds GET, POST and DELETE of /faults. POST changes the fields that it names and keeps the others; DELETE
-// switches every fault off.
-func (s *Switch[F]) Mount(r chi.Router) {
+// Mount adds the routes GET, POST and DELETE /faults. POST changes the fields that are present in its body and keeps the
+// others; DELETE turns all faults off.
+func (s *FaultSet[F]) Mount(r chi.Router) {
 	r.Get("/faults", func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, http.StatusOK, s.Get()) })
 	r.Post("/faults", s.post)
 	r.Delete("/faults", func(w http.ResponseWriter, _ *http.Request) {
@@ -82,7 +82,7 @@
 	})
 }
 
-func (s *Switch[F]) post(w http.ResponseWriter, r *http.Request) {
+func (s *FaultSet[F]) post(w http.ResponseWriter, r *http.Request) {
 	changed := s.Get()
 	if err := ReadJSON(r, &changed); err != nil {
 		WriteError(w, http.StatusBadRequest, "invalid", err.Error())
@@ -92,37 +92,37 @@
 	WriteJSON(w, http.StatusOK, changed)
 }
 
-// ReadJSON decodes a request's body, refusing unknown fields.
+// ReadJSON decodes a request's body. Unknown fields are an error.
 func ReadJSON(r *http.Request, into any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxDocument))
 	decoder.DisallowUnknownFields()
 	return decoder.Decode(into)
 }
 
-// WriteJSON writes an answer.
+// WriteJSON writes a JSON response.
 func WriteJSON(w http.ResponseWriter, status int, document any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(document)
 }
 
-// WriteError writes a refusal.
+// WriteError writes an error response.
 func WriteError(w http.ResponseWriter, status int, code, message string) {
 	WriteJSON(w, status, endpoint.Refusal{Error: endpoint.RefusalDetail{Code: code, Message: message}})
 }
 
-// Lose cuts the connection in place of an answer, or of what is left of it. It does not return.
-func Lose() { panic(http.ErrAbortHandler) }
+// DropConnection closes the connection instead of sending the response or the rest of it. It does not return.
+func DropConnection() { panic(http.ErrAbortHandler) }
 
-// Hang waits until the client goes away. It reads the request's body first, since a server notices that a client has
-// gone only once it has read the body.
+// Hang waits until the client disconnects. It reads the request's body first, because net/http detects a disconnect only
+// after the body has been read.
 func Hang(r *http.Request) {
-	// A client that goes away in the middle of its body has gone as well.
+	// A read error means that the client disconnected in the middle of its body.
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
 
-// Sleep waits for d and says whether the context still lasts then.
+// Sleep waits for d. It returns false if the context ends first.
 func Sleep(ctx context.Context, c clock.Clock, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -15,20 +15,20 @@
 // maxPrompt bounds a chat request's body, in bytes.
 const maxPrompt = 32 << 20
 
-// generation is one chat request on its way through the engine.
+// generation is one chat request while the engine processes it.
 type generation struct {
 	server  *Server
 	process *process
 	model   *model
 	request chatRequest
 	id      string
-	// question is what the answer's text depends on; crossed answers take another request's.
-	question question
-	begun    time.Time
-	tokens   int
-	// cutAfter is the number of tokens after which a fault cuts the answer; negative for never.
+	// input determines the answer's text; the Cross fault replaces it by another request's.
+	input  answerInput
+	begun  time.Time
+	tokens int
+	// cutAfter is the number of tokens after which the Cut fault drops the connection; negative for never.
 	cutAfter int
-	// ctx ends with the caller, the model or the process.
+	// ctx ends when the client disconnects, the model is dropped or the process ends.
 	ctx context.Context
 }
 
@@ -49,14 +49,14 @@
 		s.refuse(w, http.StatusBadRequest, endpoint.CodeInvalid, err.Error())
 		return
 	}
-	g := &generation{server: s, request: request, id: id, question: request.question(), cutAfter: -1}
-	g.question.id = id
-	place := s.enter(g, r.Header.Get(endpoint.HeaderPriority))
+	g := &generation{server: s, request: request, id: id, input: request.answerInput(), cutAfter: -1}
+	g.input.id = id
+	queued := s.enter(g, r.Header.Get(endpoint.HeaderPriority))
 	if g.model == nil {
 		s.refuse(w, http.StatusNotFound, "model_not_found", "the model is not loaded")
 		return
 	}
-	if place == nil {
+	if queued == nil {
 		s.refuse(w, http.StatusServiceUnavailable, "overloaded", "the waiting list is full")
 		return
 	}
@@ -64,7 +64,7 @@
 	defer cancel()
 	defer context.AfterFunc(g.model.ctx, cancel)()
 	g.ctx = ctx
-	g.run(w, place)
+	g.run(w, queued)
 }
 
 func (s *Server) refuse(w http.ResponseWriter, status int, code, message string) {
@@ -74,7 +74,8 @@
 	control.WriteError(w, status, code, message)
 }
 
-// enter finds the request's model and takes a place in the queue.
+// enter looks up the request's model and puts the request into the queue. It returns nil if the model is not loaded, which
+// leaves g.model nil, or if the queue is full.
 func (s *Server) enter(g *generation, priority string) *ticket {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,16 +84,16 @@
 	if g.model == nil {
 		return nil
 	}
-	place := g.process.queue.enter(priority)
-	if place == nil {
+	queued := g.process.queue.enter(priority)
+	if queued == nil {
 		return nil
 	}
 	g.model.running++
-	s.noteLoad(g.process)
-	return place
+	s.recordLoad(g.process)
+	return queued
 }
 
-// find returns the loaded model with a name, or the one that holds an adapter of that name.
+// find returns the loaded model with the given name, or the one with a loaded adapter of that name.
 func (p *process) find(name string) *model {
 	if m, ok := p.models[name]; ok && m.State == endpoint.EngineLoaded {
 		return m
@@ -105,61 +106,61 @@
 	return nil
 }
 
-// run waits for the request's turn and generates the answer.
-func (g *generation) run(w http.ResponseWriter, place *ticket) {
+// run waits until the request is admitted to the batch and generates the answer.
+func (g *generation) run(w http.ResponseWriter, queued *ticket) {
 	outcome := OutcomeCancelled
-	defer func() { g.end(place, outcome) }()
+	defer func() { g.finish(queued, outcome) }()
 	select {
-	case <-place.ready:
+	case <-queued.ready:
 	case <-g.ctx.Done():
 		g.abort()
 	}
 	g.begun = g.server.clock.Now()
 	g.applyFaults(w)
 	if !g.sleep(g.firstToken()) {
-		outcome = g.ended()
+		outcome = g.endOutcome()
 		g.abort()
 	}
 	outcome = OutcomeCut
 	answer := newAnswerWriter(w, g)
 	for g.tokens < g.request.tokens(g.server.options.DefaultTokens) {
 		if g.tokens == g.cutAfter {
-			control.Lose()
+			control.DropConnection()
 		}
 		if g.tokens > 0 && !g.sleep(g.betweenTokens()) {
-			outcome = g.ended()
+			outcome = g.endOutcome()
 			g.abort()
 		}
 		answer.token(g.tokens)
 		g.tokens++
 	}
 	if g.tokens == g.cutAfter {
-		control.Lose()
+		control.DropConnection()
 	}
 	answer.finish()
 	outcome = OutcomeDone
 }
 
-// abort ends an answer that cannot be completed. If the caller is still there it sees a broken connection.
-func (g *generation) abort() { control.Lose() }
+// abort drops the connection of an answer that cannot be completed. It does not return.
+func (g *generation) abort() { control.DropConnection() }
 
-// ended says why the context ended.
-func (g *generation) ended() Outcome {
+// endOutcome returns the outcome of a request whose context has ended.
+func (g *generation) endOutcome() Outcome {
 	if g.model.ctx.Err() != nil {
 		return OutcomeCut
 	}
 	return OutcomeCancelled
 }
 
-// applyFaults decides what goes wrong with this answer.
+// applyFaults applies the faults Cross, Cut and Late to this answer.
 func (g *generation) applyFaults(w http.ResponseWriter) {
 	s := g.server
 	s.mu.Lock()
-	previous := s.previous
-	s.previous = g.question
+	previous := s.previousInput
+	s.previousInput = g.input
 	s.mu.Unlock()
 	if s.faults.Hit(func(f *Faults) *control.Chance { return &f.Cross }) {
-		g.question = previous
+		g.input = previous
 		w.Header().Set(endpoint.HeaderRequestID, previous.id)
 	}
 	if s.faults.Hit(func(f *Faults) *control.Chance { return &f.Cut }) {
@@ -178,19 +179,19 @@
 func (g *generation) firstToken() time.Duration {
 	s := g.server
 	s.mu.Lock()
-	hit := s.notePrefix(g.process, g.model.Model, g.request.prefix())
+	hit := s.touchPrefix(g.process, g.model.Model, g.request.prefix())
 	s.mu.Unlock()
-	d := g.paced(s.options.FirstToken)
+	d := g.scaled(s.options.FirstToken)
 	if hit {
 		return d / prefixSpeedup
 	}
 	return d
 }
 
-func (g *generation) betweenTokens() time.Duration { return g.paced(g.server.options.BetweenTokens) }
+func (g *generation) betweenTokens() time.Duration { return g.scaled(g.server.options.BetweenTokens) }
 
-// paced stretches a duration by the fault and by how far the batch exceeds what runs at full speed.
-func (g *generation) paced(d time.Duration) time.Duration {
+// scaled lengthens a duration by SlowFactor and by the ratio of running requests to MaxBatch if it exceeds 1.
+func (g *generation) scaled(d time.Duration) time.Duration {
 	s := g.server
 	s.mu.Lock()
 	batch := float64(g.process.queue.running) / float64(s.options.MaxBatch)
@@ -198,15 +199,15 @@
 	return time.Duration(float64(d) * max(1, batch) * max(1, s.faults.Get().SlowFactor))
 }
 
-// end gives the request's place back and keeps the truth.
-func (g *generation) end(place *ticket, outcome Outcome) {
+// finish removes the request from the queue and records its outcome.
+func (g *generation) finish(queued *ticket, outcome Outcome) {
 	s := g.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	began := place.admitted
-	g.process.queue.leave(place)
+	admitted := queued.admitted
+	g.process.queue.leave(queued)
 	g.model.running--
-	s.noteLoad(g.process)
+	s.recordLoad(g.process)
 	switch outcome {
 	case OutcomeDone:
 		s.truth.Done++
@@ -215,7 +216,7 @@
 	case OutcomeCancelled:
 		s.truth.Cancelled++
 	}
-	if !began {
+	if !admitted {
 		return
 	}
 	s.truth.Requests = appendBounded(s.truth.Requests, RequestEntry{
@@ -236,5 +237,5 @@
 	control.WriteJSON(w, http.StatusOK, newModelList(names))
 }
 
-// countWords stands in for a tokenizer.
+// countWords approximates a token count by the number of words.
 func countWords(text string) int { return len(strings.Fields(text)) }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,13 +1,13 @@
-// Package engine stands in for a model engine, for tests and the dev command: it loads models and adapters on order,
-// answers chat completions with text that depends only on the request, and keeps the truth of what it did.
+// Package engine is a stand-in for a model engine, for tests and the dev command. It loads and unloads models and adapters on
+// order, answers chat completions with text that depends only on the request, and records what it really did (Truth).
 //
-//	POST /v1/chat/completions  the usual chat format, whole or as server-sent events
+//	POST /v1/chat/completions  the OpenAI chat format, as one JSON document or as server-sent events
 //	GET  /v1/models            the models and adapters that are loaded
-//	POST /admin/orders         endpoint.Order in; the answer comes when the order has ended
+//	POST /admin/orders         takes an endpoint.Order; responds when the order has been executed
 //	GET  /admin/state          endpoint.EngineState
-//	GET  /admin/report         endpoint.LoadReport, lagging
-//	GET  /admin/events?after=N endpoint.CacheEvents, late and with gaps
-//	POST /restart              a new incarnation, which holds nothing
+//	GET  /admin/report         endpoint.LoadReport, delayed by ReportLag
+//	GET  /admin/events?after=N endpoint.CacheEvents, delayed by EventLag and possibly with gaps
+//	POST /restart              starts a new incarnation with no models loaded
 //	GET  /faults, POST, DELETE Faults
 //	GET  /truth                Truth
 package engine
@@ -27,7 +27,7 @@
 	"balsamsail/internal/standin/control"
 )
 
-// FencingMode says what an engine does with an order that carries an old fencing number.
+// FencingMode determines what an engine does with an order that carries an old fencing token.
 type FencingMode string
 
 // The fencing modes.
@@ -36,53 +36,55 @@
 	FencingIgnores FencingMode = "ignores"
 )
 
-// OvercommitMode says what an engine does with a load that exceeds its memory.
+// OvercommitMode determines what an engine does with a load that exceeds its memory.
 type OvercommitMode string
 
-// The overcommit modes: the load is refused, or it is begun, counted as an overcommit, and fails.
+// The overcommit modes: the load is rejected, or it is attempted, counted as an overcommit, and fails.
 const (
 	OvercommitRefused OvercommitMode = "refused"
 	OvercommitFails   OvercommitMode = "fails"
 )
 
-// Options are the settings of the stand-in. A zero takes the default that is given with it.
+// Options configure the stand-in. A zero value selects the default, which is given in parentheses.
 type Options struct {
-	// Clock is the source of time (the machine's).
+	// Clock is the source of time (the system clock).
 	Clock clock.Clock
-	// Seed seeds the chances of faults.
+	// Seed seeds the random choices of faults.
 	Seed uint64
-	// Name becomes part of the incarnation ("engine").
+	// Name is the prefix of the incarnation's id ("engine").
 	Name string
 
-	// MemoryBytes is the accelerators' memory (80 GiB), of which KVBytes (8 GiB) are set aside for the KV cache.
+	// MemoryBytes is the accelerators' memory (80 GiB), of which KVBytes (8 GiB) are reserved for the KV cache.
 	MemoryBytes, KVBytes int64
-	// MemoryCacheBytes (256 GiB) and DiskCacheBytes (1 TiB) bound the host's caches of checkpoints.
+	// MemoryCacheBytes (256 GiB) and DiskCacheBytes (1 TiB) are the sizes of the host's checkpoint caches.
 	MemoryCacheBytes, DiskCacheBytes int64
-	// LoadFromMemory (500 ms), LoadFromDisk (2 s) and LoadFromStore (8 s) are how long a load takes at full speed, by
-	// where its checkpoint is found. LoadAdapter (200 ms) is the same for an adapter, which always comes from the store.
+	// LoadFromMemory (500 ms), LoadFromDisk (2 s) and LoadFromStore (8 s) are how long a load takes at full speed, depending
+	// on where its checkpoint is. LoadAdapter (200 ms) is the same for an adapter, which always comes from the store.
 	LoadFromMemory, LoadFromDisk, LoadFromStore, LoadAdapter time.Duration
 	// Unload is how long an unload takes (50 ms).
 	Unload time.Duration
-	// WeightsURL is the base URL of the weight store; without one a load from the store just takes its time.
+	// WeightsURL is the base URL of the weight store. If it is empty, a load from the store only waits for LoadFromStore or
+	// LoadAdapter.
 	WeightsURL string
 
-	// MaxBatch is the number of requests that run at full speed (16); up to MaxRunning (32) run more slowly, the next
-	// MaxWaiting (1024) wait and all others are refused.
+	// MaxBatch is the number of requests that run at full speed (16). Up to MaxRunning (32) run more slowly, up to MaxWaiting
+	// (1024) more wait, and all others are rejected.
 	MaxBatch, MaxRunning, MaxWaiting int
-	// FirstToken is the time to the first token (50 ms), BetweenTokens that between two (10 ms). A negative one is none.
+	// FirstToken is the time to the first token (50 ms), BetweenTokens the time between two tokens (10 ms). Negative values
+	// mean no delay.
 	FirstToken, BetweenTokens time.Duration
-	// DefaultTokens is the length of an answer whose request sets no limit (32).
+	// DefaultTokens is the length of the answer to a request without a token limit (32).
 	DefaultTokens int
-	// PrefixEntries bounds the cache of prompt prefixes (64); a hit quarters the time to the first token.
+	// PrefixEntries is the size of the cache of prompt prefixes (64). A hit divides the time to the first token by four.
 	PrefixEntries int
 
-	// Fencing is what happens to orders with old fencing numbers (FencingChecks).
+	// Fencing is what happens to orders with old fencing tokens (FencingChecks).
 	Fencing FencingMode
 	// Overcommit is what happens to loads that exceed the memory (OvercommitRefused).
 	Overcommit OvercommitMode
-	// Token is what orders must carry as a bearer token, if it is set.
+	// Token is the bearer token that orders must carry, if it is set.
 	Token string
-	// ReportLag is how old the load report is, EventLag how late cache events come.
+	// ReportLag is the age of the load report, EventLag the delay of cache events.
 	ReportLag, EventLag time.Duration
 }
 
@@ -121,32 +123,31 @@
 	}
 }
 
-// Faults are what can go wrong with an engine.
+// Faults are the faults that can be injected into an engine.
 type Faults struct {
-	// SlowFactor makes all that the engine generates that many times slower, which its report does not show; 0 and 1
-	// mean full speed.
+	// SlowFactor makes token generation that many times slower without a change in the load report; 0 and 1 mean full speed.
 	SlowFactor float64 `json:"slow_factor"`
-	// Hang gives no answer to requests, orders and reads.
+	// Hang leaves requests, orders and reads unanswered.
 	Hang bool `json:"hang"`
-	// Refuse refuses requests and orders with 503.
+	// Refuse rejects requests and orders with 503.
 	Refuse bool `json:"refuse"`
-	// Cross answers a request with the identifier and the text of the one before it.
+	// Cross answers a request with the request ID and the text of the previous one.
 	Cross control.Chance `json:"cross"`
-	// Cut breaks the connection after CutAfterTokens tokens of an answer.
+	// Cut drops the connection after CutAfterTokens tokens of an answer.
 	Cut            control.Chance `json:"cut"`
 	CutAfterTokens int            `json:"cut_after_tokens"`
-	// Late holds an answer back for LateSeconds before its first byte.
+	// Late delays the first byte of an answer by LateSeconds.
 	Late        control.Chance `json:"late"`
 	LateSeconds float64        `json:"late_seconds"`
-	// LoadFails lets a load take its time and then fail; LoadHangs lets it never end.
+	// LoadFails makes a load fail after its usual time; LoadHangs makes it never end.
 	LoadFails control.Chance `json:"load_fails"`
 	LoadHangs control.Chance `json:"load_hangs"`
-	// DelayOrders holds an order up for DelayOrdersSeconds before the engine sees it, also if its sender has gone.
+	// DelayOrders delays the execution of an order by DelayOrdersSeconds, even if its sender disconnects meanwhile.
 	DelayOrders        control.Chance `json:"delay_orders"`
 	DelayOrdersSeconds float64        `json:"delay_orders_seconds"`
-	// LoseOrders carries an order out and cuts the connection in place of its answer.
+	// LoseOrders executes an order and drops the connection instead of responding.
 	LoseOrders control.Chance `json:"lose_orders"`
-	// DropEvents leaves cache events out.
+	// DropEvents omits cache events; their sequence numbers remain as gaps.
 	DropEvents control.Chance `json:"drop_events"`
 }
 
@@ -154,7 +155,7 @@
 type Server struct {
 	options Options
 	clock   clock.Clock
-	faults  *control.Switch[Faults]
+	faults  *control.FaultSet[Faults]
 	router  chi.Router
 	weights *http.Client
 
@@ -164,16 +165,16 @@
 	// caches belong to the host and outlive the engine's process.
 	memoryCache, diskCache *lru
 	truth                  Truth
-	previous               question
+	previousInput          answerInput
 }
 
-// New returns an engine that holds no model.
+// New returns an engine with no models loaded.
 func New(o Options) *Server {
 	o = o.withDefaults()
 	s := &Server{
 		options:     o,
 		clock:       o.Clock,
-		faults:      control.NewSwitch[Faults](o.Seed),
+		faults:      control.NewFaultSet[Faults](o.Seed),
 		router:      chi.NewRouter(),
 		weights:     &http.Client{Transport: sendonce.NewTransport()},
 		memoryCache: newLRU(o.MemoryCacheBytes),
@@ -183,8 +184,8 @@
 	s.router.Post("/v1/chat/completions", s.chat)
 	s.router.Get("/v1/models", s.listModels)
 	s.router.Post(endpoint.PathOrders, s.order)
-	s.router.Get(endpoint.PathState, s.document(func(p *process) any { return s.state(p) }))
-	s.router.Get(endpoint.PathReport, s.document(func(p *process) any { return p.report(s.clock.Now()) }))
+	s.router.Get(endpoint.PathState, s.serveDocument(func(p *process) any { return s.state(p) }))
+	s.router.Get(endpoint.PathReport, s.serveDocument(func(p *process) any { return p.report(s.clock.Now()) }))
 	s.router.Get(endpoint.PathEvents, s.events)
 	s.router.Post("/restart", func(w http.ResponseWriter, _ *http.Request) {
 		s.Restart()
@@ -197,13 +198,13 @@
 	return s
 }
 
-// Handler returns the server's HTTP interface.
+// Handler returns the server's HTTP handler.
 func (s *Server) Handler() http.Handler { return s.router }
 
-// Faults returns the switch of the faults.
-func (s *Server) Faults() *control.Switch[Faults] { return s.faults }
+// Faults returns the injected faults, which the caller may change.
+func (s *Server) Faults() *control.FaultSet[Faults] { return s.faults }
 
-// process is one incarnation of the engine. All but what it was made with is guarded by the server's mu.
+// process is one incarnation of the engine. Its mutable state is guarded by the server's mu.
 type process struct {
 	options     Options
 	incarnation string
@@ -220,14 +221,14 @@
 	lastEvent    uint64
 }
 
-// Restart ends the engine's process, with all requests, loads and models, and starts another one.
+// Restart ends the engine's process together with all its requests, loads and models, and starts a new one.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.process != nil {
 		s.process.stop()
 		s.restarts++
-		s.note(HistoryRestarted, endpoint.Order{})
+		s.recordHistory(HistoryRestarted, endpoint.Order{})
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s.process = &process{
@@ -248,8 +249,8 @@
 	return s.process
 }
 
-// document serves a read of the running process.
-func (s *Server) document(read func(*process) any) http.HandlerFunc {
+// serveDocument returns a handler that responds with the JSON of what read returns. read is called with mu held.
+func (s *Server) serveDocument(read func(*process) any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.hang(r) {
 			return
@@ -261,7 +262,7 @@
 	}
 }
 
-// hang waits out the request and returns true if the engine hangs.
+// hang returns false unless the Hang fault is on. In that case it waits until the client disconnects and returns true.
 func (s *Server) hang(r *http.Request) bool {
 	if !s.faults.Get().Hang {
 		return false
@@ -290,7 +291,7 @@
 	return state
 }
 
-// The places of a cached checkpoint in endpoint.EngineState.
+// The values of endpoint.EngineState.Cached.
 const (
 	CachedInMemory = "memory"
 	CachedOnDisk   = "disk"
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -16,7 +16,7 @@
 	"balsamsail/internal/standin/control"
 )
 
-// exchange is the answer to a call, or that its connection was cut.
+// exchange is the response to a call; cut is set if the connection was dropped instead.
 type exchange struct {
 	status int
 	body   string
@@ -65,8 +65,8 @@
 	return document
 }
 
-// within runs a call and checks how long it took.
-func within(t *testing.T, want time.Duration, run func() exchange) exchange {
+// wantDuration runs a call and checks that it takes exactly the wanted time.
+func wantDuration(t *testing.T, want time.Duration, run func() exchange) exchange {
 	t.Helper()
 	begun := time.Now()
 	e := run()
@@ -87,7 +87,7 @@
 
 func TestLoadTimeFollowsTheCaches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// Host memory caches one checkpoint, the disk two.
+		// The memory cache has room for one checkpoint, the disk cache for two.
 		s := New(Options{MemoryCacheBytes: 10 * gib, DiskCacheBytes: 20 * gib})
 		steps := []struct {
 			model string
@@ -106,14 +106,14 @@
 			if got := state.Cached[step.model]; got != step.from {
 				t.Errorf("%s is cached %q, want %q", step.model, got, step.from)
 			}
-			within(t, step.want, func() exchange { return load(s, step.model) })
-			within(t, s.options.Unload, func() exchange { return unload(s, step.model) })
+			wantDuration(t, step.want, func() exchange { return load(s, step.model) })
+			wantDuration(t, s.options.Unload, func() exchange { return unload(s, step.model) })
 		}
 	})
 }
 
-// Many entries order the same model at once, or drop it in the middle of its load: one load is made, its memory counts
-// once, and after the unload the engine holds nothing.
+// Concurrent load orders for the same model must cause one load whose memory counts once. An unload in the middle of a load
+// must cancel it and free its memory.
 func TestConcurrentOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{})
@@ -128,11 +128,11 @@
 		orders.Wait()
 		orders.Go(func() {
 			if e := load(s, "n"); e.status != http.StatusBadGateway {
-				t.Errorf("load that was given up: %+v", e)
+				t.Errorf("cancelled load: %+v", e)
 			}
 		})
 		time.Sleep(time.Second)
-		if e := within(t, 0, func() exchange { return unload(s, "n") }); e.status != http.StatusOK {
+		if e := wantDuration(t, 0, func() exchange { return unload(s, "n") }); e.status != http.StatusOK {
 			t.Errorf("unload in the middle of a load: %+v", e)
 		}
 		orders.Wait()
@@ -154,9 +154,8 @@
 	})
 }
 
-// A late load comes to an engine that checks fencing numbers and is just dropping the model. The load waits for that; in
-// the meantime a newer unload arrives. If the engine took the load's number for checked, the model would come back after
-// the unload that was to end it, and count as one replica too many.
+// A load order that waits for the unload of the same model must check its fencing token again after the wait, because a newer
+// unload may have arrived meanwhile. Otherwise the model would be loaded after the newer unload, as one replica too many.
 func TestLoadThatWaitedIsCheckedAgain(t *testing.T) {
 	cases := []struct {
 		fencing FencingMode
@@ -196,25 +195,25 @@
 		mustLoad(t, s, "m")
 		adapter := endpoint.Order{Kind: endpoint.OrderLoadAdapter, Model: "m", Adapter: "a", MemoryBytes: gib}
 		if e := chat(s, "a", "r", "", 1); e.status != http.StatusNotFound {
-			t.Errorf("before its load: %+v", e)
+			t.Errorf("request before the adapter's load: %+v", e)
 		}
-		within(t, s.options.LoadAdapter, func() exchange { return order(s, adapter) })
-		within(t, 0, func() exchange { return order(s, adapter) })
+		wantDuration(t, s.options.LoadAdapter, func() exchange { return order(s, adapter) })
+		wantDuration(t, 0, func() exchange { return order(s, adapter) })
 		e := chat(s, "a", "r", "", 2)
 		if e.status != http.StatusOK || !strings.Contains(e.body, Answer("a", "r", 2)) {
-			t.Errorf("after its load: %+v", e)
+			t.Errorf("request after the adapter's load: %+v", e)
 		}
 		adapter.Kind = endpoint.OrderUnloadAdapter
 		order(s, adapter)
 		state := read[endpoint.EngineState](t, s, endpoint.PathState)
 		if len(state.Models[0].Adapters) != 0 || state.UsedBytes != s.options.KVBytes+10*gib {
-			t.Errorf("after its unload: %+v", state)
+			t.Errorf("state after the adapter's unload: %+v", state)
 		}
 	})
 }
 
 func TestBatching(t *testing.T) {
-	// Every request is held for a second, so that all are in the batch before the first token.
+	// The Late fault delays every request by a second, so that all are in the batch before the first token.
 	cases := []struct {
 		name     string
 		requests int
@@ -225,7 +224,7 @@
 		{name: "alone", requests: 1, want: 1140 * time.Millisecond},
 		{name: "a full batch", requests: 2, want: 1140 * time.Millisecond},
 		{name: "twice the batch", requests: 4, want: 1280 * time.Millisecond},
-		// Four run at half speed; the fifth finds the batch empty.
+		// Four run at half speed; the fifth then runs alone.
 		{name: "one waits", requests: 5, want: 2420 * time.Millisecond},
 		{name: "one too many", requests: 6, want: 2420 * time.Millisecond, refused: 1},
 		{name: "slow", requests: 1, slow: 10, want: 2400 * time.Millisecond},
@@ -275,7 +274,8 @@
 	})
 }
 
-// What an engine drops while it runs is cut, and the truth says so: a planned stop that cuts requests shows here.
+// Requests of a model that is unloaded, or of an engine that is restarted, must be cut off and counted in Truth: tests of
+// planned stops rely on these counts.
 func TestUnloadAndRestartCutRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{})
@@ -329,7 +329,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{EventLag: time.Second, PrefixEntries: 1})
 		mustLoad(t, s, "m")
-		// Three stores and two removals, of which the second event is left out; the repeated prefix gives none.
+		// Three stores and two removals; the second event is dropped, and the repeated prefix causes none.
 		for i, id := range []string{"p", "p", "q", "r"} {
 			if i == 2 {
 				s.Faults().Update(func(f *Faults) { f.DropEvents = control.Chance{Next: 1} })
--- a/internal/standin/engine/lru.go
+++ b/internal/standin/engine/lru.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// lru is a set of named things of given sizes that drops the least recently used beyond its limit.
+// lru is a cache of keys with sizes that evicts the least recently used ones when their total size exceeds the limit.
 type lru struct {
 	limit, used int64
 	order       *list.List
@@ -26,7 +26,8 @@
 	return ok
 }
 
-// touch makes an entry the most recently used, adding it if need be, and returns the keys that it displaced.
+// touch marks a key as the most recently used, adding it if it is missing, and returns the keys that were evicted. A key
+// larger than the limit is not added.
 func (c *lru) touch(key string, size int64) (evicted []string) {
 	if size > c.limit {
 		return nil
--- a/internal/standin/engine/models.go
+++ b/internal/standin/engine/models.go
@@ -14,19 +14,19 @@
 type model struct {
 	endpoint.LoadedModel
 	adapters map[string]*adapter
-	// ctx ends when the model is dropped or its load is given up.
+	// ctx ends when the model is unloaded or its load is cancelled.
 	ctx  context.Context
 	drop context.CancelFunc
-	// settled is closed when the load ends, and gone when the model is no longer in memory.
-	settled, gone chan struct{}
-	running       int
+	// loadDone is closed when the load ends, removed when the model is no longer in memory.
+	loadDone, removed chan struct{}
+	running           int
 }
 
 // adapter is one adapter of a loaded model.
 type adapter struct {
 	memoryBytes int64
 	loaded      bool
-	settled     chan struct{}
+	loadDone    chan struct{}
 }
 
 func (p *process) usedBytes() int64 {
@@ -55,7 +55,8 @@
 	return models
 }
 
-// load puts a model into memory. A load of a model that is loaded or being loaded joins it.
+// load loads a model. If the model is loaded already it returns at once; if another order is loading it, it waits for that
+// load.
 func (s *Server) load(p *process, order endpoint.Order) error {
 	s.mu.Lock()
 	for {
@@ -78,31 +79,31 @@
 		s.mu.Unlock()
 		return err
 	}
-	m := p.begin(order)
-	s.note(HistoryLoadStarted, order)
+	m := p.beginLoad(order)
+	s.recordHistory(HistoryLoadStarted, order)
 	s.mu.Unlock()
 	return s.finishLoad(p, m, order, s.transfer(m.ctx, order))
 }
 
-// joinLoad waits until a model is loaded or gone, and says which. It is called with mu held, frees it while it waits
-// and returns with it held.
+// joinLoad waits until a model is loaded or removed, and reports whether it is loaded. It is called with mu held, releases
+// it while waiting and returns with it held.
 func (s *Server) joinLoad(p *process, m *model) (loaded bool, err error) {
-	until := m.gone
+	until := m.removed
 	if m.State == endpoint.EngineLoading {
-		until = m.settled
+		until = m.loadDone
 	}
 	if m.State != endpoint.EngineLoaded {
 		s.mu.Unlock()
-		lives := wait(p, until)
+		alive := wait(p, until)
 		s.mu.Lock()
-		if !lives {
-			return false, errStopped
+		if !alive {
+			return false, errProcessEnded
 		}
 	}
 	return m.State == endpoint.EngineLoaded, nil
 }
 
-func (p *process) begin(order endpoint.Order) *model {
+func (p *process) beginLoad(order endpoint.Order) *model {
 	ctx, drop := context.WithCancel(p.ctx)
 	m := &model{
 		LoadedModel: endpoint.LoadedModel{
@@ -114,8 +115,8 @@
 		adapters: map[string]*adapter{},
 		ctx:      ctx,
 		drop:     drop,
-		settled:  make(chan struct{}),
-		gone:     make(chan struct{}),
+		loadDone: make(chan struct{}),
+		removed:  make(chan struct{}),
 	}
 	p.models[order.Model] = m
 	return m
@@ -125,16 +126,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.ctx.Err() != nil {
-		return errStopped
+		return errProcessEnded
 	}
-	defer close(m.settled)
+	defer close(m.loadDone)
 	if err != nil {
-		s.note(HistoryLoadFailed, order)
+		s.recordHistory(HistoryLoadFailed, order)
 		p.remove(m)
 		return err
 	}
 	m.State = endpoint.EngineLoaded
-	s.note(HistoryLoaded, order)
+	s.recordHistory(HistoryLoaded, order)
 	s.memoryCache.touch(m.Model, m.MemoryBytes)
 	s.diskCache.touch(m.Model, m.MemoryBytes)
 	return nil
@@ -144,10 +145,10 @@
 func (p *process) remove(m *model) {
 	m.drop()
 	delete(p.models, m.Model)
-	close(m.gone)
+	close(m.removed)
 }
 
-// unload drops a model, also in the middle of its load, and cuts the requests that it runs.
+// unload removes a model, cancelling its load if that is in progress, and drops the connections of its running requests.
 func (s *Server) unload(p *process, order endpoint.Order) error {
 	s.mu.Lock()
 	if err := s.checkFence(p, order); err != nil {
@@ -164,31 +165,31 @@
 	if state == endpoint.EngineLoaded {
 		m.State = endpoint.EngineUnloading
 		s.truth.CutByUnload += m.running
-		s.note(HistoryUnloadStarted, order)
+		s.recordHistory(HistoryUnloadStarted, order)
 	}
 	m.drop()
 	s.mu.Unlock()
 	if state == endpoint.EngineLoaded {
 		return s.finishUnload(p, m, order)
 	}
-	if !wait(p, m.gone) {
-		return errStopped
+	if !wait(p, m.removed) {
+		return errProcessEnded
 	}
 	return nil
 }
 
 func (s *Server) finishUnload(p *process, m *model, order endpoint.Order) error {
 	if !control.Sleep(p.ctx, s.clock, s.options.Unload) {
-		return errStopped
+		return errProcessEnded
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p.remove(m)
-	s.note(HistoryUnloaded, order)
+	s.recordHistory(HistoryUnloaded, order)
 	return nil
 }
 
-// loadAdapter puts an adapter beside its model, which must be loaded.
+// loadAdapter loads an adapter of a model, which must be loaded.
 func (s *Server) loadAdapter(p *process, order endpoint.Order) error {
 	s.mu.Lock()
 	if err := s.checkFence(p, order); err != nil {
@@ -208,32 +209,32 @@
 		s.mu.Unlock()
 		return err
 	}
-	a := &adapter{memoryBytes: order.MemoryBytes, settled: make(chan struct{})}
+	a := &adapter{memoryBytes: order.MemoryBytes, loadDone: make(chan struct{})}
 	m.adapters[order.Adapter] = a
-	s.note(HistoryAdapterStarted, order)
+	s.recordHistory(HistoryAdapterStarted, order)
 	s.mu.Unlock()
 
 	err := s.transfer(m.ctx, order)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.ctx.Err() != nil {
-		return errStopped
+		return errProcessEnded
 	}
-	defer close(a.settled)
+	defer close(a.loadDone)
 	if err != nil {
 		delete(m.adapters, order.Adapter)
-		s.note(HistoryAdapterFailed, order)
+		s.recordHistory(HistoryAdapterFailed, order)
 		return err
 	}
 	a.loaded = true
-	s.note(HistoryAdapterLoaded, order)
+	s.recordHistory(HistoryAdapterLoaded, order)
 	return nil
 }
 
-// joinAdapter waits for the load of an adapter that another order began.
+// joinAdapter waits for the load of an adapter that another order has started.
 func (s *Server) joinAdapter(p *process, m *model, name string, a *adapter) error {
-	if !wait(p, a.settled) {
-		return errStopped
+	if !wait(p, a.loadDone) {
+		return errProcessEnded
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,14 +259,14 @@
 		return nil
 	}
 	if !a.loaded {
-		return &refusal{http.StatusServiceUnavailable, endpoint.CodeUnavailable, "the adapter is being loaded"}
+		return &orderError{http.StatusServiceUnavailable, endpoint.CodeUnavailable, "the adapter is being loaded"}
 	}
 	delete(m.adapters, order.Adapter)
-	s.note(HistoryAdapterUnloaded, order)
+	s.recordHistory(HistoryAdapterUnloaded, order)
 	return nil
 }
 
-// wait waits for a channel to close and returns false if the process ends first.
+// wait waits until a channel is closed. It returns false if the process ends first.
 func wait(p *process, closed <-chan struct{}) bool {
 	select {
 	case <-closed:
--- a/internal/standin/engine/openai.go
+++ b/internal/standin/engine/openai.go
@@ -13,7 +13,7 @@
 	"balsamsail/internal/standin/control"
 )
 
-// chatRequest is the part of a chat completion request that the stand-in looks at.
+// chatRequest is the part of a chat completion request that the stand-in uses.
 type chatRequest struct {
 	Model               string        `json:"model"`
 	Messages            []chatMessage `json:"messages"`
@@ -29,7 +29,7 @@
 
 type chatMessage struct {
 	Role string `json:"role"`
-	// Content is a string, or a list of parts, which is taken as it is written.
+	// Content is a string or a list of parts; of a list the raw JSON is used as the text.
 	Content json.RawMessage `json:"content"`
 }
 
@@ -41,20 +41,20 @@
 	return string(m.Content)
 }
 
-// question is what an answer's text depends on, and the identifier of its request.
-type question struct {
+// answerInput is the request's ID and what the answer's text depends on: the model and the last message.
+type answerInput struct {
 	id, model, message string
 }
 
-func (r chatRequest) question() question {
-	q := question{model: r.Model}
+func (r chatRequest) answerInput() answerInput {
+	q := answerInput{model: r.Model}
 	if len(r.Messages) > 0 {
 		q.message = r.Messages[len(r.Messages)-1].text()
 	}
 	return q
 }
 
-// prefix identifies the request's first message.
+// prefix returns the key of the request's first message in the prefix cache.
 func (r chatRequest) prefix() string {
 	if len(r.Messages) == 0 {
 		return hash("")
@@ -62,14 +62,14 @@
 	return hash(r.Messages[0].text())
 }
 
-func (r chatRequest) tokens(otherwise int) int {
+func (r chatRequest) tokens(fallback int) int {
 	if r.MaxCompletionTokens > 0 {
 		return r.MaxCompletionTokens
 	}
 	if r.MaxTokens > 0 {
 		return r.MaxTokens
 	}
-	return otherwise
+	return fallback
 }
 
 func (r chatRequest) usage(tokens int) *usage {
@@ -82,13 +82,13 @@
 
 func hash(text string) string { return fmt.Sprintf("%016x", xxhash.Sum64String(text)) }
 
-// Token returns one token of the answer to a message: it depends on the model's name as the engine was given it, on the
-// last message and on the token's index.
+// Token returns one token of the answer to a last message. It depends on the model name in the request, the message and the
+// token's index.
 func Token(model, message string, index int) string {
 	return hash(model + "\x00" + message + "\x00" + strconv.Itoa(index))[:8] + " "
 }
 
-// Answer returns the whole text that the stand-in answers to a last message, for tests to compare with.
+// Answer returns the full text of the stand-in's answer to a last message, for tests to compare with.
 func Answer(model, message string, tokens int) string {
 	var text strings.Builder
 	for i := range tokens {
@@ -124,27 +124,27 @@
 	Content string `json:"content"`
 }
 
-// finishLength is the finish reason of every answer: it ends at the number of tokens asked for.
+// finishLength is the finish reason of every answer, because each one ends at its token limit.
 const finishLength = "length"
 
-// answerWriter writes an answer, token by token or whole.
+// answerWriter writes an answer, either streamed token by token or as one document.
 type answerWriter struct {
-	w        http.ResponseWriter
-	flusher  *http.ResponseController
-	request  chatRequest
-	question question
-	created  int64
-	text     strings.Builder
-	tokens   int
+	w       http.ResponseWriter
+	flusher *http.ResponseController
+	request chatRequest
+	input   answerInput
+	created int64
+	text    strings.Builder
+	tokens  int
 }
 
 func newAnswerWriter(w http.ResponseWriter, g *generation) *answerWriter {
 	a := &answerWriter{
-		w:        w,
-		flusher:  http.NewResponseController(w),
-		request:  g.request,
-		question: g.question,
-		created:  g.begun.Unix(),
+		w:       w,
+		flusher: http.NewResponseController(w),
+		request: g.request,
+		input:   g.input,
+		created: g.begun.Unix(),
 	}
 	if g.request.Stream {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -156,7 +156,7 @@
 
 func (a *answerWriter) token(index int) {
 	a.tokens++
-	token := Token(a.question.model, a.question.message, index)
+	token := Token(a.input.model, a.input.message, index)
 	if !a.request.Stream {
 		a.text.WriteString(token)
 		return
@@ -186,7 +186,7 @@
 func (a *answerWriter) chunk(choices []choice, u *usage) {
 	data, err := json.Marshal(a.document("chat.completion.chunk", choices, u))
 	if err != nil {
-		control.Lose()
+		control.DropConnection()
 	}
 	fmt.Fprintf(a.w, "data: %s\n\n", data)
 	a.flusher.Flush()
@@ -194,10 +194,10 @@
 
 func (a *answerWriter) document(object string, choices []choice, u *usage) completion {
 	return completion{
-		ID:      "chatcmpl-" + a.question.id,
+		ID:      "chatcmpl-" + a.input.id,
 		Object:  object,
 		Created: a.created,
-		Model:   a.question.model,
+		Model:   a.input.model,
 		Choices: choices,
 		Usage:   u,
 	}
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -13,17 +13,17 @@
 	"balsamsail/internal/standin/platform"
 )
 
-// refusal ends an order without success.
-type refusal struct {
+// orderError is the error response to an order.
+type orderError struct {
 	status  int
 	code    string
 	message string
 }
 
-func (r *refusal) Error() string { return r.code + ": " + r.message }
+func (r *orderError) Error() string { return r.code + ": " + r.message }
 
-// errStopped ends what the process did not live to finish.
-var errStopped = errors.New("engine: process ended")
+// errProcessEnded is the error of orders that were in progress when the process ended.
+var errProcessEnded = errors.New("engine: process ended")
 
 func (s *Server) order(w http.ResponseWriter, r *http.Request) {
 	if s.hang(r) {
@@ -45,11 +45,11 @@
 		control.WriteError(w, http.StatusBadRequest, endpoint.CodeInvalid, err.Error())
 		return
 	}
-	ended := make(chan error, 1)
-	// The order goes on if its sender goes away, as one that is on its way does.
-	go func() { ended <- s.carryOut(order) }()
+	result := make(chan error, 1)
+	// The order is executed even if its sender disconnects, as if it were still in transit.
+	go func() { result <- s.execute(order) }()
 	select {
-	case err := <-ended:
+	case err := <-result:
 		s.answerOrder(w, err)
 	case <-r.Context().Done():
 	}
@@ -57,21 +57,21 @@
 
 func (s *Server) answerOrder(w http.ResponseWriter, err error) {
 	if s.faults.Hit(func(f *Faults) *control.Chance { return &f.LoseOrders }) {
-		control.Lose()
+		control.DropConnection()
 	}
-	var refused *refusal
+	var orderErr *orderError
 	switch {
 	case err == nil:
 		control.WriteJSON(w, http.StatusOK, struct{}{})
-	case errors.As(err, &refused):
-		control.WriteError(w, refused.status, refused.code, refused.message)
+	case errors.As(err, &orderErr):
+		control.WriteError(w, orderErr.status, orderErr.code, orderErr.message)
 	default:
-		control.Lose()
+		control.DropConnection()
 	}
 }
 
-// carryOut runs an order to its end. It fails with a *refusal, or with errStopped if the process ends.
-func (s *Server) carryOut(order endpoint.Order) error {
+// execute executes an order and waits for its end. It returns an *orderError, or errProcessEnded if the process ends first.
+func (s *Server) execute(order endpoint.Order) error {
 	if s.faults.Hit(func(f *Faults) *control.Chance { return &f.DelayOrders }) {
 		control.Sleep(context.Background(), s.clock, control.Seconds(s.faults.Get().DelayOrdersSeconds))
 	}
@@ -86,23 +86,23 @@
 	case endpoint.OrderUnloadAdapter:
 		return s.unloadAdapter(p, order)
 	}
-	return &refusal{http.StatusBadRequest, endpoint.CodeInvalid, "unknown kind of order"}
+	return &orderError{http.StatusBadRequest, endpoint.CodeInvalid, "unknown kind of order"}
 }
 
-// checkFence refuses an order with an old fencing number. The caller holds mu and keeps it until the order has begun:
-// otherwise a load that has passed could begin after a newer unload that found nothing to drop.
+// checkFence rejects an order with an old fencing token. The caller holds mu and must not release it before the order has
+// started. Otherwise a load that passed the check could start after a newer unload that found nothing to remove.
 func (s *Server) checkFence(p *process, order endpoint.Order) error {
 	if order.Fence < p.highestFence {
 		s.truth.OldFences++
 		if s.options.Fencing == FencingChecks {
-			return &refusal{http.StatusConflict, endpoint.CodeFenced, "the order's fencing number is old"}
+			return &orderError{http.StatusConflict, endpoint.CodeFenced, "the order's fencing number is old"}
 		}
 	}
 	p.highestFence = max(p.highestFence, order.Fence)
 	return nil
 }
 
-// reserve takes memory for a load, or refuses. The caller holds mu.
+// reserve checks that there is memory for a load. The caller holds mu.
 func (s *Server) reserve(p *process, order endpoint.Order) error {
 	used := p.usedBytes() + order.MemoryBytes
 	if used <= s.options.MemoryBytes {
@@ -111,20 +111,21 @@
 	}
 	if s.options.Overcommit == OvercommitRefused {
 		s.truth.NoMemory++
-		return &refusal{http.StatusInsufficientStorage, endpoint.CodeNoMemory, "not enough memory"}
+		return &orderError{http.StatusInsufficientStorage, endpoint.CodeNoMemory, "not enough memory"}
 	}
 	s.truth.Overcommits++
 	s.truth.MemoryPeak = max(s.truth.MemoryPeak, used)
-	s.note(HistoryOvercommitted, order)
-	return &refusal{http.StatusBadGateway, endpoint.CodeLoadFailed, "out of memory"}
+	s.recordHistory(HistoryOvercommitted, order)
+	return &orderError{http.StatusBadGateway, endpoint.CodeLoadFailed, "out of memory"}
 }
 
-// errLoadFailed is the definite end of a load that failed.
+// errLoadFailed returns the error response for a load that has definitely failed.
 func errLoadFailed(message string) error {
-	return &refusal{http.StatusBadGateway, endpoint.CodeLoadFailed, message}
+	return &orderError{http.StatusBadGateway, endpoint.CodeLoadFailed, message}
 }
 
-// transfer takes the time of a load, and fails if it is cancelled, the store fails or a fault says so.
+// transfer fetches what a load needs, which takes the whole time of the load. It fails if the load is cancelled, the store
+// fails or a fault is injected.
 func (s *Server) transfer(ctx context.Context, order endpoint.Order) error {
 	if s.faults.Hit(func(f *Faults) *control.Chance { return &f.LoadHangs }) {
 		<-ctx.Done()
--- a/internal/standin/engine/queue.go
+++ b/internal/standin/engine/queue.go
@@ -6,7 +6,7 @@
 	"balsamsail/internal/endpoint"
 )
 
-// queue admits requests to the running batch: interactive ones before batch ones, each class in order of arrival. It is
+// queue admits requests to the running batch: interactive requests before batch requests, each in order of arrival. It is
 // guarded by the server's mu.
 type queue struct {
 	maxRunning, maxWaiting int
@@ -14,7 +14,7 @@
 	interactive, batch     []*ticket
 }
 
-// ticket is a request's place in the queue; ready is closed when it may run.
+// ticket is a request's entry in the queue; ready is closed when the request may run.
 type ticket struct {
 	ready    chan struct{}
 	admitted bool
@@ -46,7 +46,7 @@
 	close(t.ready)
 }
 
-// leave gives a ticket back, whether it was admitted or not, and admits the next.
+// leave removes a waiting or running request and, if it was running, admits the next one.
 func (q *queue) leave(t *ticket) {
 	if !t.admitted {
 		q.interactive = slices.DeleteFunc(q.interactive, func(o *ticket) bool { return o == t })
--- a/internal/standin/engine/truth.go
+++ b/internal/standin/engine/truth.go
@@ -11,7 +11,7 @@
 	"balsamsail/internal/standin/control"
 )
 
-// HistoryKind says what happened to an engine's memory.
+// HistoryKind is the kind of a change to an engine's memory.
 type HistoryKind string
 
 // The kinds of a HistoryEntry.
@@ -29,7 +29,7 @@
 	HistoryRestarted       HistoryKind = "restarted"
 )
 
-// HistoryEntry is one change of what an engine holds.
+// HistoryEntry is one change to the models and adapters in an engine's memory.
 type HistoryEntry struct {
 	At      time.Time   `json:"at"`
 	Kind    HistoryKind `json:"kind"`
@@ -41,7 +41,7 @@
 	UsedBytes int64 `json:"used_bytes"`
 }
 
-// Outcome says how a request ended at the engine.
+// Outcome is how a request ended at the engine.
 type Outcome string
 
 // The outcomes of a request.
@@ -51,7 +51,7 @@
 	OutcomeCut       Outcome = "cut"
 )
 
-// RequestEntry is one request that the engine began to run.
+// RequestEntry is one request that the engine admitted to the batch.
 type RequestEntry struct {
 	ID      string    `json:"id"`
 	Model   string    `json:"model"`
@@ -60,19 +60,19 @@
 	Outcome Outcome   `json:"outcome"`
 }
 
-// Truth is what really happened at the engine, over all its incarnations.
+// Truth is what really happened at the engine, over all its incarnations, independent of what it reported.
 type Truth struct {
 	History []HistoryEntry `json:"history"`
 	// Requests are the latest that ended, oldest first.
 	Requests   []RequestEntry `json:"requests"`
 	MemoryPeak int64          `json:"memory_peak_bytes"`
-	// Overcommits counts the loads that were begun beyond the memory, NoMemory those that were refused for it.
+	// Overcommits counts the loads that were attempted beyond the memory, NoMemory those that were rejected for lack of it.
 	Overcommits int `json:"overcommits"`
 	NoMemory    int `json:"no_memory"`
-	// OldFences counts the orders that carried an old fencing number.
+	// OldFences counts the orders that carried an old fencing token.
 	OldFences    int `json:"old_fences"`
 	Unauthorized int `json:"unauthorized"`
-	// CutByUnload counts the requests that an unload cut.
+	// CutByUnload counts the requests that were cut off by an unload.
 	CutByUnload int `json:"cut_by_unload"`
 	PeakRunning int `json:"peak_running"`
 	PeakWaiting int `json:"peak_waiting"`
@@ -82,10 +82,10 @@
 	Refused     int `json:"refused"`
 }
 
-// maxTruth bounds each list of the truth.
-const maxTruth = 1 << 16
+// maxTruthEntries bounds each list in Truth: at twice this length the older half is dropped.
+const maxTruthEntries = 1 << 16
 
-// Truth returns what really happened so far.
+// Truth returns a copy of what really happened so far.
 func (s *Server) Truth() Truth {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,8 +95,8 @@
 	return truth
 }
 
-// note adds to the history. The caller holds mu.
-func (s *Server) note(kind HistoryKind, order endpoint.Order) {
+// recordHistory adds an entry to the history. The caller holds mu.
+func (s *Server) recordHistory(kind HistoryKind, order endpoint.Order) {
 	s.truth.History = appendBounded(s.truth.History, HistoryEntry{
 		At:        s.clock.Now(),
 		Kind:      kind,
@@ -108,15 +108,15 @@
 	})
 }
 
-// appendBounded appends and, at twice the bound, forgets the older half.
+// appendBounded appends an entry. If the list has twice maxTruthEntries it first drops the older half.
 func appendBounded[T any](list []T, entry T) []T {
-	if len(list) >= 2*maxTruth {
-		list = slices.Clone(list[maxTruth:])
+	if len(list) >= 2*maxTruthEntries {
+		list = slices.Clone(list[maxTruthEntries:])
 	}
 	return append(list, entry)
 }
 
-// reportHistory keeps the load reports of the last while, so that they can be served late.
+// reportHistory keeps the load reports of the last lag, so that reports can be served with a delay.
 type reportHistory struct {
 	lag     time.Duration
 	reports []endpoint.LoadReport
@@ -127,14 +127,14 @@
 	h.trim(report.ReportedAt)
 }
 
-// trim forgets all before the newest report that is at least lag old.
+// trim drops all reports before the newest one that is at least lag old.
 func (h *reportHistory) trim(now time.Time) {
 	for len(h.reports) > 1 && !h.reports[1].ReportedAt.After(now.Add(-h.lag)) {
 		h.reports = h.reports[1:]
 	}
 }
 
-// report returns the load as it was one lag ago. The caller holds the server's mu.
+// report returns the load as it was lag ago. The caller holds the server's mu.
 func (p *process) report(now time.Time) endpoint.LoadReport {
 	at := now.Add(-p.reports.lag)
 	p.reports.trim(now)
@@ -146,8 +146,8 @@
 	return report
 }
 
-// noteLoad records the present load. The caller holds mu.
-func (s *Server) noteLoad(p *process) {
+// recordLoad records the present load. The caller holds mu.
+func (s *Server) recordLoad(p *process) {
 	running, waiting := p.queue.running, p.queue.waiting()
 	s.truth.PeakRunning = max(s.truth.PeakRunning, running)
 	s.truth.PeakWaiting = max(s.truth.PeakWaiting, waiting)
@@ -159,11 +159,11 @@
 	})
 }
 
-// prefixSeparator stands between model and prefix in the keys of the prefix cache; no model's name holds it.
+// prefixSeparator separates model and prefix in the keys of the prefix cache; model names do not contain it.
 const prefixSeparator = "\x00"
 
-// notePrefix looks a prompt's prefix up in the cache and keeps it there. The caller holds mu.
-func (s *Server) notePrefix(p *process, modelName, prefix string) (hit bool) {
+// touchPrefix reports whether a prompt's prefix is in the cache, and adds it if not. The caller holds mu.
+func (s *Server) touchPrefix(p *process, modelName, prefix string) (hit bool) {
 	key := modelName + prefixSeparator + prefix
 	hit = p.prefixes.has(key)
 	evicted := p.prefixes.touch(key, 1)
@@ -177,7 +177,7 @@
 	return hit
 }
 
-// maxEvents bounds the cache events that are kept for readers.
+// maxEvents bounds the number of cache events that are kept for readers.
 const maxEvents = 4096
 
 func (s *Server) publish(p *process, kind endpoint.CacheEventKind, modelName, prefix string) {
@@ -200,7 +200,7 @@
 		control.WriteError(w, http.StatusBadRequest, endpoint.CodeInvalid, "after is not a sequence number")
 		return
 	}
-	s.document(func(p *process) any {
+	s.serveDocument(func(p *process) any {
 		until := s.clock.Now().Add(-s.options.EventLag)
 		answer := endpoint.CacheEvents{Incarnation: p.incarnation, Events: []endpoint.CacheEvent{}}
 		for _, event := range p.cacheEvents {
--- a/internal/standin/platform/hosts.go
+++ b/internal/standin/platform/hosts.go
@@ -13,29 +13,29 @@
 	"balsamsail/internal/standin/control"
 )
 
-// HostFaults are the faults of the host list.
+// HostFaults are the faults that can be injected into the host list.
 type HostFaults struct {
-	// Outage answers every call with 503.
+	// Outage answers every read with 503.
 	Outage bool `json:"outage"`
-	// LagSeconds is added to the list's lag.
+	// LagSeconds is added to Options.HostsLag.
 	LagSeconds float64 `json:"lag_seconds"`
 }
 
-// HostsAnswer is the answer to a read of the host list.
+// HostsAnswer is the response to a read of the host list.
 type HostsAnswer struct {
 	Version uint64         `json:"version"`
 	Hosts   []backing.Host `json:"hosts"`
 }
 
-// hosts is a list that shows each change only after a lag.
+// hosts is the host list, in which each change becomes visible only after a lag.
 type hosts struct {
-	server     *Server
-	lag        time.Duration
-	goneListed time.Duration
+	server        *Server
+	lag           time.Duration
+	goneRetention time.Duration
 
 	mu      sync.Mutex
 	pending []hostChange
-	shown   map[string]hostChange
+	visible map[string]hostChange
 	version uint64
 }
 
@@ -45,9 +45,9 @@
 }
 
 func newHosts(s *Server, o Options) *hosts {
-	h := &hosts{server: s, lag: o.HostsLag, goneListed: o.GoneListed, shown: map[string]hostChange{}}
+	h := &hosts{server: s, lag: o.HostsLag, goneRetention: o.GoneListed, visible: map[string]hostChange{}}
 	for _, host := range o.Hosts {
-		h.shown[host.ID] = hostChange{at: s.clock.Now(), host: host}
+		h.visible[host.ID] = hostChange{at: s.clock.Now(), host: host}
 		h.version++
 	}
 	return h
@@ -105,41 +105,41 @@
 			return change.host, true
 		}
 	}
-	change, ok := h.shown[id]
+	change, ok := h.visible[id]
 	return change.host, ok
 }
 
-// list returns what the list shows now.
+// list returns the list as it is visible now.
 func (h *hosts) list() HostsAnswer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	extra := h.server.faults.Get().Hosts.LagSeconds
 	h.advance(h.server.clock.Now().Add(-h.lag - control.Seconds(extra)))
 	answer := HostsAnswer{Version: h.version, Hosts: []backing.Host{}}
-	for _, change := range h.shown {
+	for _, change := range h.visible {
 		answer.Hosts = append(answer.Hosts, change.host)
 	}
 	slices.SortFunc(answer.Hosts, func(a, b backing.Host) int { return strings.Compare(a.ID, b.ID) })
 	return answer
 }
 
-// advance shows the changes up to a time and drops the hosts that were gone for long.
+// advance makes the changes up to a time visible and removes the hosts that have been gone for longer than goneRetention.
 func (h *hosts) advance(until time.Time) {
 	for len(h.pending) > 0 && !h.pending[0].at.After(until) {
-		h.shown[h.pending[0].host.ID] = h.pending[0]
+		h.visible[h.pending[0].host.ID] = h.pending[0]
 		h.pending = h.pending[1:]
 		h.version++
 	}
-	for id, change := range h.shown {
-		if change.host.State == backing.HostGone && until.Sub(change.at) > h.goneListed {
-			delete(h.shown, id)
+	for id, change := range h.visible {
+		if change.host.State == backing.HostGone && until.Sub(change.at) > h.goneRetention {
+			delete(h.visible, id)
 			h.version++
 		}
 	}
 }
 
-// PutHost lists a host or changes its line, seen after the lag.
+// PutHost adds or changes a host, visible after the lag.
 func (s *Server) PutHost(host backing.Host) { s.hosts.set(host) }
 
-// RemoveHost marks a host as gone, seen after the lag.
+// RemoveHost marks a host as gone, visible after the lag.
 func (s *Server) RemoveHost(id string) { s.hosts.remove(id) }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,15 +1,15 @@
-// Package platform stands in for the services that the platform runs, for tests and the dev command: the transactional
-// table, the object store, the weight store and the host list, in one HTTP server that keeps all in memory.
+// Package platform is a stand-in for the services of the platform, for tests and the dev command: the transactional table,
+// the object store, the weight store and the host list, in one HTTP server that keeps everything in memory.
 //
 //	GET    /table/row?key=K             backing.Row, 404 if absent
 //	GET    /table/rows?prefix=P&after=N backing.Listing
-//	POST   /table/commit                backing.Txn in, {"revision":N} out; 409 with {"key","revision"}
+//	POST   /table/commit                takes a backing.Txn; {"revision":N}, or 409 with {"key","revision"}
 //	PUT    /objects/{name}              immutable blob; 409 if it exists with other content
 //	GET    /objects/{name}
-//	POST   /weights/fetch               FetchRequest in; the answer comes when the transfer ends
-//	GET    /hosts                       {"version","hosts"}, lagging
-//	PUT    /hosts/{id}                  backing.Host in
-//	DELETE /hosts/{id}                  the host is gone
+//	POST   /weights/fetch               takes a FetchRequest; responds when the transfer ends
+//	GET    /hosts                       {"version","hosts"}, delayed by HostsLag
+//	PUT    /hosts/{id}                  takes a backing.Host
+//	DELETE /hosts/{id}                  marks the host as gone
 //	GET    /faults, POST, DELETE        Faults
 //	GET    /truth                       Truth
 package platform
@@ -25,34 +25,34 @@
 	"balsamsail/internal/standin/control"
 )
 
-// Options are the settings of the stand-in. A zero takes the default that is given with it.
+// Options configure the stand-in. A zero value selects the default, which is given in parentheses.
 type Options struct {
-	// Clock is the source of time (the machine's).
+	// Clock is the source of time (the system clock).
 	Clock clock.Clock
-	// Seed seeds the chances of faults.
+	// Seed seeds the random choices of faults.
 	Seed uint64
-	// Table and Objects limit the calls of each store.
+	// Table and Objects are the rate limits of the two stores.
 	Table, Objects StoreLimits
-	// Weights limits the weight store.
+	// Weights are the limits of the weight store.
 	Weights WeightLimits
-	// HostsLag is how far the host list runs behind.
+	// HostsLag is the delay after which a change becomes visible in the host list.
 	HostsLag time.Duration
-	// GoneListed is how long a host that is gone stays listed (one minute).
+	// GoneListed is how long a host stays listed after it is gone (one minute).
 	GoneListed time.Duration
-	// Hosts are listed from the start, without lag.
+	// Hosts are visible from the start, without lag.
 	Hosts []backing.Host
 }
 
-// StoreLimits are the calls a second that a store takes.
+// StoreLimits are the rate limits of a store.
 type StoreLimits struct {
-	// ReadsPerSecond (2000) and WritesPerSecond (400); a second's worth may come at once.
+	// ReadsPerSecond (2000) and WritesPerSecond (400) are in calls a second, with a burst of one second's calls.
 	ReadsPerSecond, WritesPerSecond float64
 }
 
 // Server is the stand-in.
 type Server struct {
 	clock   clock.Clock
-	faults  *control.Switch[Faults]
+	faults  *control.FaultSet[Faults]
 	table   *table
 	objects *objects
 	weights *weights
@@ -60,7 +60,7 @@
 	router  chi.Router
 }
 
-// New returns a stand-in that holds no rows and no objects.
+// New returns a stand-in without rows and objects.
 func New(o Options) *Server {
 	if o.Clock == nil {
 		o.Clock = clock.Real{}
@@ -68,7 +68,7 @@
 	if o.GoneListed == 0 {
 		o.GoneListed = time.Minute
 	}
-	s := &Server{clock: o.Clock, faults: control.NewSwitch[Faults](o.Seed), router: chi.NewRouter()}
+	s := &Server{clock: o.Clock, faults: control.NewFaultSet[Faults](o.Seed), router: chi.NewRouter()}
 	s.table = &table{
 		store: newStore(s, o.Table, func(f *Faults) *StoreFaults { return &f.Table }),
 		rows:  map[string]backing.Row{},
@@ -90,13 +90,13 @@
 	return s
 }
 
-// Handler returns the server's HTTP interface.
+// Handler returns the server's HTTP handler.
 func (s *Server) Handler() http.Handler { return s.router }
 
-// Faults returns the switch of the faults.
-func (s *Server) Faults() *control.Switch[Faults] { return s.faults }
+// Faults returns the injected faults, which the caller may change.
+func (s *Server) Faults() *control.FaultSet[Faults] { return s.faults }
 
-// Truth is what really happened.
+// Truth is what really happened at the stores, including calls whose responses were lost.
 type Truth struct {
 	Table   StoreTruth  `json:"table"`
 	Objects StoreTruth  `json:"objects"`
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -33,13 +33,13 @@
 		kind    string
 		count   int
 		seconds float64
-		// want is when the last one ends.
+		// want is the time in seconds until the last one ends.
 		want float64
 	}{
 		{"one load", WeightLimits{}, WeightFaults{}, FetchWeights, 1, 8, 8},
 		{"as many as run at full speed", WeightLimits{}, WeightFaults{}, FetchWeights, 4, 8, 8},
 		{"twice as many at once", WeightLimits{LoadsPerSecond: 100}, WeightFaults{}, FetchWeights, 8, 8, 16},
-		// 10 starts in the window of 2 s are 5 a second, twice the limit: half speed for 2 s, then full.
+		// 10 starts in the window of 2 s are 5 a second, twice the limit: half speed for 2 s, then full speed.
 		{"twice as many starts a second", WeightLimits{Loads: 100}, WeightFaults{}, FetchWeights, 10, 3, 4},
 		{"adapters up to their limit", WeightLimits{}, WeightFaults{}, FetchAdapter, 30, 1, 1},
 		{"three times as many adapters", WeightLimits{}, WeightFaults{}, FetchAdapter, 90, 1, 3},
@@ -66,10 +66,10 @@
 				}
 				truth := s.Truth().Weights
 				if all := truth.Loads.Finished + truth.Adapters.Finished; all != c.count {
-					t.Errorf("finished %d, want %d", all, c.count)
+					t.Errorf("finished %d transfers, want %d", all, c.count)
 				}
 				if peak := truth.Loads.Peak + truth.Adapters.Peak; peak != c.count {
-					t.Errorf("peak %d, want %d", peak, c.count)
+					t.Errorf("peak of %d transfers, want %d", peak, c.count)
 				}
 			})
 		})
@@ -87,7 +87,7 @@
 		time.Sleep(time.Second)
 		s.Faults().Update(func(f *Faults) { f.Weights.Outage = true })
 		if got := <-cut; got != http.ErrAbortHandler {
-			t.Errorf("the transfer ended with %v, want a cut connection", got)
+			t.Errorf("the transfer ended with %v, want a dropped connection", got)
 		}
 		if w := fetch(s, FetchWeights, 1); w.Code != http.StatusServiceUnavailable {
 			t.Errorf("status %d for a new transfer", w.Code)
@@ -136,7 +136,7 @@
 func TestRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{Table: StoreLimits{ReadsPerSecond: 10, WritesPerSecond: 5}})
-		taken := func(method, path, body string) (n int) {
+		accepted := func(method, path, body string) (n int) {
 			for range 20 {
 				if call(s, method, path, body).Code == http.StatusOK {
 					n++
@@ -146,10 +146,10 @@
 		}
 		for _, want := range []int{0, 1} {
 			time.Sleep(time.Duration(want) * time.Second)
-			if got := taken(http.MethodGet, "/table/rows", ""); got != 10 {
+			if got := accepted(http.MethodGet, "/table/rows", ""); got != 10 {
 				t.Errorf("%d reads in second %d, want 10", got, want)
 			}
-			if got := taken(http.MethodPost, "/table/commit", "{}"); got != 5 {
+			if got := accepted(http.MethodPost, "/table/commit", "{}"); got != 5 {
 				t.Errorf("%d writes in second %d, want 5", got, want)
 			}
 		}
@@ -164,14 +164,14 @@
 	cases := []struct {
 		name, method, body string
 		status             int
-		// want is what the answer must hold.
+		// want is what the response must contain.
 		want string
 	}{
 		{"one fault", http.MethodPost, `{"table":{"lose_after":{"next":2}}}`, http.StatusOK, `"next":2`},
 		{"another keeps the first", http.MethodPost, `{"weights":{"slow_factor":3}}`, http.StatusOK, `"next":2`},
 		{"unknown field", http.MethodPost, `{"table":{"outge":true}}`, http.StatusBadRequest, `outge`},
 		{"wrong type", http.MethodPost, `{"table":{"outage":"yes"}}`, http.StatusBadRequest, `outage`},
-		{"a refused one changes nothing", http.MethodGet, ``, http.StatusOK, `"slow_factor":3`},
+		{"a rejected change has no effect", http.MethodGet, ``, http.StatusOK, `"slow_factor":3`},
 		{"all off", http.MethodDelete, ``, http.StatusOK, `"slow_factor":0`},
 	}
 	s := New(Options{})
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -9,7 +9,7 @@
 	"balsamsail/internal/standin/control"
 )
 
-// Faults are what can go wrong with the platform's services.
+// Faults are the faults that can be injected into the platform's services.
 type Faults struct {
 	Table   StoreFaults  `json:"table"`
 	Objects StoreFaults  `json:"objects"`
@@ -17,18 +17,18 @@
 	Hosts   HostFaults   `json:"hosts"`
 }
 
-// StoreFaults are the faults of the table or of the object store.
+// StoreFaults are the faults that can be injected into the table or the object store.
 type StoreFaults struct {
 	// Outage answers every call with 503.
 	Outage bool `json:"outage"`
-	// Hang gives no answer at all and takes no call.
+	// Hang leaves every call unexecuted and unanswered.
 	Hang bool `json:"hang"`
-	// LatencySeconds is the mean of what is added before each call, exponentially distributed.
+	// LatencySeconds is the mean of an exponentially distributed delay that is added before each call.
 	LatencySeconds float64 `json:"latency_seconds"`
-	// LoseBefore cuts the connection before the write happened, LoseAfter after it.
+	// LoseBefore drops the connection before a write is executed, LoseAfter after it.
 	LoseBefore control.Chance `json:"lose_before"`
 	LoseAfter  control.Chance `json:"lose_after"`
-	// Delay cuts the connection and lets the write happen DelaySeconds later.
+	// Delay drops the connection and executes the write DelaySeconds later.
 	Delay        control.Chance `json:"delay"`
 	DelaySeconds float64        `json:"delay_seconds"`
 }
@@ -40,22 +40,22 @@
 	Conflicts   int `json:"conflicts"`
 	RateLimited int `json:"rate_limited"`
 	Refused     int `json:"refused"`
-	// LostBefore, LostAfter and Delayed count the faults that hit a write, LostReads those that hit a read.
+	// LostBefore, LostAfter and Delayed count the writes that these faults affected, LostReads the reads.
 	LostBefore int `json:"lost_before"`
 	LostAfter  int `json:"lost_after"`
 	Delayed    int `json:"delayed"`
 	LostReads  int `json:"lost_reads"`
-	// PeakReads and PeakWrites are the most calls taken within one second of the clock.
+	// PeakReads and PeakWrites are the largest numbers of calls accepted within one second of the clock.
 	PeakReads  int `json:"peak_reads_per_second"`
 	PeakWrites int `json:"peak_writes_per_second"`
 }
 
-// store is the part that the table and the object store share: limits, faults and counts.
+// store is what the table and the object store share: rate limits, faults and counts.
 type store struct {
-	server *Server
-	choose func(*Faults) *StoreFaults
-	reads  *rate.Limiter
-	writes *rate.Limiter
+	server       *Server
+	selectFaults func(*Faults) *StoreFaults
+	reads        *rate.Limiter
+	writes       *rate.Limiter
 
 	mu          sync.Mutex
 	counts      StoreTruth
@@ -71,21 +71,22 @@
 
 func newStore(s *Server, limits StoreLimits, choose func(*Faults) *StoreFaults) *store {
 	return &store{
-		server: s,
-		choose: choose,
-		reads:  newLimiter(limits.ReadsPerSecond, defaultReads),
-		writes: newLimiter(limits.WritesPerSecond, defaultWrites),
+		server:       s,
+		selectFaults: choose,
+		reads:        newLimiter(limits.ReadsPerSecond, defaultReads),
+		writes:       newLimiter(limits.WritesPerSecond, defaultWrites),
 	}
 }
 
-func newLimiter(perSecond, otherwise float64) *rate.Limiter {
+func newLimiter(perSecond, fallback float64) *rate.Limiter {
 	if perSecond == 0 {
-		perSecond = otherwise
+		perSecond = fallback
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// admit applies faults and the limit to a call. It answers and returns false if the call is not taken.
+// admit applies faults and the rate limit to a call. It returns false if the call must not be executed; any response has
+// been written then.
 func (s *store) admit(w http.ResponseWriter, r *http.Request, limiter *rate.Limiter) bool {
 	faults := s.faults()
 	latency := control.Seconds(faults.LatencySeconds)
@@ -109,7 +110,7 @@
 	return true
 }
 
-// read runs a read unless a fault or the limit forbids it.
+// read runs a read unless a fault or the rate limit prevents it.
 func (s *store) read(w http.ResponseWriter, r *http.Request, run func()) {
 	if !s.admit(w, r, s.reads) {
 		return
@@ -122,19 +123,19 @@
 	if s.hit(func(f *StoreFaults) *control.Chance { return &f.LoseBefore }) ||
 		s.hit(func(f *StoreFaults) *control.Chance { return &f.LoseAfter }) {
 		s.count(func(t *StoreTruth) { t.LostReads++ })
-		control.Lose()
+		control.DropConnection()
 	}
 	run()
 }
 
-// write runs a write, in time, later or never as the faults say. The function that run returns writes the answer.
+// write runs a write at once, later or never, depending on the faults. The function that run returns writes the response.
 func (s *store) write(w http.ResponseWriter, r *http.Request, run func() (answer func())) {
 	if !s.admit(w, r, s.writes) {
 		return
 	}
 	if s.hit(func(f *StoreFaults) *control.Chance { return &f.LoseBefore }) {
 		s.count(func(t *StoreTruth) { t.LostBefore++ })
-		control.Lose()
+		control.DropConnection()
 	}
 	if s.hit(func(f *StoreFaults) *control.Chance { return &f.Delay }) {
 		s.count(func(t *StoreTruth) { t.Delayed++ })
@@ -143,17 +144,17 @@
 			<-timer.C()
 			run()
 		}()
-		control.Lose()
+		control.DropConnection()
 	}
 	answer := run()
 	if s.hit(func(f *StoreFaults) *control.Chance { return &f.LoseAfter }) {
 		s.count(func(t *StoreTruth) { t.LostAfter++ })
-		control.Lose()
+		control.DropConnection()
 	}
 	answer()
 }
 
-// countWrite counts a write that took effect.
+// countWrite counts a write that was executed successfully.
 func (s *store) countWrite() {
 	s.count(func(t *StoreTruth) {
 		t.Writes++
@@ -164,11 +165,11 @@
 
 func (s *store) faults() StoreFaults {
 	all := s.server.faults.Get()
-	return *s.choose(&all)
+	return *s.selectFaults(&all)
 }
 
 func (s *store) hit(choose func(*StoreFaults) *control.Chance) bool {
-	return s.server.faults.Hit(func(f *Faults) *control.Chance { return choose(s.choose(f)) })
+	return s.server.faults.Hit(func(f *Faults) *control.Chance { return choose(s.selectFaults(f)) })
 }
 
 func (s *store) count(change func(*StoreTruth)) {
--- a/internal/standin/platform/table.go
+++ b/internal/standin/platform/table.go
@@ -15,7 +15,7 @@
 	"balsamsail/internal/standin/control"
 )
 
-// table is a transactional table with one commit counter.
+// table is a transactional table whose commits are numbered by one revision counter.
 type table struct {
 	store *store
 
@@ -81,19 +81,19 @@
 	})
 }
 
-// CommitAnswer is the answer to a transaction that committed.
+// CommitAnswer is the response to a committed transaction.
 type CommitAnswer struct {
 	Revision uint64 `json:"revision"`
 }
 
-// apply runs a transaction and returns its revision, or the row whose condition failed.
+// apply executes a transaction and returns its revision, or the key and present revision of the row whose condition failed.
 func (t *table) apply(txn backing.Txn) (uint64, *backing.Condition) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, condition := range txn.Conditions {
-		if has := t.rows[condition.Key].Revision; has != condition.Revision {
+		if current := t.rows[condition.Key].Revision; current != condition.Revision {
 			t.store.count(func(c *StoreTruth) { c.Conflicts++ })
-			return 0, &backing.Condition{Key: condition.Key, Revision: has}
+			return 0, &backing.Condition{Key: condition.Key, Revision: current}
 		}
 	}
 	t.revision++
@@ -107,7 +107,7 @@
 	return t.revision, nil
 }
 
-// Rows returns all rows of the table whose keys begin with prefix, past every fault.
+// Rows returns all rows of the table whose keys begin with prefix, bypassing faults and limits.
 func (s *Server) Rows(prefix string) backing.Listing { return s.table.snapshot(prefix, 0) }
 
 // objects is a store of immutable blobs.
@@ -146,7 +146,7 @@
 	o.store.write(w, r, func() func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		if has, ok := o.blobs[name]; ok && !bytes.Equal(has, data) {
+		if current, ok := o.blobs[name]; ok && !bytes.Equal(current, data) {
 			o.store.count(func(t *StoreTruth) { t.Conflicts++ })
 			return func() { control.WriteError(w, http.StatusConflict, "exists", "the object has other content") }
 		}
@@ -156,7 +156,7 @@
 	})
 }
 
-// Object returns an object past every fault, or nil if there is none.
+// Object returns an object, bypassing faults and limits, or nil if it does not exist.
 func (s *Server) Object(name string) []byte {
 	s.objects.mu.Lock()
 	defer s.objects.mu.Unlock()
--- a/internal/standin/platform/weights.go
+++ b/internal/standin/platform/weights.go
@@ -10,7 +10,7 @@
 	"balsamsail/internal/standin/control"
 )
 
-// The kinds of a transfer from the weight store.
+// The kinds of transfers from the weight store.
 const (
 	FetchWeights = "weights"
 	FetchAdapter = "adapter"
@@ -21,27 +21,27 @@
 	// Kind is FetchWeights or FetchAdapter.
 	Kind  string `json:"kind"`
 	Model string `json:"model"`
-	// Seconds is the time that the transfer takes at full speed.
+	// Seconds is the duration of the transfer at full speed.
 	Seconds float64 `json:"seconds"`
 }
 
-// WeightLimits are the limits within which transfers run at full speed; beyond each of them all transfers under way
-// slow down in proportion.
+// WeightLimits are the limits within which transfers run at full speed. When one is exceeded, all transfers in progress that
+// it applies to slow down in proportion.
 type WeightLimits struct {
-	// Loads is the number of checkpoints in transit (4).
+	// Loads is the number of concurrent checkpoint transfers (4).
 	Loads int
-	// LoadsPerSecond is the rate at which checkpoint transfers start (2.5), over the last RateWindow.
+	// LoadsPerSecond is the rate at which checkpoint transfers start (2.5), measured over the last RateWindow.
 	LoadsPerSecond float64
-	// Adapters is the number of adapters in transit (30).
+	// Adapters is the number of concurrent adapter transfers (30).
 	Adapters int
 }
 
-// RateWindow is the time over which the rate of starts is taken.
+// RateWindow is the time over which the rate of transfer starts is measured.
 const RateWindow = 2 * time.Second
 
-// WeightFaults are the faults of the weight store.
+// WeightFaults are the faults that can be injected into the weight store.
 type WeightFaults struct {
-	// Outage answers every new transfer with 503 and cuts those under way.
+	// Outage answers every new transfer with 503 and drops the connections of those in progress.
 	Outage bool `json:"outage"`
 	// SlowFactor makes every transfer that many times slower; 0 and 1 mean full speed.
 	SlowFactor float64 `json:"slow_factor"`
@@ -108,10 +108,10 @@
 		control.WriteError(rw, http.StatusServiceUnavailable, "unavailable", "outage")
 		return
 	}
-	w.start(request.Kind)
+	w.recordStart(request.Kind)
 	if !w.transfer(r, request) {
 		w.count(request.Kind, func(t *TransferTruth) { t.Cut++; t.InFlight-- })
-		control.Lose()
+		control.DropConnection()
 	}
 	w.count(request.Kind, func(t *TransferTruth) { t.Finished++; t.InFlight-- })
 	rw.WriteHeader(http.StatusNoContent)
@@ -120,49 +120,50 @@
 const (
 	minStep = time.Millisecond
 	maxStep = 50 * time.Millisecond
-	// stepShare is the part of what is left that a step takes, so that the steps grow finer towards the end.
+	// A step takes 1/stepShare of the remaining time, so that the steps become shorter towards the end.
 	stepShare = 8
 )
 
-// transfer waits until the transfer is complete, at a speed that follows the load, and says whether it was not cut.
+// transfer waits until the transfer is complete, at a speed that depends on the load. It returns false if the transfer is
+// interrupted by the client or an outage.
 func (w *weights) transfer(r *http.Request, request FetchRequest) bool {
-	left := control.Seconds(request.Seconds)
+	remaining := control.Seconds(request.Seconds)
 	last := w.server.clock.Now()
-	for left > 0 {
+	for remaining > 0 {
 		speed := w.speed(request.Kind)
-		step := max(minStep, min(maxStep, left/stepShare))
+		step := max(minStep, min(maxStep, remaining/stepShare))
 		if !control.Sleep(r.Context(), w.server.clock, step) || w.server.faults.Get().Weights.Outage {
 			return false
 		}
 		now := w.server.clock.Now()
-		left -= time.Duration(float64(now.Sub(last)) * speed)
+		remaining -= time.Duration(float64(now.Sub(last)) * speed)
 		last = now
 	}
 	return true
 }
 
-// speed returns the present speed of a transfer as a share of full speed.
+// speed returns the present speed of a transfer as a fraction of full speed.
 func (w *weights) speed(kind string) float64 {
 	slow := max(1, w.server.faults.Get().Weights.SlowFactor)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if kind == FetchAdapter {
-		return share(float64(w.limits.Adapters), float64(w.truth.Adapters.InFlight)) / slow
+		return speedShare(float64(w.limits.Adapters), float64(w.truth.Adapters.InFlight)) / slow
 	}
 	recent := float64(w.recentStarts()) / RateWindow.Seconds()
-	speed := share(float64(w.limits.Loads), float64(w.truth.Loads.InFlight))
-	return min(speed, share(w.limits.LoadsPerSecond, recent)) / slow
+	speed := speedShare(float64(w.limits.Loads), float64(w.truth.Loads.InFlight))
+	return min(speed, speedShare(w.limits.LoadsPerSecond, recent)) / slow
 }
 
-// share returns what each gets of a limit: all of it up to the limit, and less in proportion beyond.
-func share(limit, demand float64) float64 {
+// speedShare returns the fraction of full speed at the given demand: 1 up to the limit, limit/demand beyond it.
+func speedShare(limit, demand float64) float64 {
 	if demand <= limit {
 		return 1
 	}
 	return limit / demand
 }
 
-func (w *weights) start(kind string) {
+func (w *weights) recordStart(kind string) {
 	w.count(kind, func(t *TransferTruth) {
 		t.Started++
 		t.InFlight++
@@ -173,7 +174,7 @@
 	})
 }
 
-// recentStarts forgets the starts before the window and counts the others.
+// recentStarts drops the starts before the window and returns the number of the others.
 func (w *weights) recentStarts() int {
 	since := w.server.clock.Now().Add(-RateWindow)
 	for len(w.starts) > 0 && w.starts[0].Before(since) {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,10 +1,9 @@
-// Package service stands in for a plain service, for tests and the dev command: it takes any method and path, and keeps
-// the truth of which calls it ran and how often.
+// Package service is a stand-in for a plain service, for tests and the dev command. It accepts any method and path, and
+// records which calls it executed and how often (Truth).
 //
-// A call is told from others by its marker, a "marker" in the query or in a JSON body; without one by its
-// Idempotency-Key, and without that by its X-Request-Id. POST /echo answers with the request's body; every other call
-// with JSON that holds a sequence number. The stand-in's own paths are GET /admin/report, GET, POST and DELETE of
-// /faults, and GET /truth.
+// A call is identified by its method, its path and a key: the "marker" in the query or in a JSON body, or else the
+// Idempotency-Key, or else the X-Request-Id. POST /echo responds with the request's body, every other call with JSON that
+// contains a sequence number. The stand-in's own paths are GET /admin/report, GET, POST and DELETE /faults, and GET /truth.
 package service
 
 import (
@@ -24,15 +23,15 @@
 	"balsamsail/internal/standin/control"
 )
 
-// Options are the settings of the stand-in. A zero takes the default that is given with it.
+// Options configure the stand-in. A zero value selects the default, which is given in parentheses.
 type Options struct {
-	// Clock is the source of time (the machine's).
+	// Clock is the source of time (the system clock).
 	Clock clock.Clock
-	// Seed seeds the chances of faults.
+	// Seed seeds the random choices of faults.
 	Seed uint64
-	// ServiceTime is how long a call takes (none).
+	// ServiceTime is how long a call takes (no time).
 	ServiceTime time.Duration
-	// Concurrency is the number of calls that run at once (64); others wait.
+	// Concurrency is the number of calls that run concurrently (64); others wait.
 	Concurrency int
 	// HidesRequestID stops the service from echoing X-Request-Id.
 	HidesRequestID bool
@@ -40,32 +39,32 @@
 
 const defaultConcurrency = 64
 
-// Faults are what can go wrong with a plain service.
+// Faults are the faults that can be injected into a plain service.
 type Faults struct {
 	// SlowFactor makes each call that many times slower; 0 and 1 mean full speed.
 	SlowFactor float64 `json:"slow_factor"`
-	// Refuse refuses every call with 503.
+	// Refuse rejects every call with 503.
 	Refuse bool `json:"refuse"`
-	// HangBefore never runs the call and never answers; HangAfter runs it and never answers.
+	// HangBefore leaves the call unanswered without executing it, HangAfter after executing it.
 	HangBefore control.Chance `json:"hang_before"`
 	HangAfter  control.Chance `json:"hang_after"`
-	// CutBefore breaks the connection without running the call, CutAfter once it has run.
+	// CutBefore drops the connection without executing the call, CutAfter after executing it.
 	CutBefore control.Chance `json:"cut_before"`
 	CutAfter  control.Chance `json:"cut_after"`
 }
 
-// Call is one call that ran, by method, path and the key that tells it from others.
+// Call is one call that was executed, identified by method, path and key.
 type Call struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Key    string `json:"key"`
-	// Executions is how often it ran.
+	// Executions is how often the call was executed.
 	Executions int `json:"executions"`
 }
 
-// Truth is what the service really ran.
+// Truth is what the service really executed.
 type Truth struct {
-	// Calls are in order of their first run.
+	// Calls are in order of their first execution.
 	Calls       []Call `json:"calls"`
 	Executions  int    `json:"executions"`
 	Refused     int    `json:"refused"`
@@ -73,9 +72,9 @@
 	PeakRunning int    `json:"peak_running"`
 }
 
-// Answer is the answer to every call but POST /echo.
+// Answer is the response to every call except POST /echo.
 type Answer struct {
-	// Sequence is the number of runs up to and with this one.
+	// Sequence is the number of executions so far, including this one.
 	Sequence int    `json:"sequence"`
 	Method   string `json:"method"`
 	Path     string `json:"path"`
@@ -85,7 +84,7 @@
 // Server is the stand-in.
 type Server struct {
 	options Options
-	faults  *control.Switch[Faults]
+	faults  *control.FaultSet[Faults]
 	router  chi.Router
 	slots   *semaphore.Weighted
 
@@ -98,7 +97,7 @@
 
 type callID struct{ method, path, key string }
 
-// New returns a service that has run nothing.
+// New returns a service that has executed no calls.
 func New(o Options) *Server {
 	if o.Clock == nil {
 		o.Clock = clock.Real{}
@@ -108,7 +107,7 @@
 	}
 	s := &Server{
 		options: o,
-		faults:  control.NewSwitch[Faults](o.Seed),
+		faults:  control.NewFaultSet[Faults](o.Seed),
 		router:  chi.NewRouter(),
 		slots:   semaphore.NewWeighted(int64(o.Concurrency)),
 		index:   map[callID]int{},
@@ -124,13 +123,13 @@
 	return s
 }
 
-// Handler returns the server's HTTP interface.
+// Handler returns the server's HTTP handler.
 func (s *Server) Handler() http.Handler { return s.router }
 
-// Faults returns the switch of the faults.
-func (s *Server) Faults() *control.Switch[Faults] { return s.faults }
+// Faults returns the injected faults, which the caller may change.
+func (s *Server) Faults() *control.FaultSet[Faults] { return s.faults }
 
-// Truth returns what ran so far.
+// Truth returns what was executed so far.
 func (s *Server) Truth() Truth {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,9 +154,9 @@
 		return
 	}
 	echo := r.Method == http.MethodPost && r.URL.Path == "/echo"
-	key, err := keyOf(r, echo)
+	key, err := callKey(r, echo)
 	if err != nil {
-		control.Lose()
+		control.DropConnection()
 	}
 	s.hang(r, func(f *Faults) *control.Chance { return &f.HangBefore })
 	s.cut(func(f *Faults) *control.Chance { return &f.CutBefore })
@@ -169,8 +168,8 @@
 	s.run(w, r, key, echo)
 }
 
-// run executes a call and answers it. The call takes effect when its service time begins, and is then not given up
-// any more.
+// run executes a call and responds. The call counts as executed when its service time begins, even if the client disconnects
+// after that.
 func (s *Server) run(w http.ResponseWriter, r *http.Request, key string, echo bool) {
 	answer := s.execute(callID{r.Method, r.URL.Path, key})
 	duration := float64(s.options.ServiceTime) * max(1, s.faults.Get().SlowFactor)
@@ -183,14 +182,14 @@
 	}
 	w.Header().Set("Content-Type", r.Header.Get("Content-Type"))
 	flusher := http.NewResponseController(w)
-	// Without full duplex the server would read the whole body before it sends the answer's first byte.
+	// Without full duplex the server would read the whole body before it sends the response's first byte.
 	_ = flusher.EnableFullDuplex()
 	if _, err := io.Copy(flushWriter{w, flusher}, r.Body); err != nil {
-		control.Lose()
+		control.DropConnection()
 	}
 }
 
-// flushWriter sends each write at once.
+// flushWriter flushes after each write.
 type flushWriter struct {
 	io.Writer
 	flusher *http.ResponseController
@@ -218,12 +217,12 @@
 	return Answer{Sequence: s.truth.Executions, Method: id.method, Path: id.path, Key: id.key}
 }
 
-// maxBody bounds a body in which a marker is looked for, in bytes.
+// maxBody bounds a body that is searched for a marker, in bytes.
 const maxBody = 16 << 20
 
-// keyOf returns what tells a call from others. It reads the body for a marker unless the body is to be streamed, and
-// fails if the body does not come whole: such a call is not run.
-func keyOf(r *http.Request, streamed bool) (string, error) {
+// callKey returns the key that identifies a call. It reads the body for a marker unless the body is to be streamed. It fails
+// if the body is incomplete; such a call is not executed.
+func callKey(r *http.Request, streamed bool) (string, error) {
 	marked := struct {
 		Marker string `json:"marker"`
 	}{Marker: r.URL.Query().Get("marker")}
@@ -264,13 +263,13 @@
 func (s *Server) hang(r *http.Request, choose func(*Faults) *control.Chance) {
 	if s.faults.Hit(choose) {
 		control.Hang(r)
-		control.Lose()
+		control.DropConnection()
 	}
 }
 
 func (s *Server) cut(choose func(*Faults) *control.Chance) {
 	if s.faults.Hit(choose) {
-		control.Lose()
+		control.DropConnection()
 	}
 }
 
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -37,7 +37,8 @@
 // kind is the kind of a request. It determines its route and whether it may run more than once.
 type kind int
 
-// The kinds of requests.
+// The kinds of requests: safe reads, writes that must not run twice, chat streams that may be resumed at another endpoint,
+// chat streams that must not run twice, and probes of routes.
 const (
 	read kind = iota
 	notice
