--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -121,7 +121,7 @@
 		for range 3 {
 			orders.Go(func() {
 				if e := load(s, "m"); e.status != http.StatusOK {
-					t.Errorf("joined load: %+v", e)
+					t.Errorf("concurrent load: %+v", e)
 				}
 			})
 		}
@@ -146,10 +146,10 @@
 			t.Errorf("history %v, want %v", kinds, want)
 		}
 		if want := s.options.KVBytes + 20*gib; truth.MemoryPeak != want {
-			t.Errorf("peak %d, want %d", truth.MemoryPeak, want)
+			t.Errorf("peak memory %d, want %d", truth.MemoryPeak, want)
 		}
 		if state := read[endpoint.EngineState](t, s, endpoint.PathState); state.UsedBytes != s.options.KVBytes+10*gib {
-			t.Errorf("used %d", state.UsedBytes)
+			t.Errorf("used memory %d, want that of the KV cache and one model", state.UsedBytes)
 		}
 	})
 }
@@ -182,7 +182,7 @@
 				}
 				orders.Wait()
 				if state := read[endpoint.EngineState](t, s, endpoint.PathState); len(state.Models) != c.held {
-					t.Errorf("holds %+v, want %d", state.Models, c.held)
+					t.Errorf("loaded %+v, want %d models", state.Models, c.held)
 				}
 			})
 		})
@@ -286,7 +286,7 @@
 			var requests sync.WaitGroup
 			requests.Go(func() {
 				if e := chat(s, "m", "r", "", 100); !e.cut {
-					t.Errorf("answered %+v", e)
+					t.Errorf("got response %+v, want a dropped connection", e)
 				}
 			})
 			time.Sleep(100 * time.Millisecond)
@@ -294,14 +294,14 @@
 			requests.Wait()
 			state := read[endpoint.EngineState](t, s, endpoint.PathState)
 			if len(state.Models) != 0 || state.UsedBytes != s.options.KVBytes {
-				t.Errorf("still holds %+v", state)
+				t.Errorf("models are still loaded: %+v", state)
 			}
 			if restarted := state.Incarnation != before.Incarnation; restarted != (i == 1) {
 				t.Errorf("incarnation %q after %q", state.Incarnation, before.Incarnation)
 			}
 		}
 		if truth := s.Truth(); truth.CutByUnload != 1 || truth.Cut != 2 {
-			t.Errorf("cut %d, by unload %d", truth.Cut, truth.CutByUnload)
+			t.Errorf("cut %d requests, %d by unload; want 2 and 1", truth.Cut, truth.CutByUnload)
 		}
 	})
 }
@@ -337,7 +337,7 @@
 			chat(s, "m", id, "", 1)
 		}
 		if early := read[endpoint.CacheEvents](t, s, endpoint.PathEvents); len(early.Events) != 0 {
-			t.Errorf("early events %+v", early)
+			t.Errorf("events before EventLag has passed: %+v", early)
 		}
 		time.Sleep(time.Second)
 		got := ""
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -55,7 +55,7 @@
 				for range c.count {
 					transfers.Go(func() {
 						if w := fetch(s, c.kind, c.seconds); w.Code != http.StatusNoContent {
-							t.Errorf("status %d", w.Code)
+							t.Errorf("fetch: status %d", w.Code)
 						}
 					})
 				}
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -47,7 +47,7 @@
 			}
 			truth := s.Truth()
 			if len(truth.Calls) != 1 || truth.Calls[0].Key != c.want || truth.Calls[0].Executions != 2 {
-				t.Errorf("ran %+v, want %q twice", truth.Calls, c.want)
+				t.Errorf("executed %+v, want key %q twice", truth.Calls, c.want)
 			}
 		})
 	}
@@ -68,14 +68,14 @@
 			t.Fatal(err)
 		}
 		if report.Running != 2 || report.Waiting != 1 {
-			t.Errorf("report %+v", report)
+			t.Errorf("report %+v, want 2 running and 1 waiting", report)
 		}
 		calls.Wait()
 		if took := time.Since(begun); took != 6*time.Second {
 			t.Errorf("took %v, want 6s", took)
 		}
 		if truth := s.Truth(); truth.PeakRunning != 2 || truth.Executions != 3 {
-			t.Errorf("truth %+v", truth)
+			t.Errorf("truth %+v, want a peak of 2 and 3 executions", truth)
 		}
 	})
 }
