--- a/test/failure_table_test.go
+++ b/test/failure_table_test.go
@@ -18,8 +18,8 @@
 		newFailure("entry killed", `An entry is killed with callers' requests, offers to agents and claims in flight, and is
 started again later. Its callers' connections end; no other caller may be affected, and no call may run twice.`,
 			longFault, killEntry("entry-1"), startEntry("entry-1")),
-		newFailure("entry frozen", `An entry is suspended for longer than every timeout and resumes with stale grants, stale
-declarations and offers past their deadlines.`,
+		newFailure("entry frozen", `An entry is suspended for longer than the timeouts for silent peers, and resumes with stale
+grants, stale declarations and offers past their deadlines.`,
 			longFault, freezeEntry("entry-2"), thawEntry("entry-2")),
 		newFailure("agent killed, its engine fences", `An agent is killed during loads and answers, while its engine keeps
 running and finishes the orders. The restarted agent must read the engine's state before it sends any order.`,
@@ -111,10 +111,10 @@
 	return newFailure(from+">"+to+" "+name, description, longFault, inject, heal)
 }
 
-// cutWithinAnswer resets connections to an engine after 1,500 bytes of answer.
+// cutWithinAnswer resets a connection to an engine once, after 1,500 more bytes of answers.
 func cutWithinAnswer() failure {
 	inject, heal := withLinks(oneLink(agentName("engine-2"), "engine-2"), func(l *faultlink.Link) { l.CutAfter(faultlink.ToClient, 1500) })
-	return newFailure("connection cut within an answer", `The connection to an engine is reset after some bytes of an answer.
+	return newFailure("connection cut within an answer", `A connection to an engine is reset after some bytes of an answer.
 The caller must not get the partial answer as a complete one.`, shortFault, inject, heal)
 }
 
--- a/test/failures_test.go
+++ b/test/failures_test.go
@@ -15,8 +15,8 @@
 	name string
 	// description says what happens, in which order, and what must hold.
 	description string
-	// duration is the time from inject to heal. It exceeds every timeout of the processes if the failure makes a peer
-	// unresponsive.
+	// duration is the time from inject to heal. If the failure makes a peer silent, it exceeds the timeouts by which the
+	// processes detect that.
 	duration time.Duration
 	inject   func(c *cluster)
 	heal     func(c *cluster)
@@ -45,7 +45,8 @@
 
 // The durations of failures.
 const (
-	// shortFault is shorter than every timeout of the processes, longFault longer than all of them.
+	// shortFault is shorter than the timeouts by which the processes detect a silent peer, longFault longer than all of
+	// them.
 	shortFault = 300 * time.Millisecond
 	longFault  = 3 * time.Second
 )
--- a/test/monitor_test.go
+++ b/test/monitor_test.go
@@ -14,17 +14,17 @@
 	"balsamsail/internal/timeline"
 )
 
-// observation is the revision of the declarations that a process was seen to act on.
+// observation is the revision of the declarations that a process had in force at a time.
 type observation struct {
 	process  string
 	at       time.Time
 	revision uint64
-	// fell tells of a revision that the process put in force after a higher one.
+	// regression describes the last change to a lower revision that the process reported, if any.
 	regression string
 	ready      bool
 }
 
-// monitor looks again and again which revision is in force in each process, past every link.
+// monitor polls each process for the revision in force. It connects directly, not through the links.
 type monitor struct {
 	cluster  *cluster
 	done     chan struct{}
@@ -51,17 +51,17 @@
 	return m
 }
 
-// stop ends the looking and returns what was seen, in order for each process.
+// stop ends the polling and returns the observations, which are in order for each process.
 func (m *monitor) stop() []observation {
 	m.stopOnce.Do(func() { close(m.done) })
 	m.polling.Wait()
 	return m.seen
 }
 
-// look reads a process's revision into an observation.
+// revisionReader reads the revision in force in a process into an observation.
 type revisionReader func(client *http.Client, seen *observation) error
 
-// watch looks at one process until the monitor stops.
+// watch polls one process until the monitor stops.
 func (m *monitor) watch(process, readyURL string, read revisionReader) {
 	client := &http.Client{Timeout: revisionPollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -74,8 +74,8 @@
 	}
 }
 
-// lookOnce notes the revision, as of the time before it was asked for. The readiness is asked for first, so that a
-// process that was ready had at least this revision then or later.
+// pollOnce records one observation, with the time before its requests. It asks for the readiness before the revision, so
+// a process recorded as ready had the recorded revision in force at a time after it was ready.
 func (m *monitor) pollOnce(client *http.Client, process, readyURL string, read revisionReader) {
 	at := time.Now()
 	response, err := client.Get(readyURL)
@@ -92,7 +92,7 @@
 	m.seen = append(m.seen, seen)
 }
 
-// entryRevision asks an entry itself.
+// entryRevision reads the revision from an entry's operator API.
 func entryRevision(e *entryHost) revisionReader {
 	return func(client *http.Client, seen *observation) error {
 		response, err := client.Get(e.operatorsURL() + operator.PathPrefix + "/self")
@@ -107,7 +107,7 @@
 	}
 }
 
-// agentRevision takes the newest revision from an agent's time line.
+// agentRevision reads the latest revision from an agent's timeline.
 func agentRevision(e *endpointHost) revisionReader {
 	filter := timeline.Filter{Kinds: []timeline.Kind{timeline.DeclarationApplied}}
 	url := e.agentURL() + timeline.Path + "?" + filter.Query().Encode()
@@ -121,7 +121,8 @@
 	}
 }
 
-// readRevisions reads the revisions that were put in force one after another.
+// readRevisions reads the events of revisions put in force, oldest first, after a header line. It keeps the last revision
+// and notes each change to a lower one.
 func readRevisions(lines *bufio.Scanner, seen *observation) error {
 	lines.Scan()
 	for lines.Scan() {
@@ -131,7 +132,7 @@
 		}
 		next, err := strconv.ParseUint(strings.TrimPrefix(event.Detail, "revision "), 10, 64)
 		if err != nil {
-			return fmt.Errorf("event %q: %w", event.Detail, err)
+			return fmt.Errorf("revision in event detail %q: %w", event.Detail, err)
 		}
 		if next < seen.revision {
 			seen.regression = fmt.Sprintf("from %d to %d at %s", seen.revision, next,
--- a/test/operator_faults_test.go
+++ b/test/operator_faults_test.go
@@ -8,14 +8,14 @@
 	"balsamsail/internal/operator"
 )
 
-// background is work that a failure does from inject to heal.
+// background runs the repeated actions of a failure from inject to heal.
 type background struct {
 	mu      sync.Mutex
 	stopped chan struct{}
 	running sync.WaitGroup
 }
 
-// start runs a step again and again, with a pause, until stop.
+// start runs step repeatedly, with a pause between two runs, until stop.
 func (b *background) start(pause time.Duration, step func(n int)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,13 +46,14 @@
 	b.stopped = nil
 }
 
-// operatorFailures are operators who work against each other.
+// operatorFailures returns the failures in which operators make conflicting edits.
 func operatorFailures() []failure {
 	return []failure{
-		newFailure("operators race over labels", `Two operators send the model "mover" away from engines and back again, each over
-another entry, faster than it can move. It must never have more replicas than declared, whoever wins.`,
+		newFailure("operators race over labels", `Two operators set and remove the label that excludes engines for the model
+"mover", over different entries and faster than the model can be loaded elsewhere. It must never have more replicas than
+declared, whichever edit comes last.`,
 			longFault, raceOverLabels, endRace),
-		newFailure("operators race over drains", `One operator drains engines in turn and another one takes them back.`,
+		newFailure("operators race over drains", `One operator drains engines in turn while another ends the drains.`,
 			longFault, raceOverDrains, endRace),
 	}
 }
@@ -71,18 +72,18 @@
 	c.background.start(raceInterval, func(n int) { c.tryDrain("entry-2", contendedEngines[(n+2)%len(contendedEngines)], false) })
 }
 
-// endRace ends the operators' race and makes all engines usable again.
+// endRace stops the operators and removes the labels and drains from all engines.
 func endRace(c *cluster) {
 	c.t.Helper()
 	c.background.stop()
 	for _, engine := range contendedEngines {
-		eventually(c.t, recoveryTimeout, engine+" is usable again", func() bool {
+		eventually(c.t, recoveryTimeout, engine+" has its label removed and its drain ended", func() bool {
 			return c.setAwayLabel("entry-3", engine, false) == nil && c.tryDrain("entry-3", engine, false) == nil
 		})
 	}
 }
 
-// setAway sets or removes the label that keeps the model "mover" from an engine.
+// setAwayLabel sets or removes the label "away" on an engine, which excludes the engine for the model "mover".
 func (c *cluster) setAwayLabel(entry, engine string, away bool) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -110,7 +111,7 @@
 	return err
 }
 
-// noteRace keeps an accepted edit, so that it is looked for in every process.
+// recordRaceEdit records an accepted edit, so that checkDeclarations checks that it is in force in every process.
 func (c *cluster) recordRaceEdit(accepted operator.Accepted, err error) {
 	if err != nil || len(accepted.Changed) == 0 {
 		return
--- a/test/operators_test.go
+++ b/test/operators_test.go
@@ -11,28 +11,28 @@
 	"balsamsail/internal/operator"
 )
 
-// edit is one edit of an operator and what came of it.
+// edit is one edit of an operator and its result.
 type edit struct {
 	operation string
 	author    string
 	label     string
-	// base is the revision that the edit was made on, 0 for any.
+	// base is the revision that the edit requires to be current, 0 for any.
 	base uint64
 	sent time.Time
-	// ended is when the answer came.
+	// ended is when the answer arrived.
 	ended time.Time
-	// revision is that of an accepted edit.
+	// revision is the revision that an accepted edit became, else 0.
 	revision uint64
 	err      error
 }
 
-// unknown reports whether the editor was not told what became of the edit.
+// unknown reports whether the editor got no definite answer, so that the edit may or may not have been applied.
 func (e *edit) unknown() bool {
 	var unknown *operator.OutcomeUnknownError
 	return errors.As(e.err, &unknown)
 }
 
-// The object that all editors change, and the label on it.
+// The object and the label that all editors change.
 const (
 	editedKind  = "model"
 	editedName  = "crack"
@@ -42,8 +42,8 @@
 // editInterval is the time between two edits of one editor.
 const editInterval = 150 * time.Millisecond
 
-// editors are two operators who change the same label again and again, one of them always on the revision that it last
-// saw.
+// editors are two operators who repeatedly change the same label. One requires the revision that it read before to be
+// current, the other accepts any.
 type editors struct {
 	cluster  *cluster
 	stopped  chan struct{}
@@ -61,14 +61,14 @@
 	return e
 }
 
-// stop ends the edits and returns all of them.
+// stop ends the editing and returns all edits.
 func (e *editors) stop() []*edit {
 	e.stopOnce.Do(func() { close(e.stopped) })
 	e.running.Wait()
 	return e.edits
 }
 
-// run makes edits over the entries in turn, beginning with the given one.
+// run makes edits until stop, at each entry in turn from the turn-th. Conditional edits require the revision read before.
 func (e *editors) run(author string, conditional bool, turn int) {
 	client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for n := 0; ; n++ {
@@ -82,7 +82,7 @@
 	}
 }
 
-// make makes one edit.
+// makeEdit makes one edit and records it.
 func (e *editors) makeEdit(client *operator.Client, author string, conditional bool, n int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -104,7 +104,7 @@
 	e.edits = append(e.edits, one)
 }
 
-// send makes the edit.
+// send sends the edit and sets its result.
 func (e *edit) send(ctx context.Context, client *operator.Client) {
 	e.sent = time.Now()
 	accepted, err := client.Label(ctx, operator.LabelRequest{
@@ -115,7 +115,7 @@
 	e.ended, e.revision, e.err = time.Now(), accepted.Revision, err
 }
 
-// editAt makes one more edit at an entry, which must be accepted.
+// editAt makes one additional edit at an entry and fails the test if it isn't accepted.
 func (c *cluster) editAt(entry string) {
 	c.t.Helper()
 	one := &edit{operation: fmt.Sprintf("single-%d", time.Now().UnixNano()), author: "single", label: "single"}
@@ -128,7 +128,7 @@
 	c.edits = append(c.edits, one)
 }
 
-// settleEdits looks up what became of the edits of unknown outcome.
+// resolveUnknownEdits looks up the outcome of each edit whose answer was not definite.
 func (c *cluster) resolveUnknownEdits(edits []*edit) {
 	c.t.Helper()
 	for _, e := range edits {
@@ -142,12 +142,12 @@
 		case operator.OperationApplied:
 			e.revision = operation.Revision
 		case operator.OperationUnknown:
-			c.t.Logf("edit %s is of unknown outcome still", e.operation)
+			c.t.Logf("the outcome of edit %s is still unknown", e.operation)
 		}
 	}
 }
 
-// summarizeEdits counts edits by what became of them.
+// summarizeEdits counts edits by result.
 func summarizeEdits(edits []*edit) string {
 	counts := map[string]int{}
 	for _, e := range edits {
@@ -163,9 +163,9 @@
 	case e.err == nil:
 		return "accepted"
 	case e.unknown() && e.revision > 0:
-		return "unknown, then accepted"
+		return "unknown, found accepted"
 	case e.unknown():
-		return "unknown, then not"
+		return "unknown, not found accepted"
 	case errors.As(e.err, &conflict):
 		return "conflict"
 	case errors.As(e.err, &unavailable):
--- a/test/planned_test.go
+++ b/test/planned_test.go
@@ -11,24 +11,24 @@
 	"balsamsail/internal/operator"
 )
 
-// leaveLimit is the time after which an endpoint that leaves must get no new work.
+// drainLimit is the time after which a leaving endpoint must get no new work.
 const drainLimit = 3 * time.Second
 
-// departure is an endpoint that has begun to leave, and when it came back, if it did.
+// departure is an endpoint and the time from its leaving, or the start of its drain, to its removal or return.
 type departure struct {
 	endpoint string
 	span
 }
 
-// plan is a planned stop: it returns the endpoints that it made leave.
+// plannedStop is a planned stop of processes or endpoints; run returns the endpoints that left.
 type plannedStop struct {
 	name string
-	// story says what an operator or the platform does.
+	// description says what an operator or the platform does.
 	description string
 	run         func(r *run) []departure
 }
 
-// plans are the planned stops. Each of them is made under load; none may cost a caller a request.
+// plannedStops are made under load, and none of them may cause a request to fail.
 var plannedStops = []plannedStop{
 	{"entry stopped", "An operator restarts an entry to upgrade it.", func(r *run) []departure {
 		r.stopAndStart(r.cluster.entry("entry-1").process)
@@ -41,11 +41,11 @@
 		}
 		return nil
 	}},
-	{"agent of an engine stopped", "An operator restarts an agent; its engine lives on with what it holds.",
+	{"agent of an engine stopped", "An operator restarts an agent; its engine keeps running with its models loaded.",
 		func(r *run) []departure { return r.restartAgent("engine-1") }},
-	{"agent stopped, its engine does not fence", "As before, at an engine that takes any order.",
+	{"agent stopped, its engine does not fence", "As before, at an engine that accepts orders with any fencing number.",
 		func(r *run) []departure { return r.restartAgent("engine-3") }},
-	{"agent of a service stopped", "An operator restarts the agent beside a plain service.",
+	{"agent of a service stopped", "An operator restarts the agent of a plain service.",
 		func(r *run) []departure { return r.restartAgent("ledger-1") }},
 	{"all agents in turn", "An operator upgrades the agents one after another.", func(r *run) []departure {
 		var all []departure
@@ -55,20 +55,21 @@
 		}
 		return all
 	}},
-	{"engine's host leaves", "The platform reclaims a host: it is listed as leaving, and later it is gone.",
+	{"engine's host leaves", "The platform reclaims a host: the host is listed as leaving and removed some seconds later.",
 		func(r *run) []departure { return r.reclaim("engine-2") }},
 	{"service's host leaves", "The platform reclaims the host of a plain service.",
 		func(r *run) []departure { return r.reclaim("ledger-2") }},
-	{"engine's host leaves, host list late", "The list shows three seconds late that a host leaves.",
+	{"engine's host leaves, host list late", "The host list shows with three seconds of delay that a host leaves.",
 		func(r *run) []departure { return r.reclaimLate("engine-3") }},
-	{"engine drained", "An operator drains an engine and takes it back.",
+	{"engine drained", "An operator drains an engine and later ends the drain.",
 		func(r *run) []departure { return r.drainAndReturn("engine-4") }},
-	{"service drained", "An operator drains a plain service's endpoint and takes it back.",
+	{"service drained", "An operator drains a plain service's endpoint and later ends the drain.",
 		func(r *run) []departure { return r.drainAndReturn("ledger-1") }},
 }
 
-// TestPlannedStops makes each planned stop under load, with long streams under way, and checks that no request was cut,
-// lost or left in doubt, that the process ended cleanly, and that what left got no new work after a few seconds.
+// TestPlannedStops makes each planned stop under load, with long streams in flight. It checks that no request is truncated,
+// unanswered or of unknown outcome, that stopped processes exit without an error, and that leaving endpoints get no new
+// work after drainLimit.
 func TestPlannedStops(t *testing.T) {
 	for _, p := range plannedStops {
 		t.Run(p.name, func(t *testing.T) {
@@ -88,13 +89,14 @@
 	}
 }
 
-// The long streams that a planned stop finds under way: longer than any step of the stop but the drain itself.
+// The number and length of the streams in flight at a planned stop. They take longer than any step of the stop but the
+// drain.
 const (
 	longStreams      = 9
 	longStreamTokens = 300
 )
 
-// startLongStreams begins some long streams at all entries and waits until all engines are busy with them.
+// startLongStreams starts long streams at the ready entries in turn and waits until one more request of each kind is served.
 func (r *run) startLongStreams() *sync.WaitGroup {
 	var streams sync.WaitGroup
 	for i := range longStreams {
@@ -114,23 +116,23 @@
 	return &streams
 }
 
-// stopAndStart stops a process as planned and starts it again.
+// stopAndStart stops a process gracefully, starts it again and waits until it is ready.
 func (r *run) stopAndStart(p *process) {
 	r.cluster.t.Helper()
 	if err := p.stop(); err != nil {
-		r.cluster.t.Errorf("%s did not end cleanly: %v", p.name, err)
+		r.cluster.t.Errorf("%s did not exit cleanly: %v", p.name, err)
 	}
 	p.restart()
 }
 
-// restartBeside restarts an endpoint's agent.
+// restartAgent stops an endpoint's agent gracefully and starts it again.
 func (r *run) restartAgent(endpoint string) []departure {
 	r.cluster.t.Helper()
 	r.stopAndStart(r.cluster.endpoint(endpoint).agent)
 	return nil
 }
 
-// reclaim lists a host as leaving, for long enough to see whether it gets new work, and then takes it away.
+// reclaim lists a host as leaving, long enough past drainLimit to detect new work, and then removes it.
 func (r *run) reclaim(endpoint string) []departure {
 	c := r.cluster
 	c.t.Helper()
@@ -142,10 +144,10 @@
 	return []departure{{endpoint, span{begin: began, end: time.Now()}}}
 }
 
-// lateBy is how much later than usual a late host list shows a change.
+// extraHostsLag is the additional delay with which a late host list shows changes.
 const extraHostsLag = 3 * time.Second
 
-// reclaimLate is reclaim with a host list that runs behind; the endpoint leaves when the list says so.
+// reclaimLate is reclaim with a delayed host list; the endpoint counts as leaving once the list shows it.
 func (r *run) reclaimLate(endpoint string) []departure {
 	c := r.cluster
 	c.t.Helper()
@@ -159,7 +161,7 @@
 	return []departure{{endpoint, span{begin: began.Add(extraHostsLag), end: time.Now()}}}
 }
 
-// drainAndReturn drains an endpoint by an operator's edit, and ends the drain some time later.
+// drainAndReturn drains an endpoint by an operator's edit and ends the drain some seconds later.
 func (r *run) drainAndReturn(endpoint string) []departure {
 	c := r.cluster
 	c.t.Helper()
@@ -181,8 +183,8 @@
 	}
 }
 
-// checkNoNewWork checks that an endpoint got no new work from a few seconds after it began to leave. A call of a plain
-// service counts by when its caller sent it.
+// checkNoNewWork checks that an endpoint got no new work later than drainLimit after it began to leave. The time of a
+// service call is when its caller sent it, because the services record no times.
 func checkNoNewWork(e *evidence, departures []departure) *violations {
 	v := &violations{property: "a leaving endpoint gets no new work after a few seconds"}
 	for _, d := range departures {
@@ -193,7 +195,7 @@
 			}
 			for _, r := range one.Requests {
 				if r.Begun.After(since) && r.Begun.Before(d.end) {
-					v.add("%s began %s %v after it began to leave", d.endpoint, r.ID, r.Begun.Sub(d.begin))
+					v.add("%s started request %s %v after it began to leave", d.endpoint, r.ID, r.Begun.Sub(d.begin))
 				}
 			}
 		}
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -17,15 +17,15 @@
 	standin "balsamsail/internal/standin/platform"
 )
 
-// platformHost is the platform's stand-in. It runs in the test's process, so that the table's truth can be read past
-// every fault. Each process of the system has a front of its own, whose host list shows the addresses of that process's
-// links.
+// platform runs the platform's stand-in in the test process, so that the test can read the table whatever faults are set.
+// Each process of the system reaches it through a listener of its own, which rewrites the addresses in the host list to
+// those of the process's links.
 type platform struct {
 	t      *testing.T
 	server *standin.Server
 
 	mu sync.Mutex
-	// routes are the addresses that a process sees in place of a host's, by process and host.
+	// addressOverrides replace host addresses in the host list, by process and host ID.
 	addressOverrides map[string]map[string]string
 
 	rowsMu   sync.Mutex
@@ -33,7 +33,7 @@
 	lastPoll time.Time
 }
 
-// rowVersion is one version of a row of grants. It came to be between after and before.
+// rowVersion is one version of a row of grants, written between notBefore and notAfter.
 type rowVersion struct {
 	notBefore, notAfter time.Time
 	row                 *replicaspb.Row
@@ -67,7 +67,7 @@
 	return p
 }
 
-// front serves the platform to one process and returns its address.
+// listenFor starts the listener for one process and returns its address.
 func (p *platform) listenFor(process string) string {
 	p.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,7 +87,7 @@
 	return listener.Addr().String()
 }
 
-// serveHosts answers with the host list as one process sees it.
+// serveHosts answers with the host list, with the address overrides of one process.
 func (p *platform) serveHosts(process string, inner http.Handler, w http.ResponseWriter, r *http.Request) {
 	recorded := httptest.NewRecorder()
 	inner.ServeHTTP(recorded, r)
@@ -108,7 +108,7 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// route makes a process see an address for a host.
+// overrideAddress sets the address that the host list shows to one process for a host.
 func (p *platform) overrideAddress(process, host, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,24 +118,24 @@
 	p.addressOverrides[process][host] = address
 }
 
-// faults changes the platform's faults.
+// setFaults changes the platform's faults.
 func (p *platform) setFaults(change func(*standin.Faults)) { p.server.Faults().Update(change) }
 
-// heal ends the platform's faults.
+// clearFaults clears the platform's faults.
 func (p *platform) clearFaults() { p.setFaults(func(f *standin.Faults) { *f = standin.Faults{} }) }
 
-// setHostsLag adds to the time by which the host list runs behind.
+// setHostsLag sets the additional delay of the host list.
 func (p *platform) setHostsLag(lag time.Duration) {
 	p.setFaults(func(f *standin.Faults) { f.Hosts.LagSeconds = lag.Seconds() })
 }
 
-// setState lists a host in a state.
+// setState sets a host's state in the host list.
 func (p *platform) setState(host backing.Host, state backing.HostState) {
 	host.State = state
 	p.server.PutHost(host)
 }
 
-// watchRows notes each version of the rows of grants until done.
+// watchRows records the versions of the rows of grants until done is closed.
 func (p *platform) watchRows(done <-chan struct{}) {
 	ticker := time.NewTicker(rowPollInterval)
 	defer ticker.Stop()
@@ -159,7 +159,7 @@
 	for _, stored := range listing.Rows {
 		row, err := replicas.DecodeRow(stored)
 		if err != nil {
-			p.t.Errorf("row %s: %v", stored.Key, err)
+			p.t.Errorf("decode row %s: %v", stored.Key, err)
 			continue
 		}
 		seen[row.Model] = true
@@ -173,7 +173,7 @@
 	p.lastPoll = began
 }
 
-// noteRow keeps a row's version if it is a new one. The caller holds rowsMu.
+// recordRow records a row's version if it differs from the last one. The caller holds rowsMu.
 func (p *platform) recordRow(row *replicaspb.Row, now time.Time) {
 	versions := p.rows[row.Model]
 	if n := len(versions); n > 0 && versions[n-1].row.Revision == row.Revision {
@@ -182,7 +182,7 @@
 	p.rows[row.Model] = append(versions, rowVersion{notBefore: p.lastPoll, notAfter: now, row: proto.CloneOf(row)})
 }
 
-// rowHistory returns all versions of all rows so far, by model.
+// rowHistory returns the recorded versions of all rows, by model.
 func (p *platform) rowHistory() map[string][]rowVersion {
 	p.pollRows()
 	p.rowsMu.Lock()
--- a/test/process_faults_test.go
+++ b/test/process_faults_test.go
@@ -7,7 +7,7 @@
 	"balsamsail/internal/endpoint"
 )
 
-// act builds one side of a failure from what is done to one process.
+// act returns an inject or heal function that applies an action to one process.
 func act(choose func(c *cluster) *process, action func(*process)) func(c *cluster) {
 	return func(c *cluster) {
 		c.t.Helper()
@@ -49,11 +49,10 @@
 	}
 }
 
-// loadPatience bounds the wait for an engine to be in the middle of a load, which under the load of a scenario it soon
-// is.
+// loadTimeout bounds the wait for an engine to be loading a model. Under the workload of a scenario, loads are frequent.
 const loadTimeout = 3 * time.Second
 
-// whileLoading does something to an engine or its agent in the middle of a load.
+// whileLoading returns a function that runs action while an engine is loading a model.
 func whileLoading(engine string, action func(c *cluster)) func(c *cluster) {
 	return func(c *cluster) {
 		c.t.Helper()
@@ -62,7 +61,7 @@
 	}
 }
 
-// awaitLoading waits until an engine is in the middle of a load.
+// awaitLoading waits until an engine is loading a model. After loadTimeout it logs that and returns.
 func (c *cluster) awaitLoading(engine string) {
 	c.t.Helper()
 	deadline := time.Now().Add(loadTimeout)
@@ -72,10 +71,10 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	c.t.Logf("%s has not loaded anything for %v", engine, loadTimeout)
+	c.t.Logf("%s did not load a model within %v", engine, loadTimeout)
 }
 
-// isLoading reports whether an engine answers and is in the middle of a load.
+// isLoading reports whether an engine answers and is loading a model.
 func (c *cluster) isLoading(engine string) bool {
 	var state endpoint.EngineState
 	if err := getJSON(c.endpoint(engine).url()+endpoint.PathState, &state); err != nil {
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -15,31 +15,31 @@
 	"balsamsail/internal/childprocess"
 )
 
-// The bounds of waits for a process.
+// The timeouts and the interval of waits for a process.
 const (
 	readyTimeout = 20 * time.Second
 	stopTimeout  = 20 * time.Second
 	pollInterval = 20 * time.Millisecond
 )
 
-// process is one process of the binary, over all its starts.
+// process is one process of the binary, which may be started more than once.
 type process struct {
 	t *testing.T
 	// name is unique in the cluster.
 	name  string
 	child *childprocess.Process
-	// probe is a URL that answers with 200 once the process is ready.
+	// probe is the URL that answers with status 200 once the process is ready.
 	probe    string
 	downtime downtimes
 }
 
-// absences are the times for which a process could not answer, because a test had killed, stopped or frozen it.
+// downtimes are the periods in which a process could not answer, because the test had killed, stopped or frozen it.
 type downtimes struct {
 	mu    sync.Mutex
 	spans []span
 }
 
-// span is a time from begin to end; a zero end is still to come.
+// span is the time from begin to end; end is zero while the span is open.
 type span struct{ begin, end time.Time }
 
 func (a *downtimes) begin() {
@@ -59,7 +59,7 @@
 	}
 }
 
-// overlaps reports whether the process was away at any time from begin to end.
+// overlaps reports whether the process was down at any time from begin to end.
 func (a *downtimes) overlaps(begin, end time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -71,7 +71,7 @@
 	return false
 }
 
-// newProcess describes a process; start starts it. When the test ends it is killed, whatever its state.
+// newProcess returns a process that is not started yet. It is killed at the end of the test.
 func newProcess(t *testing.T, dir, name, probe string, args ...string) *process {
 	child := &childprocess.Process{Name: name, Args: args, Log: filepath.Join(dir, name+".log")}
 	p := &process{t: t, name: name, child: child, probe: probe}
@@ -79,7 +79,7 @@
 	return p
 }
 
-// start starts the process, unless it runs, without waiting for it to be ready.
+// start starts the process if it isn't running, without waiting until it is ready.
 func (p *process) start() {
 	p.t.Helper()
 	binary, err := buildBinary()
@@ -109,7 +109,7 @@
 		}
 		select {
 		case <-exited:
-			p.t.Fatalf("%s ended before it was ready: %v", p.name, p.child.ExitError())
+			p.t.Fatalf("%s exited before it was ready: %v", p.name, p.child.ExitError())
 		case <-time.After(pollInterval):
 		}
 	}
@@ -118,7 +118,7 @@
 
 var probeClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// probe gets a URL once. Status 0 means no answer.
+// probe sends one GET request and returns the status and body of the answer; status 0 means no answer.
 func probe(url string) (int, string) {
 	response, err := probeClient.Get(url)
 	if err != nil {
@@ -129,20 +129,20 @@
 	return response.StatusCode, strings.TrimSpace(string(body))
 }
 
-// signal sends a signal to the process if it runs.
+// signal sends a signal to the process and reports whether it is running.
 func (p *process) signal(s syscall.Signal) bool { return p.child.Signal(s) }
 
-// kill ends the process at once and waits until it is gone.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
 	p.downtime.begin()
 	p.child.Kill()
 }
 
-// stop asks the process to stop, waits for it and returns its error, nil for a clean exit.
+// stop sends SIGTERM, waits until the process has exited and returns its exit error, nil for exit code 0.
 func (p *process) stop() error {
 	p.t.Helper()
 	if !p.signal(syscall.SIGTERM) {
-		p.t.Fatalf("%s does not run", p.name)
+		p.t.Fatalf("%s is not running", p.name)
 	}
 	exited := p.child.Exited()
 	select {
@@ -155,20 +155,20 @@
 	return p.child.ExitError()
 }
 
-// freeze suspends the process until thaw.
+// freeze suspends the process with SIGSTOP until thaw.
 func (p *process) freeze() {
 	p.t.Helper()
 	p.downtime.begin()
 	if !p.signal(syscall.SIGSTOP) {
-		p.t.Fatalf("%s does not run", p.name)
+		p.t.Fatalf("%s is not running", p.name)
 	}
 }
 
-// thaw lets a frozen process go on.
+// thaw resumes a frozen process with SIGCONT.
 func (p *process) thaw() {
 	p.t.Helper()
 	if !p.signal(syscall.SIGCONT) {
-		p.t.Fatalf("%s does not run", p.name)
+		p.t.Fatalf("%s is not running", p.name)
 	}
 	p.downtime.end()
 }
--- a/test/properties_test.go
+++ b/test/properties_test.go
@@ -9,8 +9,8 @@
 	"balsamsail/internal/standin/engine"
 )
 
-// checkAnswered checks that each request got one final answer in time. A request whose entry was killed, stopped or
-// frozen meanwhile is excused: nobody is left who could answer.
+// checkAnswered checks that each request got one final answer in time. Requests whose entry was killed, stopped or frozen
+// meanwhile are skipped, because the entry could not answer them.
 func checkAnswered(e *evidence) *violations {
 	v := &violations{property: "each request is answered in time"}
 	for _, x := range e.exchanges {
@@ -18,23 +18,24 @@
 			continue
 		}
 		if x.unanswered() {
-			v.addExchange("dropped", x)
+			v.addExchange("no answer", x)
 			continue
 		}
 		if x.truncated() && x.kind != chatStream {
-			v.addExchange("an answer that is not streamed was cut", x)
+			v.addExchange("a non-streamed answer was truncated", x)
 		}
 		if late := x.lateness(); late > 0 {
 			v.addExchange(fmt.Sprintf("late by %v", late), x)
 		}
 		if isRetryable(x) && !isPositive(x.retryAfter) {
-			v.addExchange(fmt.Sprintf("no time to come back (%q)", x.retryAfter), x)
+			v.addExchange(fmt.Sprintf("no valid Retry-After header (%q)", x.retryAfter), x)
 		}
 	}
 	return v
 }
 
-// late is how much too late the answer came: a stream's first bytes count, else the whole answer.
+// lateness returns how long after the deadline (plus tolerance) the answer came. For a successful stream the first bytes
+// count, else the end of the answer.
 func (x *exchange) lateness() time.Duration {
 	answered := x.ended
 	if x.kind == chatStream && x.status == http.StatusOK && !x.firstByte.IsZero() {
@@ -43,7 +44,7 @@
 	return max(0, answered.Sub(x.sent)-x.deadline-deadlineTolerance)
 }
 
-// retryLater reports whether the answer says that the request was not run and may be sent again.
+// isRetryable reports whether the answer says that the request was not run and may be sent again.
 func isRetryable(x *exchange) bool {
 	return x.outcome == outcomeNotRun &&
 		(x.status == http.StatusTooManyRequests || x.status == http.StatusServiceUnavailable)
@@ -54,12 +55,12 @@
 	return err == nil && n > 0
 }
 
-// checkWhole checks that no answer that ended cleanly was a part of one, or another request's.
+// checkWhole checks that no answer that ended without an error was incomplete or belonged to another request.
 func checkWhole(e *evidence) *violations {
 	v := &violations{property: "answers are whole and the request's own"}
 	for _, x := range e.exchanges {
 		if x.mismatch != "" {
-			v.addExchange("not the answer", x)
+			v.addExchange("wrong content", x)
 		}
 	}
 	return v
@@ -67,7 +68,8 @@
 
 const outcomeNotRun = "not_run"
 
-// checkNotRun checks that what callers were told was not run did not run.
+// checkNotRun checks that no request with outcome "not_run" was executed. A keyed call may have been executed by another
+// attempt with the same marker, so executions are checked only if all attempts had that outcome.
 func checkNotRun(e *evidence) *violations {
 	v := &violations{property: `"not run" is true`}
 	began := map[string]string{}
@@ -90,13 +92,13 @@
 			v.addExchange(at+" ran it", x)
 		}
 		if n := e.truth.executions[x.marker]; n > 0 && !otherOutcome[x.marker] {
-			v.addExchange(fmt.Sprintf("it ran %d times", n), x)
+			v.addExchange(fmt.Sprintf("run %d times", n), x)
 		}
 	}
 	return v
 }
 
-// checkOnce checks that no call that may run only once ran twice, and that one whose caller was told so did run.
+// checkOnce checks that no call that may run only once ran twice, and that each served one did run.
 func checkOnce(e *evidence) *violations {
 	v := &violations{property: "a call that may run only once runs at most once"}
 	for _, x := range e.exchanges {
@@ -105,21 +107,21 @@
 		}
 		n := e.truth.executions[x.marker]
 		if n > 1 {
-			v.addExchange(fmt.Sprintf("it ran %d times", n), x)
+			v.addExchange(fmt.Sprintf("run %d times", n), x)
 		}
 		if n == 0 && x.served() {
-			v.addExchange("it was answered and never ran", x)
+			v.addExchange("served but never run", x)
 		}
 	}
 	return v
 }
 
-// checkMemory checks the engines' own count of loads beyond their memory.
+// checkMemory checks that no engine recorded a load beyond its memory.
 func checkMemory(e *evidence) *violations {
 	v := &violations{property: "memory is never overcommitted"}
 	for _, one := range e.truth.engines {
 		if one.Overcommits > 0 || one.NoMemory > 0 {
-			v.add("%s: %d overcommits, %d loads refused for memory", one.host.name, one.Overcommits, one.NoMemory)
+			v.add("%s: %d overcommits, %d loads refused for lack of memory", one.host.name, one.Overcommits, one.NoMemory)
 		}
 		for _, h := range one.History {
 			if h.Kind == engine.HistoryOvercommitted {
@@ -132,14 +134,15 @@
 
 const clockFormat = "15:04:05.000"
 
-// holding is a time for which an engine held a model version in memory, loading and unloading included.
+// residency is the time for which an engine had a model version in memory, from the start of its load to the end of its
+// unload.
 type residency struct {
 	span
 	model string
 	fence uint64
 }
 
-// holdings reads the times for which an engine held models from its history. What it holds at the end has a zero end.
+// residencies returns all residencies in an engine's history. Models still in memory have a zero end.
 func (one engineTruth) residencies() []residency {
 	open := map[string]*residency{}
 	var all []*residency
@@ -167,14 +170,14 @@
 	return list
 }
 
-// checkReplicas checks that each engine held a model version only while the table's row named it as a holder, and that no
-// row ever named more engines than the declarations allow. So at no time were more replicas loaded than decided.
+// checkReplicas checks that each engine had a model version in memory only while the table's row had a slot for it, and
+// that no row ever had more slots than declared replicas. Together these bound the loaded replicas at any time.
 func checkReplicas(e *evidence) *violations {
 	v := &violations{property: "no more replicas are loaded than decided"}
 	for _, one := range e.truth.engines {
 		for _, held := range one.residencies() {
 			if problem := slotViolation(held, one.host, e.rows[held.model]); problem != "" {
-				v.add("%s held %s from %s (fence %d) %s", one.host.name, held.model, held.begin.Format(clockFormat),
+				v.add("%s had %s in memory from %s (fence %d) %s", one.host.name, held.model, held.begin.Format(clockFormat),
 					held.fence, problem)
 			}
 		}
@@ -182,22 +185,22 @@
 	for model, versions := range e.rows {
 		for _, version := range versions {
 			if n, most := len(version.row.Slots), maxReplicas[model]; n > most {
-				v.add("%s has %d slots at %s, declared are at most %d", model, n, version.notAfter.Format(clockFormat), most)
+				v.add("%s has %d slots at %s, want at most %d as declared", model, n, version.notAfter.Format(clockFormat), most)
 			}
 		}
 	}
 	return v
 }
 
-// maxReplicas is what declarationsText says.
+// maxReplicas holds the values of max_replicas in declarationsText, by model version.
 var maxReplicas = map[string]int{
 	"crack@v1": 2, "crack@v2": 2, "compaction@v1": 3, "holdover@v1": 2, "fluid@v1": 2, "single@v1": 1,
 	"audit-a@v1": 2, "audit-b@v1": 2, "audit-c@v1": 2, "audit-d@v1": 2, "audit-e@v1": 2, "audit-f@v1": 2,
 	"mover@v1": 2,
 }
 
-// outside says how a holding reaches beyond the engine's slots, or nothing. A row's version is taken to hold from the
-// earliest time at which it may have come to be until the latest time at which the next one may.
+// slotViolation describes the part of a residency that no slot of the engine covers, or returns "". A row's version counts
+// from the earliest time at which it may have been written to the latest time at which the next one may have been.
 func slotViolation(held residency, host *endpointHost, versions []rowVersion) string {
 	covered := held.begin
 	for i, version := range versions {
@@ -220,11 +223,11 @@
 	if !held.end.IsZero() && !held.end.After(covered) {
 		return ""
 	}
-	return fmt.Sprintf("and still after its slot was gone at %s, until %s", covered.Format(clockFormat),
+	return fmt.Sprintf("until %[2]s, after its slot was removed at %[1]s", covered.Format(clockFormat),
 		held.end.Format(clockFormat))
 }
 
-// names reports whether a row's version has a slot of the host's engine.
+// hasSlot reports whether a row's version has a slot for the host's engine.
 func hasSlot(version rowVersion, host *endpointHost) bool {
 	for _, slot := range version.row.Slots {
 		if slot.Engine == host.name && slot.Host == host.host().ID {
--- a/test/request_test.go
+++ b/test/request_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestColdRequest is the main job: a caller asks for a model that no engine holds. The entry finds a slot, the agent
-// wakes the model, and the whole answer comes in time, whole and streamed, at the first request and at the next.
+// TestColdRequest sends requests to a cluster without load, the first one for a model that no engine has loaded. The entry
+// requests a slot, the agent loads the model, and each request is served in time: streamed and non-streamed chats and calls
+// of each kind.
 func TestColdRequest(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t)
--- a/test/scenario_test.go
+++ b/test/scenario_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// clusters bounds the clusters that run at once, because each of them has some fifteen processes.
+// clusterSlots is a semaphore that bounds the clusters running at once, because each has some fifteen processes.
 var clusterSlots = sync.OnceValue(func() chan struct{} { return make(chan struct{}, *maxClusters) })
 
-// takeCluster waits until one more cluster may run.
+// acquireClusterSlot waits until one more cluster may run, and frees its slot at the end of the test.
 func acquireClusterSlot(t *testing.T) {
 	t.Helper()
 	clusterSlots() <- struct{}{}
 	t.Cleanup(func() { <-clusterSlots() })
 }
 
-// The bounds of a scenario.
+// The times of a scenario.
 const (
 	recoveryTimeout = 15 * time.Second
-	// offset is the time between the beginnings of a pair of failures.
+	// pairOffset is the time between the injections of two failures of a pair.
 	pairOffset = 400 * time.Millisecond
 )
 
-// TestFailures brings each failure of the table about, alone, under a steady load of chat requests, service calls and
-// edits of two operators, and checks the properties that must hold at all times against the stand-ins' truth.
+// TestFailures injects each failure of the table alone, under a steady load of chat requests, service calls and edits of two
+// operators, and checks the properties that must always hold against the ground truth of the stand-ins.
 func TestFailures(t *testing.T) {
 	for _, f := range allFailures() {
 		t.Run(f.name, func(t *testing.T) { runScenario(t, f) })
@@ -40,7 +40,7 @@
 	return all
 }
 
-// TestFailurePairs does the same with two failures that overlap: a chosen set, or with -long every pair.
+// TestFailurePairs does the same with two overlapping failures: the chosen pairs, or every pair with -long.
 func TestFailurePairs(t *testing.T) {
 	byName := map[string]failure{}
 	for _, f := range allFailures() {
@@ -49,16 +49,16 @@
 	for _, pair := range pairs() {
 		first, second := byName[pair.first], byName[pair.second]
 		if first.inject == nil || second.inject == nil {
-			t.Fatalf("there is no such pair of failures: %v", pair)
+			t.Fatalf("no such pair of failures: %v", pair)
 		}
 		t.Run(first.name+" + "+second.name, func(t *testing.T) { runScenario(t, first, second) })
 	}
 }
 
-// pair names two failures of the table.
+// pair holds the names of two failures of the table.
 type pair struct{ first, second string }
 
-// pairs returns the pairs to run: those in which one failure meets the recovery from the other, or all with -long.
+// pairs returns the pairs to run: chosenPairs, or with -long all pairs that can be combined.
 func pairs() []pair {
 	if !*allPairs {
 		return chosenPairs
@@ -75,7 +75,7 @@
 	return list
 }
 
-// chosenPairs are the pairs in which one failure meets the recovery from the other.
+// chosenPairs are pairs in which one failure disturbs the recovery from the other.
 var chosenPairs = []pair{
 	{"agent killed, its engine does not fence", "engine-3 delays orders"},
 	{"agent frozen, its engine does not fence", "table down"},
@@ -97,8 +97,8 @@
 	{"host list down", "agent killed, its engine fences"},
 }
 
-// runScenario brings failures about, one shortly after the other, heals them in the same order, waits until the system
-// serves again, and checks all properties.
+// runScenario injects failures, pairOffset apart, heals them in the same order, waits until the system serves again, and
+// checks all properties.
 func runScenario(t *testing.T, failures ...failure) {
 	t.Parallel()
 	acquireClusterSlot(t)
@@ -108,21 +108,21 @@
 		if i > 0 {
 			time.Sleep(pairOffset)
 		}
-		t.Logf("%s: %s begins: %s", time.Now().Format(clockFormat), f.name, f.description)
+		t.Logf("%s: inject %q: %s", time.Now().Format(clockFormat), f.name, f.description)
 		f.inject(r.cluster)
 		ends = append(ends, time.Now().Add(f.duration))
 	}
 	for i, f := range failures {
 		time.Sleep(time.Until(ends[i]))
 		f.heal(r.cluster)
-		t.Logf("%s: %s is healed", time.Now().Format(clockFormat), f.name)
+		t.Logf("%s: healed %q", time.Now().Format(clockFormat), f.name)
 	}
 	r.awaitRecovery()
 	r.finish().check()
 }
 
-// awaitRecovery waits until all processes are ready, every kind of request is served again, and every model at every
-// entry.
+// awaitRecovery waits until all entries and agents are ready, every kind of request is served again, and every entry
+// serves every model.
 func (r *run) awaitRecovery() {
 	c := r.cluster
 	c.t.Helper()
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -8,8 +8,8 @@
 	"text/template"
 )
 
-// settingsText holds the settings of each role. Times are short, so that a test sees every time-out run out, but no
-// time-out of a peer's silence is below a second: a busy machine may well suspend a process for half of one.
+// settingsText holds the settings templates of each role. Times are short, so that every timeout expires within a test, but
+// the limits on a peer's silence are at least a second, because a busy machine can delay a process for half a second.
 const settingsText = `
 {{define "platform"}}
 [platform]
@@ -168,7 +168,7 @@
 
 var settingsTemplates = template.Must(template.New("settings").Option("missingkey=error").Parse(settingsText))
 
-// writeSettings writes a role's settings file and returns its path.
+// writeSettings writes the settings file of a process from the template of its role, and returns its path.
 func writeSettings(t *testing.T, dir, role, name string, values any) string {
 	t.Helper()
 	var text strings.Builder
@@ -187,8 +187,8 @@
 	return path
 }
 
-// declarationsText is what every cluster declares at its start. Three models fit into an engine at once, twelve into all
-// of them, and their slots are twice as many.
+// declarationsText holds the first declarations of every cluster. Three models fit into one engine and twelve into all
+// engines, about half of the declared max_replicas, so that models are unloaded all the time to make room for others.
 const declarationsText = `
 [limits]
 store_loads_per_second = 50
--- a/test/truth_test.go
+++ b/test/truth_test.go
@@ -14,10 +14,10 @@
 	"balsamsail/internal/standin/service"
 )
 
-// controlClient reaches stand-ins and processes directly, past every link.
+// controlClient reaches stand-ins and processes directly, not through the links.
 var controlClient = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// getJSON reads a document.
+// getJSON reads a JSON document into a value.
 func getJSON(url string, into any) error {
 	response, err := controlClient.Get(url)
 	if err != nil {
@@ -34,22 +34,22 @@
 	return json.Unmarshal(data, into)
 }
 
-// engineTruth is what one engine really did.
+// engineTruth is one engine's own record of what it did.
 type engineTruth struct {
 	host *endpointHost
 	engine.Truth
 }
 
-// truth is what the endpoints really did.
+// truth is the ground truth for the checks: the records that the stand-ins keep of what they did.
 type truth struct {
 	engines []engineTruth
-	// executions counts the runs of service calls by marker.
+	// executions counts how often each service call ran, by marker.
 	executions map[string]int
-	// served are the markers that each service ran.
+	// served holds the markers of the calls that each service ran.
 	served map[string]map[string]bool
 }
 
-// String counts what the endpoints did.
+// String summarizes the truth as counts.
 func (a *truth) String() string {
 	counts := map[string]int{}
 	for _, one := range a.engines {
@@ -65,7 +65,7 @@
 	return fmt.Sprintf("%v, %d calls", counts, len(a.executions))
 }
 
-// readTruth reads the truth of all endpoints that are not gone.
+// readTruth reads the truth of all endpoints; for one whose host was removed it takes the truth read before.
 func (c *cluster) readTruth() *truth {
 	c.t.Helper()
 	all := &truth{executions: map[string]int{}, served: map[string]map[string]bool{}}
@@ -79,7 +79,7 @@
 	return all
 }
 
-// add takes in another truth.
+// merge adds another truth.
 func (a *truth) merge(other *truth) {
 	a.engines = append(a.engines, other.engines...)
 	for marker, n := range other.executions {
@@ -93,14 +93,14 @@
 	if e.kind == settings.KindEngine {
 		one := engineTruth{host: e}
 		if err := getJSON(e.url()+"/truth", &one.Truth); err != nil {
-			c.t.Fatalf("truth of %s: %v", e.name, err)
+			c.t.Fatalf("read the truth of %s: %v", e.name, err)
 		}
 		all.engines = append(all.engines, one)
 		return
 	}
 	var one service.Truth
 	if err := getJSON(e.url()+"/truth", &one); err != nil {
-		c.t.Fatalf("truth of %s: %v", e.name, err)
+		c.t.Fatalf("read the truth of %s: %v", e.name, err)
 	}
 	all.served[e.name] = map[string]bool{}
 	for _, call := range one.Calls {
@@ -109,7 +109,7 @@
 	}
 }
 
-// setFaults switches an endpoint's faults; fields that the document does not name stay.
+// setFaults changes faults of an endpoint's stand-in; faults that the document omits stay as they are.
 func (e *endpointHost) setFaults(c *cluster, faults any) {
 	c.t.Helper()
 	body, err := json.Marshal(faults)
@@ -119,19 +119,19 @@
 	c.sendControl(http.MethodPost, e.url()+"/faults", body)
 }
 
-// clearFaults ends an endpoint's faults.
+// clearFaults clears the faults of an endpoint's stand-in.
 func (e *endpointHost) clearFaults(c *cluster) {
 	c.t.Helper()
 	c.sendControl(http.MethodDelete, e.url()+"/faults", nil)
 }
 
-// restartEngine gives the engine a new incarnation, which holds nothing.
+// restartEngine makes the engine's stand-in start a new incarnation without loaded models.
 func (e *endpointHost) restartEngine(c *cluster) {
 	c.t.Helper()
 	c.sendControl(http.MethodPost, e.url()+"/restart", nil)
 }
 
-// control sends a command to a stand-in.
+// sendControl sends a request to a stand-in's control API and fails the test on an error.
 func (c *cluster) sendControl(method, url string, body []byte) {
 	c.t.Helper()
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
--- a/test/workload_test.go
+++ b/test/workload_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// targets are the models that callers ask for, by the names that callers and engines use.
+// targets are the models that callers request, by the names that callers and engines use.
 var targets = []struct{ model, engineModel string }{
 	{"crack", "crack@v1"},
 	{"compaction", "compaction@v1"},
@@ -28,30 +28,30 @@
 	{"mover", "mover@v1"},
 }
 
-// mix is the order of the kinds in a workload.
+// kindSequence is the sequence of request kinds in a workload, repeated from its start.
 var kindSequence = []kind{
 	chatStream, chatWhole, keyedCall, chatStream, chatWhole, onceCall, chatStream, readCall, chatWhole, chatStream,
 	keyedCall, chatWhole, onceCall,
 }
 
-// The settings of a workload.
+// The parameters of a workload.
 const (
 	requestInterval = 10 * time.Millisecond
-	// phaseRequests is the number of requests after which callers turn to other models, so that models fall idle, are
-	// unloaded, and are woken again all the time; awake is the number of models that are asked for in one phase.
+	// requestsPerPhase is the number of requests after which callers request other models, so that models become idle, are
+	// unloaded and are loaded again all the time. modelsPerPhase is the number of models requested in one phase.
 	requestsPerPhase = 24
 	modelsPerPhase   = 4
 	chatDeadline     = 2500 * time.Millisecond
 	callDeadline     = 2 * time.Second
 	shortAnswer      = 8
 	longAnswer       = 60
-	// maxOpen bounds the requests that are open at once.
+	// maxInFlight bounds the requests in flight; requests over it are not sent.
 	maxInFlight = 1000
-	// keyAttempts bounds how often a caller sends one keyed call.
+	// keyAttempts is the maximum number of times that a caller sends one keyed call.
 	keyAttempts = 4
 )
 
-// workload is a steady load of requests on all entries that are ready, as a balancer and its clients make it.
+// workload is a steady load of requests, distributed by a balancer over all ready entries.
 type workload struct {
 	cluster  *cluster
 	balancer *balancer
@@ -66,7 +66,7 @@
 	served    map[kind]int
 }
 
-// startWorkload begins the load; stop ends it.
+// startWorkload starts the load, which runs until stop.
 func startWorkload(c *cluster) *workload {
 	w := &workload{
 		cluster:  c,
@@ -80,7 +80,7 @@
 	return w
 }
 
-// run sends one request after another, without waiting for answers.
+// run starts a request at each interval, without waiting for the previous ones.
 func (w *workload) run() {
 	ticker := time.NewTicker(requestInterval)
 	defer ticker.Stop()
@@ -102,7 +102,7 @@
 	}
 }
 
-// stop ends the load and returns all exchanges once the last one has ended.
+// stop ends the load, waits for the requests in flight and returns all exchanges.
 func (w *workload) stop() []*exchange {
 	w.stopOnce.Do(func() {
 		close(w.stopped)
@@ -114,7 +114,7 @@
 	return w.exchanges
 }
 
-// newRequest returns the i-th request.
+// newRequest returns the i-th request of the workload.
 func newRequest(i int) request {
 	phase := i / requestsPerPhase
 	target := targets[(3*phase+i%modelsPerPhase)%len(targets)]
@@ -137,7 +137,8 @@
 	return r
 }
 
-// serve sends the i-th request. A keyed call that got no definite answer is sent again under its key, as its caller may.
+// sendWithRetries sends the i-th request. A keyed call that is not served is sent again with the same key, up to
+// keyAttempts times in all.
 func (w *workload) sendWithRetries(i int) {
 	r := newRequest(i)
 	for attempt := range keyAttempts {
@@ -148,7 +149,7 @@
 	}
 }
 
-// send sends a request to a ready entry, and to the next one as long as nothing of it went out.
+// send sends a request to a ready entry, and to the next one as long as no byte of the request was sent.
 func (w *workload) send(r request, turn int) *exchange {
 	for try := range len(w.cluster.entries) {
 		e := w.balancer.pick(turn + try)
@@ -173,7 +174,7 @@
 	}
 }
 
-// awaitServed waits until n more requests of each kind were served.
+// awaitServed waits until n more requests of each kind have been served.
 func (w *workload) awaitServed(n int, timeout time.Duration) {
 	w.cluster.t.Helper()
 	w.mu.Lock()
@@ -191,7 +192,7 @@
 	})
 }
 
-// summarize counts exchanges by kind and class.
+// summarize counts exchanges by kind and result.
 func summarize(exchanges []*exchange) string {
 	counts := map[string]int{}
 	for _, x := range exchanges {
@@ -204,7 +205,7 @@
 	return strings.Join(lines, ", ")
 }
 
-// balancer knows which entries are ready, as the platform's balancer does by asking each for its readiness.
+// balancer polls the entries' readiness, as the platform's load balancer does, and picks ready entries in turn.
 type balancer struct {
 	cluster    *cluster
 	done       chan struct{}
@@ -230,7 +231,7 @@
 	return b
 }
 
-// watch asks one entry for its readiness until the balancer stops.
+// watch polls one entry's readiness until the balancer stops.
 func (b *balancer) watch(e *entryHost) {
 	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for asked := false; ; {
@@ -258,7 +259,7 @@
 	b.probing.Wait()
 }
 
-// pick returns the ready entry whose turn it is, or nil while there is none.
+// pick returns the turn-th ready entry, modulo their number, or nil if none is ready.
 func (b *balancer) pick(turn int) *entryHost {
 	b.mu.Lock()
 	defer b.mu.Unlock()
