--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -189,10 +189,10 @@
 	if e.requiresCredentials {
 		values.Credentials = writeFile(c.t, c.dir, e.name+".token", "token-of-"+e.name+"\n")
 	}
-	server := writeSettings(c.t, c.dir, e.kind, e.name, values)
-	e.server = newProcess(c.t, c.dir, e.name, e.url()+"/truth", "standin", e.kind, "-config", server)
-	beside := writeSettings(c.t, c.dir, "agent", agent, values)
-	e.agent = newProcess(c.t, c.dir, agent, e.agentURL()+"/readyz", "agent", "-config", beside)
+	endpointFile := writeSettings(c.t, c.dir, e.kind, e.name, values)
+	e.server = newProcess(c.t, c.dir, e.name, e.url()+"/truth", "standin", e.kind, "-config", endpointFile)
+	agentFile := writeSettings(c.t, c.dir, "agent", agent, values)
+	e.agent = newProcess(c.t, c.dir, agent, e.agentURL()+"/readyz", "agent", "-config", agentFile)
 }
 
 // endpointSettings are the values for the settings templates of an endpoint and its agent.
--- a/test/declarations_test.go
+++ b/test/declarations_test.go
@@ -72,7 +72,7 @@
 }
 
 // newestBefore returns the edit with the highest revision among those accepted before t, or nil. Edits whose outcome was
-// looked up later don't count: the time at which they were accepted is unknown.
+// looked up later don't count, because their editor was not told in time that they were accepted.
 func newestBefore(accepted []*edit, t time.Time) *edit {
 	var newest *edit
 	for _, e := range accepted {
--- a/test/planned_test.go
+++ b/test/planned_test.go
@@ -67,9 +67,9 @@
 		func(r *run) []departure { return r.drainAndReturn("ledger-1") }},
 }
 
-// TestPlannedStops makes each planned stop under load, with long streams in flight. It checks that no request is truncated,
-// unanswered or of unknown outcome, that stopped processes exit without an error, and that leaving endpoints get no new
-// work after drainLimit.
+// TestPlannedStops makes each planned stop under load, with long streams in flight. It checks that no request is
+// truncated, unanswered or of unknown outcome, that stopped processes exit without an error, and that leaving endpoints
+// get no new work after drainLimit.
 func TestPlannedStops(t *testing.T) {
 	for _, p := range plannedStops {
 		t.Run(p.name, func(t *testing.T) {
--- a/test/properties_test.go
+++ b/test/properties_test.go
@@ -171,7 +171,7 @@
 }
 
 // checkReplicas checks that each engine had a model version in memory only while the table's row had a slot for it, and
-// that no row ever had more slots than declared replicas. Together these bound the loaded replicas at any time.
+// that no row ever had more slots than the declared max_replicas. Together these bound the loaded replicas at any time.
 func checkReplicas(e *evidence) *violations {
 	v := &violations{property: "no more replicas are loaded than decided"}
 	for _, one := range e.truth.engines {
@@ -199,8 +199,8 @@
 	"mover@v1": 2,
 }
 
-// slotViolation describes the part of a residency that no slot of the engine covers, or returns "". A row's version counts
-// from the earliest time at which it may have been written to the latest time at which the next one may have been.
+// slotViolation describes the part of a residency that no slot of the engine covers, or returns "". A row's version
+// counts from the earliest time at which it may have been written to the latest time at which the next one may have been.
 func slotViolation(held residency, host *endpointHost, versions []rowVersion) string {
 	covered := held.begin
 	for i, version := range versions {
--- a/test/request_test.go
+++ b/test/request_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestColdRequest sends requests to a cluster without load, the first one for a model that no engine has loaded. The entry
-// requests a slot, the agent loads the model, and each request is served in time: streamed and non-streamed chats and calls
-// of each kind.
+// TestColdRequest sends requests to a cluster without load, the first one for a model that no engine has loaded. The
+// entry requests a slot, the agent loads the model, and each request is served in time: streamed and non-streamed chats
+// and calls of each kind.
 func TestColdRequest(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t)
