--- a/test/address_test.go
+++ b/test/address_test.go
@@ -18,8 +18,8 @@
 	portLink      = 6000
 )
 
-// addressPool allocates loopback addresses. The second and third byte are derived from the process ID, so that concurrent
-// test runs don't use the same addresses.
+// addressPool allocates loopback addresses. The second and third byte are derived from the process ID, so that
+// concurrent test runs don't use the same addresses.
 type addressPool struct {
 	mu   sync.Mutex
 	next int
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -33,8 +33,8 @@
 	kind kind
 	// model is the name in the caller's chat request, engineModel the name that the engine receives.
 	model, engineModel string
-	// marker is unique to the request, or to all attempts of one keyed call. It is sent as the prompt or in the body, so
-	// that executions at the endpoints can be matched to the request.
+	// marker is unique to the request, or to all attempts of one keyed call. It is sent as the prompt or in the body,
+	// so that executions at the endpoints can be matched to the request.
 	marker string
 	// key is the idempotency key of a keyed call.
 	key      string
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -45,8 +45,8 @@
 // endpointHost is the host of an endpoint and its agent.
 type endpointHost struct {
 	name, kind, domain, ip string
-	// checksFencing makes the engine refuse orders with old fencing numbers, requiresCredentials makes it check credentials.
-	// keepsIdleModels makes the agent keep idle models loaded until their memory is needed.
+	// checksFencing makes the engine refuse orders with old fencing numbers, requiresCredentials makes it check
+	// credentials. keepsIdleModels makes the agent keep idle models loaded until their memory is needed.
 	checksFencing, requiresCredentials, keepsIdleModels bool
 	server, agent                                       *process
 	// gone reports that the host was removed; finalTruth is the endpoint's truth just before.
@@ -69,7 +69,8 @@
 	}
 }
 
-// cluster is a complete system: real processes, the links between them, and the platform's stand-in in the test process.
+// cluster is a complete system: real processes, the links between them, and the platform's stand-in in the test
+// process.
 type cluster struct {
 	t              *testing.T
 	dir            string
@@ -79,7 +80,8 @@
 	links          map[linkID]*faultlink.Link
 	linkIP         string
 	operatorClient *operator.Client
-	// initialRevision is the revision of the first declarations, startedAt the time at which the cluster began to start.
+	// initialRevision is the revision of the first declarations, startedAt the time at which the cluster began to
+	// start.
 	initialRevision uint64
 	startedAt       time.Time
 	// background runs the repeated actions of a failure between inject and heal.
@@ -100,8 +102,8 @@
 
 func agentName(endpoint string) string { return "agent-" + endpoint }
 
-// newCluster starts three entries, four engines (two of them check fencing numbers) and two plain services in two failure
-// domains. It waits until all of them are ready and the first declarations are in force.
+// newCluster starts three entries, four engines (two of them check fencing numbers) and two plain services in two
+// failure domains. It waits until all of them are ready and the first declarations are in force.
 func newCluster(t *testing.T) *cluster {
 	t.Helper()
 	c := &cluster{
--- a/test/declarations_test.go
+++ b/test/declarations_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// newestBefore returns the edit with the highest revision among those accepted before t, or nil. Edits whose outcome was
-// looked up later don't count, because their editor was not told in time that they were accepted.
+// newestBefore returns the edit with the highest revision among those accepted before t, or nil. Edits whose outcome
+// was looked up later don't count, because their editor was not told in time that they were accepted.
 func newestBefore(accepted []*edit, t time.Time) *edit {
 	var newest *edit
 	for _, e := range accepted {
@@ -102,8 +102,8 @@
 	}
 }
 
-// checkFinalLabel checks that all entries show the label of the newest accepted edit of it within propagationLimit (plus
-// tolerance).
+// checkFinalLabel checks that all entries show the label of the newest accepted edit of it within propagationLimit
+// (plus tolerance).
 func checkFinalLabel(v *violations, e *evidence, accepted []*edit) {
 	if len(accepted) == 0 {
 		v.add("no edit was accepted")
@@ -148,9 +148,9 @@
 	return ""
 }
 
-// checkNoRequestLost checks a run whose only events are planned stops: no request is unanswered, truncated or of unknown
-// outcome, and none is sent to an entry that refuses connections, because the entry fails its readiness check before it
-// stops accepting requests.
+// checkNoRequestLost checks a run whose only events are planned stops: no request is unanswered, truncated or of
+// unknown outcome, and none is sent to an entry that refuses connections, because the entry fails its readiness check
+// before it stops accepting requests.
 func checkNoRequestLost(e *evidence) *violations {
 	v := &violations{property: "a planned stop cuts no request"}
 	for _, x := range e.exchanges {
--- a/test/evidence_test.go
+++ b/test/evidence_test.go
@@ -12,8 +12,8 @@
 	"balsamsail/internal/timeline"
 )
 
-// evidence is everything recorded in a run: the results that callers and operators got, the observations of the monitor,
-// and the ground truth from the stand-ins.
+// evidence is everything recorded in a run: the results that callers and operators got, the observations of the
+// monitor, and the ground truth from the stand-ins.
 type evidence struct {
 	cluster      *cluster
 	exchanges    []*exchange
--- a/test/failure_table_test.go
+++ b/test/failure_table_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// restartsWithLateOrders repeatedly restarts the agent of an engine that accepts any fencing number, while its orders are
-// delayed.
+// restartsWithLateOrders repeatedly restarts the agent of an engine that accepts any fencing number, while its orders
+// are delayed.
 func restartsWithLateOrders() failure {
 	delayOrders, restoreOrders := withEngine("engine-3", engineFaults{DelayOrders: chance(1), DelayOrdersSeconds: 1.2})
 	inject := func(c *cluster) {
@@ -74,11 +74,12 @@
 tell old orders from new ones and would run out of memory.`, 2*longFault, inject, heal)
 }
 
-// agentRestartInterval is longer than the delay of an order (1.2 s), so that each agent runs long enough to send orders.
+// agentRestartInterval is longer than the delay of an order (1.2 s), so that each agent runs long enough to send
+// orders.
 const agentRestartInterval = 1900 * time.Millisecond
 
-// linkFailures returns the faults of the links between processes. In the names, "deaf" loses the data towards the server,
-// "mute" the data towards the client.
+// linkFailures returns the faults of the links between processes. In the names, "deaf" loses the data towards the
+// server, "mute" the data towards the client.
 func linkFailures() []failure {
 	blockOneWay := func(d faultlink.Direction) func(*faultlink.Link) {
 		return func(l *faultlink.Link) { l.Block(d, faultlink.Vanish) }
--- a/test/failures_test.go
+++ b/test/failures_test.go
@@ -15,13 +15,13 @@
 	name string
 	// description says what happens, in which order, and what must hold.
 	description string
-	// duration is the time from inject to heal. If the failure makes a peer silent, it exceeds the timeouts by which the
-	// processes detect that.
+	// duration is the time from inject to heal. If the failure makes a peer silent, it exceeds the timeouts by which
+	// the processes detect that.
 	duration time.Duration
 	inject   func(c *cluster)
 	heal     func(c *cluster)
-	// frozenEndpoint is the endpoint whose stand-in is suspended, faultyEndpoints those whose stand-ins get faults through
-	// their control API.
+	// frozenEndpoint is the endpoint whose stand-in is suspended, faultyEndpoints those whose stand-ins get faults
+	// through their control API.
 	frozenEndpoint  string
 	faultyEndpoints []string
 }
--- a/test/monitor_test.go
+++ b/test/monitor_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// pollOnce records one observation, with the time before its requests. It asks for the readiness before the revision, so
-// a process recorded as ready had the recorded revision in force at a time after it was ready.
+// pollOnce records one observation, with the time before its requests. It asks for the readiness before the revision,
+// so a process recorded as ready had the recorded revision in force at a time after it was ready.
 func (m *monitor) pollOnce(client *http.Client, process, readyURL string, read revisionReader) {
 	at := time.Now()
 	response, err := client.Get(readyURL)
@@ -121,8 +121,8 @@
 	}
 }
 
-// readRevisions reads the events of revisions put in force, oldest first, after a header line. It keeps the last revision
-// and notes each change to a lower one.
+// readRevisions reads the events of revisions put in force, oldest first, after a header line. It keeps the last
+// revision and notes each change to a lower one.
 func readRevisions(lines *bufio.Scanner, seen *observation) error {
 	lines.Scan()
 	for lines.Scan() {
--- a/test/operators_test.go
+++ b/test/operators_test.go
@@ -68,7 +68,8 @@
 	return e.edits
 }
 
-// run makes edits until stop, at each entry in turn from the turn-th. Conditional edits require the revision read before.
+// run makes edits until stop, at each entry in turn from the turn-th. Conditional edits require the revision read
+// before.
 func (e *editors) run(author string, conditional bool, turn int) {
 	client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for n := 0; ; n++ {
--- a/test/outages_test.go
+++ b/test/outages_test.go
@@ -18,8 +18,8 @@
 // outageDuration exceeds the time within which a change must be in force everywhere.
 const outageDuration = propagationLimit + 2*time.Second
 
-// outages returns outages that last longer than a change of the declarations may take to be in force. Edits accepted just
-// before the outage, or by another entry during it, must still be in force in every live process in time.
+// outages returns outages that last longer than a change of the declarations may take to be in force. Edits accepted
+// just before the outage, or by another entry during it, must still be in force in every live process in time.
 func outages() []failure {
 	tableDown, tableUp := withPlatform(func(f *standin.Faults) { f.Table.Outage = true })
 	acceptedThenDown := func(c *cluster) {
--- a/test/planned_test.go
+++ b/test/planned_test.go
@@ -96,7 +96,8 @@
 	longStreamTokens = 300
 )
 
-// startLongStreams starts long streams at the ready entries in turn and waits until one more request of each kind is served.
+// startLongStreams starts long streams at the ready entries in turn and waits until one more request of each kind is
+// served.
 func (r *run) startLongStreams() *sync.WaitGroup {
 	var streams sync.WaitGroup
 	for i := range longStreams {
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -17,9 +17,9 @@
 	standin "balsamsail/internal/standin/platform"
 )
 
-// platform runs the platform's stand-in in the test process, so that the test can read the table whatever faults are set.
-// Each process of the system reaches it through a listener of its own, which rewrites the addresses in the host list to
-// those of the process's links.
+// platform runs the platform's stand-in in the test process, so that the test can read the table whatever faults are
+// set. Each process of the system reaches it through a listener of its own, which rewrites the addresses in the host
+// list to those of the process's links.
 type platform struct {
 	t      *testing.T
 	server *standin.Server
--- a/test/process_faults_test.go
+++ b/test/process_faults_test.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// loadTimeout bounds the wait for an engine to be loading a model. Under the workload of a scenario, loads are frequent.
+// loadTimeout bounds the wait for an engine to be loading a model. Under the workload of a scenario, loads are
+// frequent.
 const loadTimeout = 3 * time.Second
 
 // whileLoading returns a function that runs action while an engine is loading a model.
--- a/test/properties_test.go
+++ b/test/properties_test.go
@@ -9,8 +9,8 @@
 	"balsamsail/internal/standin/engine"
 )
 
-// checkAnswered checks that each request got one final answer in time. Requests whose entry was killed, stopped or frozen
-// meanwhile are skipped, because the entry could not answer them.
+// checkAnswered checks that each request got one final answer in time. Requests whose entry was killed, stopped or
+// frozen meanwhile are skipped, because the entry could not answer them.
 func checkAnswered(e *evidence) *violations {
 	v := &violations{property: "each request is answered in time"}
 	for _, x := range e.exchanges {
@@ -34,8 +34,8 @@
 	return v
 }
 
-// lateness returns how long after the deadline (plus tolerance) the answer came. For a successful stream the first bytes
-// count, else the end of the answer.
+// lateness returns how long after the deadline (plus tolerance) the answer came. For a successful stream the first
+// bytes count, else the end of the answer.
 func (x *exchange) lateness() time.Duration {
 	answered := x.ended
 	if x.kind == chatStream && x.status == http.StatusOK && !x.firstByte.IsZero() {
@@ -68,8 +68,8 @@
 
 const outcomeNotRun = "not_run"
 
-// checkNotRun checks that no request with outcome "not_run" was executed. A keyed call may have been executed by another
-// attempt with the same marker, so executions are checked only if all attempts had that outcome.
+// checkNotRun checks that no request with outcome "not_run" was executed. A keyed call may have been executed by
+// another attempt with the same marker, so executions are checked only if all attempts had that outcome.
 func checkNotRun(e *evidence) *violations {
 	v := &violations{property: `"not run" is true`}
 	began := map[string]string{}
@@ -200,7 +200,8 @@
 }
 
 // slotViolation describes the part of a residency that no slot of the engine covers, or returns "". A row's version
-// counts from the earliest time at which it may have been written to the latest time at which the next one may have been.
+// counts from the earliest time at which it may have been written to the latest time at which the next one may have
+// been.
 func slotViolation(held residency, host *endpointHost, versions []rowVersion) string {
 	covered := held.begin
 	for i, version := range versions {
--- a/test/scenario_test.go
+++ b/test/scenario_test.go
@@ -24,8 +24,8 @@
 	pairOffset = 400 * time.Millisecond
 )
 
-// TestFailures injects each failure of the table alone, under a steady load of chat requests, service calls and edits of
-// two operators, and checks the properties that must always hold against the ground truth of the stand-ins.
+// TestFailures injects each failure of the table alone, under a steady load of chat requests, service calls and edits
+// of two operators, and checks the properties that must always hold against the ground truth of the stand-ins.
 func TestFailures(t *testing.T) {
 	for _, f := range allFailures() {
 		t.Run(f.name, func(t *testing.T) { runScenario(t, f) })
@@ -97,8 +97,8 @@
 	{"host list down", "agent killed, its engine fences"},
 }
 
-// runScenario injects failures, pairOffset apart, heals them in the same order, waits until the system serves again, and
-// checks all properties.
+// runScenario injects failures, pairOffset apart, heals them in the same order, waits until the system serves again,
+// and checks all properties.
 func runScenario(t *testing.T, failures ...failure) {
 	t.Parallel()
 	acquireClusterSlot(t)
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -9,7 +9,8 @@
 )
 
 // settingsText holds the settings templates of each role. Times are short, so that every timeout expires within a test,
-// but the limits on a peer's silence are at least a second, because a busy machine can delay a process for half a second.
+// but the limits on a peer's silence are at least a second, because a busy machine can delay a process for half a
+// second.
 const settingsText = `
 {{define "platform"}}
 [platform]
--- a/test/workload_test.go
+++ b/test/workload_test.go
@@ -37,8 +37,8 @@
 // The parameters of a workload.
 const (
 	requestInterval = 10 * time.Millisecond
-	// requestsPerPhase is the number of requests after which callers request other models, so that models become idle, are
-	// unloaded and are loaded again all the time. modelsPerPhase is the number of models requested in one phase.
+	// requestsPerPhase is the number of requests after which callers request other models, so that models become idle,
+	// are unloaded and are loaded again all the time. modelsPerPhase is the number of models requested in one phase.
 	requestsPerPhase = 24
 	modelsPerPhase   = 4
 	chatDeadline     = 2500 * time.Millisecond
