--- a/internal/app/agent.go
+++ b/internal/app/agent.go
@@ -23,7 +23,7 @@
 // RunAgent runs an agent until ctx ends and it has drained.
 func RunAgent(ctx context.Context, s *settings.Agent, out Output) error {
 	container := dig.New()
-	if err := common(container, s.Endpoint.Name, s.Log, s.Timeline, out); err != nil {
+	if err := provideCommon(container, s.Endpoint.Name, s.Log, s.Timeline, out); err != nil {
 		return err
 	}
 	err := provideAll(container,
@@ -41,7 +41,7 @@
 	return invoke(container, func(role agentRole) error { return role.run(ctx) })
 }
 
-// agentRole is an assembled agent.
+// agentRole holds the components of an agent.
 type agentRole struct {
 	dig.In
 
@@ -70,7 +70,7 @@
 	return idle.NewPolicy(idle.Options{Min: s.Idle.Min, Max: s.Idle.Max})
 }
 
-func newAgent(s *settings.Agent, i Incarnation, engine endpoint.Engine, caller endpoint.Caller, policy agent.IdlePolicy, table backing.Table, c clock.Clock, l *slog.Logger, r prometheus.Registerer, line *timeline.Recorder) *agent.Agent {
+func newAgent(s *settings.Agent, i Incarnation, engine endpoint.Engine, caller endpoint.Caller, policy agent.IdlePolicy, table backing.Table, c clock.Clock, l *slog.Logger, r prometheus.Registerer, recorder *timeline.Recorder) *agent.Agent {
 	return agent.New(agentOptions(s, i), agent.Dependencies{
 		Engine:     engine,
 		Caller:     caller,
@@ -79,7 +79,7 @@
 		Clock:      c,
 		Logger:     l,
 		Registerer: r,
-		Recorder:   line,
+		Recorder:   recorder,
 	})
 }
 
@@ -124,18 +124,18 @@
 	}
 }
 
-// newAgentServer serves the operators' paths of an agent.
-func newAgentServer(s *settings.Agent, a *agent.Agent, l *slog.Logger, r *prometheus.Registry, line *timeline.Recorder) *process.Server {
+// newAgentServer returns the server for an agent's operator endpoints: readiness, metrics and timeline.
+func newAgentServer(s *settings.Agent, a *agent.Agent, l *slog.Logger, r *prometheus.Registry, recorder *timeline.Recorder) *process.Server {
 	return process.NewServer(process.Options{
 		Name:     s.Endpoint.Name,
 		Ready:    a.Ready,
 		Metrics:  r,
-		Timeline: line,
+		Timeline: recorder,
 		Logger:   l,
 	})
 }
 
-// run serves until ctx ends and the agent has drained. The operators' paths go on until then.
+// run serves until ctx ends and the agent has drained. The operator endpoints stay available during the drain.
 func (r agentRole) run(ctx context.Context) error {
 	listener, err := listen(r.Settings.Agent.Listen)
 	if err != nil {
@@ -152,6 +152,6 @@
 		return r.Agent.Run(ctx, listener)
 	})
 	serveHTTP(drained, group, operators, r.Server, process.ServeOptions{Logger: r.Logger})
-	announce(r.Logger, r.Recorder, "entries", listener.Addr())
+	recordListening(r.Logger, r.Recorder, "entries", listener.Addr())
 	return group.Wait()
 }
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,4 +1,5 @@
-// Package app assembles the roles of the system from their settings: one file for each role, put together with dig.
+// Package app builds each role of the system from its settings with dig, a dependency injection container. Each role has a
+// file of its own.
 package app
 
 import (
@@ -26,27 +27,27 @@
 )
 
 var (
-	// ErrListen says that an address could not be listened on; on an agent's address this means that another agent of
-	// the same endpoint still exists.
+	// ErrListen reports that a listener could not be opened. For an agent's address it usually means that another agent
+	// of the same endpoint is still running.
 	ErrListen = errors.New("app: cannot listen")
-	// ErrAssemble says that a role could not be put together.
-	ErrAssemble = errors.New("app: cannot assemble")
+	// ErrAssemble reports that a role could not be built from its settings.
+	ErrAssemble = errors.New("app: cannot build the role")
 )
 
-// Output is where a process logs.
+// Output is the destination of a process's log.
 type Output struct{ io.Writer }
 
-// StandardOutput returns the process's standard error.
+// StandardOutput returns an Output that writes to standard error.
 func StandardOutput() Output { return Output{os.Stderr} }
 
-// Incarnation tells one start of a process from an earlier one; it rises with time.
+// Incarnation identifies one run of a process. A later run has a higher incarnation.
 type Incarnation uint64
 
-// newIncarnation returns an incarnation from the wall clock, in microseconds.
+// newIncarnation returns the wall clock time in Unix microseconds as an incarnation.
 func newIncarnation(c clock.Clock) Incarnation { return Incarnation(c.Now().UnixMicro()) }
 
-// common provides what every role needs.
-func common(container *dig.Container, name string, log settings.Log, line settings.Timeline, out Output) error {
+// provideCommon registers the constructors that entries and agents share.
+func provideCommon(container *dig.Container, name string, log settings.Log, t settings.Timeline, out Output) error {
 	return provideAll(container,
 		func() clock.Clock { return clock.Real{} },
 		func(c clock.Clock) Incarnation { return newIncarnation(c) },
@@ -54,13 +55,13 @@
 		process.NewRegistry,
 		func(r *prometheus.Registry) prometheus.Registerer { return r },
 		func(c clock.Clock, r prometheus.Registerer) (*timeline.Recorder, error) {
-			recorder := timeline.NewRecorder(name, line.Size, timeline.NewHybridClock(c.Now))
+			recorder := timeline.NewRecorder(name, t.Size, timeline.NewHybridClock(c.Now))
 			return recorder, recorder.Register(r)
 		},
 	)
 }
 
-// provideAll gives constructors to a container.
+// provideAll registers constructors with a container.
 func provideAll(container *dig.Container, constructors ...any) error {
 	for _, constructor := range constructors {
 		if err := container.Provide(constructor); err != nil {
@@ -70,9 +71,10 @@
 	return nil
 }
 
-// invoke runs a function on the assembled role; its errors come out as they went in.
-func invoke(container *dig.Container, function any) error {
-	return dig.RootCause(container.Invoke(function))
+// invoke calls fn with its dependencies from the container. Errors of fn and of constructors are returned without dig's
+// wrapping.
+func invoke(container *dig.Container, fn any) error {
+	return dig.RootCause(container.Invoke(fn))
 }
 
 func newLogger(log settings.Log, out Output, name string) (*slog.Logger, error) {
@@ -83,7 +85,7 @@
 	return logger.With("process", name), nil
 }
 
-// platformClients are the clients of the platform's services.
+// platformClients holds the clients of the platform's services.
 type platformClients struct {
 	dig.Out
 	Table backing.Table
@@ -109,7 +111,7 @@
 	}
 }
 
-// listen listens on an address; an empty address gives no listener.
+// listen opens a TCP listener. It returns nil if the address is empty.
 func listen(address inifile.Address) (net.Listener, error) {
 	if address == "" {
 		return nil, nil
@@ -121,7 +123,7 @@
 	return listener, nil
 }
 
-// serveHTTP serves until ctx ends, as one of a group's tasks.
+// serveHTTP runs an HTTP server in the group until ctx ends. It does nothing if the listener is nil.
 func serveHTTP(ctx context.Context, group *errgroup.Group, l net.Listener, h http.Handler, o process.ServeOptions) {
 	if l == nil {
 		return
@@ -129,8 +131,8 @@
 	group.Go(func() error { return process.Serve(ctx, l, h, o) })
 }
 
-// announce tells that a process listens.
-func announce(logger *slog.Logger, recorder *timeline.Recorder, addresses ...any) {
+// recordListening logs the listen addresses of a process and records its start in the timeline.
+func recordListening(logger *slog.Logger, recorder *timeline.Recorder, addresses ...any) {
 	logger.Info("listening", addresses...)
 	recorder.Record(timeline.Event{Kind: timeline.ProcessStarted, Detail: strings.TrimSpace(fmt.Sprintln(addresses...))})
 }
--- a/internal/app/dev.go
+++ b/internal/app/dev.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 	"context"
-	_ "embed" // The declarations that dev starts with.
+	_ "embed" // Embeds the declarations and settings templates of dev.
 	"fmt"
 	"io"
 	"net/http"
@@ -18,7 +18,7 @@
 	"balsamsail/internal/settings"
 )
 
-// ErrDevAddress says that dev cannot use the address given to it.
+// ErrDevAddress reports that dev cannot use its listen address.
 var ErrDevAddress = errors.New("app: dev needs an IP address and a port from 1 to 65000")
 
 //go:embed dev_declarations.ini
@@ -29,25 +29,25 @@
 
 // DevOptions are the settings of Dev.
 type DevOptions struct {
-	// Listen is the address for callers; the other processes take the ports above it.
+	// Listen is the address for callers. The other processes listen on the ports above it.
 	Listen string
-	// Out is where the ready message goes and Log where the processes log.
+	// Out receives the ready message and Log the log lines of all processes.
 	Out io.Writer
 	Log Output
-	// LogLevel is the least level that is logged.
+	// LogLevel is the minimum level that is logged.
 	LogLevel string
 }
 
-// devEndpoint is one endpoint of dev, beside which an agent runs.
+// devEndpoint is an endpoint of dev and its agent.
 type devEndpoint struct {
 	Name, Kind, Domain string
-	// Port is the endpoint's, AgentPort the agent's and HTTPPort that of the agent's metrics.
+	// Port is the endpoint's port, AgentPort its agent's, and HTTPPort the port of the agent's metrics.
 	Port, AgentPort, HTTPPort int
-	// Fences says whether the engine checks fencing numbers.
+	// Fences reports whether the engine checks fencing tokens.
 	Fences bool
 }
 
-// devSite is what the settings of dev are made from.
+// devSite holds the data for the settings templates of dev.
 type devSite struct {
 	IP                            string
 	Port, OperatorPort, StorePort int
@@ -55,7 +55,7 @@
 	LogLevel                      string
 }
 
-// The ports of dev, above the one for callers.
+// Port offsets of dev, relative to the port for callers.
 const (
 	devOperatorOffset = 1
 	devStoreOffset    = 2
@@ -106,7 +106,7 @@
 		return err
 	}
 	group, groupCtx := errgroup.WithContext(ctx)
-	// Stand-ins stop last, so that the requests in flight can end.
+	// Stand-ins stop last so that in-flight requests can complete.
 	standins, stopStandins := context.WithCancel(context.WithoutCancel(groupCtx))
 	var roles errgroup.Group
 	if err := site.start(groupCtx, standins, group, &roles, o.Log); err != nil {
@@ -128,21 +128,21 @@
 		return errors.Wrap(ErrAssemble, err.Error())
 	}
 	d := &devStarter{site: s, templates: templates, log: log}
-	startDev(d, group, "platform", nil, func(c *settings.StandinPlatform) error { return RunStandinPlatform(standins, c, log) })
+	startDevProcess(d, group, "platform", nil, func(c *settings.StandinPlatform) error { return RunStandinPlatform(standins, c, log) })
 	for i := range s.Endpoints {
 		e := &s.Endpoints[i]
 		if e.Kind == settings.KindEngine {
-			startDev(d, group, "engine", e, func(c *settings.StandinEngine) error { return RunStandinEngine(standins, c, log) })
+			startDevProcess(d, group, "engine", e, func(c *settings.StandinEngine) error { return RunStandinEngine(standins, c, log) })
 		} else {
-			startDev(d, group, "service", e, func(c *settings.StandinService) error { return RunStandinService(standins, c, log) })
+			startDevProcess(d, group, "service", e, func(c *settings.StandinService) error { return RunStandinService(standins, c, log) })
 		}
-		startDev(d, roles, "agent", e, func(c *settings.Agent) error { return RunAgent(ctx, c, log) })
+		startDevProcess(d, roles, "agent", e, func(c *settings.Agent) error { return RunAgent(ctx, c, log) })
 	}
-	startDev(d, roles, "entry", nil, func(c *settings.Entry) error { return RunEntry(ctx, c, log) })
+	startDevProcess(d, roles, "entry", nil, func(c *settings.Entry) error { return RunEntry(ctx, c, log) })
 	return d.err
 }
 
-// devStarter makes settings from the templates; it keeps the first error.
+// devStarter renders settings from the templates. After an error it starts no further processes and keeps the error.
 type devStarter struct {
 	site      *devSite
 	templates *template.Template
@@ -150,8 +150,8 @@
 	err       error
 }
 
-// startDev runs one process of dev with the settings that a template gives.
-func startDev[S any](d *devStarter, group *errgroup.Group, name string, e *devEndpoint, run func(*S) error) {
+// startDevProcess runs one process of dev with the settings rendered from the named template.
+func startDevProcess[S any](d *devStarter, group *errgroup.Group, name string, e *devEndpoint, run func(*S) error) {
 	if d.err != nil {
 		return
 	}
@@ -173,50 +173,51 @@
 }
 
 const (
-	devPatience = 30 * time.Second
-	devInterval = 100 * time.Millisecond
+	devStartTimeout  = 30 * time.Second
+	devRetryInterval = 100 * time.Millisecond
 )
 
-// declare applies the first declarations once the entry answers, and tells how to try the system.
+// declare applies the initial declarations once the entry answers, waits until they are in force, and prints how to try the
+// system.
 func (s *devSite) declare(ctx context.Context, out io.Writer) error {
 	operators := fmt.Sprintf("http://%s:%d", s.IP, s.OperatorPort)
 	client := operator.NewClient([]string{operators}, http.DefaultClient)
-	wait, cancel := context.WithTimeout(ctx, devPatience)
+	startCtx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
-	accepted, err := s.apply(wait, client)
+	accepted, err := s.apply(startCtx, client)
 	if err != nil || ctx.Err() != nil {
 		return err
 	}
-	if _, err := operator.Wait(wait, client, accepted.Revision); err != nil && ctx.Err() == nil {
+	if _, err := operator.Wait(startCtx, client, accepted.Revision); err != nil && ctx.Err() == nil {
 		return err
 	}
 	callers := fmt.Sprintf("http://%s:%d", s.IP, s.Port)
-	_, err = fmt.Fprintf(out, devReady, callers, operators, callers, callers, operators)
+	_, err = fmt.Fprintf(out, devReadyMessage, callers, operators, callers, callers, operators)
 	return err
 }
 
-// apply tries until the entry takes the declarations.
+// apply retries until the entry accepts the declarations.
 func (s *devSite) apply(ctx context.Context, client *operator.Client) (operator.Accepted, error) {
 	for {
 		request := operator.ApplyRequest{INI: devDeclarations, File: "dev", Edit: operator.Edit{Author: "dev", OperationID: "dev-start"}}
 		accepted, err := client.Apply(ctx, request)
-		if err == nil || ctx.Err() != nil || !again(err) {
+		if err == nil || ctx.Err() != nil || !retryable(err) {
 			return accepted, err
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(devInterval):
+		case <-time.After(devRetryInterval):
 		}
 	}
 }
 
-// again reports whether an edit that failed while the processes start may be tried again.
-func again(err error) bool {
+// retryable reports whether an edit failed because the processes are still starting.
+func retryable(err error) bool {
 	var unavailable *operator.UnavailableError
 	return errors.Is(err, operator.ErrUnreachable) || errors.As(err, &unavailable)
 }
 
-const devReady = `balsamsail is ready.
+const devReadyMessage = `balsamsail is ready.
 
   callers    %s
   operators  %s
--- a/internal/app/dev_test.go
+++ b/internal/app/dev_test.go
@@ -16,7 +16,7 @@
 	"balsamsail/internal/standin/engine"
 )
 
-// readyWriter is where dev tells that it is ready.
+// readyWriter closes ready at the first write, which is dev's ready message.
 type readyWriter struct {
 	once  sync.Once
 	ready chan struct{}
@@ -27,13 +27,13 @@
 	return len(p), nil
 }
 
-// devAddress is an address of this test process's own, so that runs at the same time do not meet.
+// devAddress returns a loopback address derived from the process ID, so that concurrent test runs use different addresses.
 func devAddress() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:18080", 100+pid>>16%100, pid>>8%256, pid%256)
 }
 
-// startDev runs dev until the test ends.
+// startDevSystem runs dev until the test ends and returns its base URL.
 func startDevSystem(t *testing.T) string {
 	t.Helper()
 	address := devAddress()
@@ -47,7 +47,7 @@
 	t.Cleanup(func() {
 		stop()
 		if err := <-ended; err != nil {
-			t.Errorf("dev ended with %v; log:\n%s", err, log.String())
+			t.Errorf("dev ended with error %v; log:\n%s", err, log.String())
 		}
 	})
 	select {
@@ -61,7 +61,7 @@
 	return "http://" + address
 }
 
-// post sends a request and returns status and body.
+// post sends a request and returns the response and its body.
 func post(t *testing.T, url, body string, header http.Header) (*http.Response, string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url, strings.NewReader(body))
@@ -81,8 +81,8 @@
 	return response, string(text)
 }
 
-// A newcomer starts dev and sends what the page says. The first request wakes a model that sleeps, the next one finds it
-// loaded, and the plain service's call runs once under its key although it is sent twice.
+// TestDevServes sends the requests of dev's ready message. The first request loads an idle model, the second uses an adapter
+// of the loaded model, and a call that is sent twice with the same idempotency key runs once.
 func TestDevServes(t *testing.T) {
 	base := startDevSystem(t)
 	chat := base + "/v1/chat/completions"
@@ -94,7 +94,7 @@
 			t.Fatalf("status %d, body %q", response.StatusCode, body)
 		}
 	})
-	t.Run("an adapter, whole", func(t *testing.T) {
+	t.Run("an adapter, not streamed", func(t *testing.T) {
 		response, body := post(t, chat, `{"model":"narrator-zarqa",`+message+`}`, http.Header{})
 		var completion struct {
 			Choices []struct{ Message struct{ Content string } }
@@ -115,11 +115,11 @@
 	t.Run("a call under a key, twice", func(t *testing.T) {
 		header := http.Header{"Idempotency-Key": {"notice-1"}}
 		first, firstBody := post(t, base+"/ledger/notices", `{"amount":120}`, header)
-		again, againBody := post(t, base+"/ledger/notices", `{"amount":120}`, header)
-		if first.StatusCode != http.StatusOK || again.StatusCode != http.StatusOK || firstBody != againBody {
-			t.Errorf("first %d %q, again %d %q", first.StatusCode, firstBody, again.StatusCode, againBody)
+		second, secondBody := post(t, base+"/ledger/notices", `{"amount":120}`, header)
+		if first.StatusCode != http.StatusOK || second.StatusCode != http.StatusOK || firstBody != secondBody {
+			t.Errorf("first answer: status %d, body %q; second answer: status %d, body %q", first.StatusCode, firstBody, second.StatusCode, secondBody)
 		}
-		if again.Header.Get("Idempotent-Replayed") != "true" {
+		if second.Header.Get("Idempotent-Replayed") != "true" {
 			t.Error("the second answer is not marked as a replay")
 		}
 	})
--- a/internal/app/engineagent.go
+++ b/internal/app/engineagent.go
@@ -19,11 +19,11 @@
 	"balsamsail/platform"
 )
 
-// RunEngineAgent runs the agent beside an engine until ctx ends.
+// RunEngineAgent runs the agent of an engine until ctx ends.
 func RunEngineAgent(ctx context.Context, s *settings.EngineAgent, logs Output) error {
-	hangups := notifyHangups()
-	defer hangups.stop()
-	out, flush := neverBlocking(logs)
+	reloads := notifyReloadSignals()
+	defer reloads.stop()
+	out, flush := asyncOutput(logs)
 	defer flush()
 	container := dig.New()
 	err := provideAll(container,
@@ -38,7 +38,7 @@
 		return err
 	}
 	return invoke(container, func(role engineAgentRole) error {
-		go hangups.follow(ctx, role.reload)
+		go reloads.handle(ctx, role.reload)
 		return role.run(ctx)
 	})
 }
@@ -53,7 +53,7 @@
 	}, platform.NewEngine(string(s.Agent.Engine), s.Agent.Host), l, m)
 }
 
-// engineAgentRole is an assembled agent.
+// engineAgentRole holds the components of an engine agent.
 type engineAgentRole struct {
 	dig.In
 
@@ -63,15 +63,15 @@
 	Logger   *slog.Logger
 }
 
-// reload reads the settings again and says what has changed; all of it takes effect at the next start.
-func (r engineAgentRole) reload() { readAgain(r.Settings, r.Settings.Again, r.Logger) }
+// reload reads the settings again and logs which sections changed. All changes take effect at the next start.
+func (r engineAgentRole) reload() { reloadSettings(r.Settings, r.Settings.Again, r.Logger) }
 
 func (r engineAgentRole) run(ctx context.Context) error {
-	links, err := listenBetweenHosts(r.Settings.Control.Listen)
+	links, err := listenKeepAlive(r.Settings.Control.Listen)
 	if err != nil {
 		return err
 	}
-	metrics, err := listenBetweenHosts(r.Settings.Agent.MetricsListen)
+	metrics, err := listenKeepAlive(r.Settings.Agent.MetricsListen)
 	if err != nil {
 		return err
 	}
@@ -86,8 +86,9 @@
 	return err
 }
 
-// listenBetweenHosts listens for connections that break when the peer falls silent; an empty address gives no listener.
-func listenBetweenHosts(address inifile.Address) (net.Listener, error) {
+// listenKeepAlive opens a TCP listener with keep-alive probes and a user timeout, so that connections to an unresponsive
+// peer are closed. It returns nil if the address is empty.
+func listenKeepAlive(address inifile.Address) (net.Listener, error) {
 	if address == "" {
 		return nil, nil
 	}
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -28,17 +28,17 @@
 // RunEntry runs an entry until ctx ends and it has drained.
 func RunEntry(ctx context.Context, s *settings.Entry, out Output) error {
 	container := dig.New()
-	if err := common(container, s.Entry.ID, s.Log, s.Timeline, out); err != nil {
+	if err := provideCommon(container, s.Entry.ID, s.Log, s.Timeline, out); err != nil {
 		return err
 	}
 	err := provideAll(container,
 		func() *settings.Entry { return s },
 		func() platformClients { return newPlatformClients(s.Platform) },
-		newMembers,
-		newStore,
+		newMembership,
+		newDeclarationStore,
 		newClaims,
 		newEntry,
-		newGrants,
+		newReplicaManager,
 		newOperatorServer,
 	)
 	if err != nil {
@@ -47,19 +47,19 @@
 	return invoke(container, func(role entryRole) error { return role.run(ctx) })
 }
 
-// entryRole is an assembled entry.
+// entryRole holds the components of an entry.
 type entryRole struct {
 	dig.In
 
 	Settings *settings.Entry
 	Entry    *entry.Entry
-	Grants   *replicas.Manager
+	Replicas *replicas.Manager
 	Operator *process.Server
 	Logger   *slog.Logger
 	Recorder *timeline.Recorder
 }
 
-func newMembers(s *settings.Entry, i Incarnation, hosts backing.HostList, c clock.Clock, l *slog.Logger, r prometheus.Registerer, line *timeline.Recorder) *membership.Manager {
+func newMembership(s *settings.Entry, i Incarnation, hosts backing.HostList, c clock.Clock, l *slog.Logger, r prometheus.Registerer, recorder *timeline.Recorder) *membership.Manager {
 	return membership.NewManager(membership.Options{
 		EntryID:           s.Entry.ID,
 		Incarnation:       uint64(i),
@@ -69,10 +69,10 @@
 		SilenceLimit:      s.Membership.SilenceLimit,
 		BatchDelay:        s.Membership.BatchDelay,
 		Wire:              wireOptions(s.Wire),
-	}, hosts, c, l, r, line)
+	}, hosts, c, l, r, recorder)
 }
 
-func newStore(s *settings.Entry, i Incarnation, table backing.Table, c clock.Clock, l *slog.Logger, r prometheus.Registerer) *declarations.Store {
+func newDeclarationStore(s *settings.Entry, i Incarnation, table backing.Table, c clock.Clock, l *slog.Logger, r prometheus.Registerer) *declarations.Store {
 	return declarations.NewStore(declarations.Options{
 		PollInterval: s.Declarations.PollInterval,
 		MaxBackoff:   s.Declarations.MaxBackoff,
@@ -91,7 +91,7 @@
 	})
 }
 
-func newEntry(s *settings.Entry, i Incarnation, m *membership.Manager, store *declarations.Store, claims *atmostonce.Claims, c clock.Clock, l *slog.Logger, r prometheus.Registerer, line *timeline.Recorder) *entry.Entry {
+func newEntry(s *settings.Entry, i Incarnation, m *membership.Manager, store *declarations.Store, claims *atmostonce.Claims, c clock.Clock, l *slog.Logger, r prometheus.Registerer, recorder *timeline.Recorder) *entry.Entry {
 	return entry.New(entryOptions(s, i), entry.Dependencies{
 		Members:    m,
 		Store:      store,
@@ -99,7 +99,7 @@
 		Clock:      c,
 		Logger:     l,
 		Registerer: r,
-		Recorder:   line,
+		Recorder:   recorder,
 	})
 }
 
@@ -126,7 +126,7 @@
 	}
 }
 
-func newGrants(s *settings.Entry, i Incarnation, e *entry.Entry, table backing.Table, c clock.Clock, l *slog.Logger, r prometheus.Registerer, line *timeline.Recorder) *replicas.Manager {
+func newReplicaManager(s *settings.Entry, i Incarnation, e *entry.Entry, table backing.Table, c clock.Clock, l *slog.Logger, r prometheus.Registerer, recorder *timeline.Recorder) *replicas.Manager {
 	o := replicas.DefaultOptions()
 	o.Incarnation = uint64(i)
 	o.Seed = uint64(i)
@@ -142,7 +142,7 @@
 	o.MaxBackoff = s.Replicas.MaxBackoff
 	o.Policy.SilentAfter = s.Replicas.SilentAfter
 	o.Policy.ExtraHold = s.Replicas.ExtraHold
-	m := replicas.NewManager(o, table, e.GrantInputs(), c, l, r, line)
+	m := replicas.NewManager(o, table, e.GrantInputs(), c, l, r, recorder)
 	e.SetGrants(m)
 	return m
 }
@@ -156,13 +156,13 @@
 	}
 }
 
-// newOperatorServer serves the operators' paths of an entry.
-func newOperatorServer(s *settings.Entry, e *entry.Entry, l *slog.Logger, r *prometheus.Registry, line *timeline.Recorder) *process.Server {
+// newOperatorServer returns the server for an entry's operator API, metrics and timeline.
+func newOperatorServer(s *settings.Entry, e *entry.Entry, l *slog.Logger, r *prometheus.Registry, recorder *timeline.Recorder) *process.Server {
 	server := process.NewServer(process.Options{
 		Name:     s.Entry.ID,
 		Ready:    e.Ready,
 		Metrics:  r,
-		Timeline: line,
+		Timeline: recorder,
 		Logger:   l,
 	})
 	server.Router().Get(entry.SelfPath, e.ServeSelf)
@@ -170,7 +170,8 @@
 	return server
 }
 
-// run serves until ctx ends. The operators' paths and the deciding work go on until the callers' requests have ended.
+// run serves until ctx ends and the entry has drained. The operator API and the entry's background work continue until the
+// callers' in-flight requests have ended.
 func (r entryRole) run(ctx context.Context) error {
 	listeners, err := r.listen()
 	if err != nil {
@@ -194,11 +195,11 @@
 	})
 	serveHTTP(work, group, listeners.operators, r.Operator, process.ServeOptions{Logger: r.Logger})
 	serveHTTP(work, group, listeners.metrics, r.Operator, process.ServeOptions{Logger: r.Logger})
-	announce(r.Logger, r.Recorder, "callers", listeners.callers.Addr(), "operators", listeners.operators.Addr())
+	recordListening(r.Logger, r.Recorder, "callers", listeners.callers.Addr(), "operators", listeners.operators.Addr())
 	return group.Wait()
 }
 
-// entryListeners are an entry's listeners.
+// entryListeners holds an entry's listeners.
 type entryListeners struct{ callers, operators, metrics net.Listener }
 
 func (r entryRole) listen() (entryListeners, error) {
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -27,19 +27,19 @@
 )
 
 const (
-	// budgetUse is the part of the retry budget of all gateways that they use. The rest covers what each counts otherwise
-	// than the judge of the budget does: requests that gateways which were restarted have forgotten.
-	budgetUse = 0.6
-	// assumedGateways is the least number of gateways by which the shared part of the retry budget is divided: a gateway that
-	// starts, or loses its links to agents, knows none but itself.
-	assumedGateways = 6
+	// budgetFraction is the fraction of the shared retry budget that the gateways use. The rest is a margin for requests
+	// that the external check of the budget counts and a restarted gateway no longer does.
+	budgetFraction = 0.6
+	// minGateways is the lower bound on the number of gateways by which the shared retry budget is divided. A gateway
+	// that has just started, or has lost its connections to agents, does not know of any other gateway.
+	minGateways = 6
 )
 
 // RunGateway runs a gateway until ctx ends and it has drained.
 func RunGateway(ctx context.Context, s *settings.Gateway, logs Output) error {
-	hangups := notifyHangups()
-	defer hangups.stop()
-	out, flush := neverBlocking(logs)
+	reloads := notifyReloadSignals()
+	defer reloads.stop()
+	out, flush := asyncOutput(logs)
 	defer flush()
 	container := dig.New()
 	err := provideAll(container,
@@ -60,7 +60,7 @@
 		func(f *fleet.Fleet, p *control.Peers, a *control.Agents, l *slog.Logger, m *placement.Metrics) *placement.Manager {
 			return placement.NewManager(f, p, a, l, m, placement.Decide)
 		},
-		newSite,
+		newSiteSync,
 	)
 	if err != nil {
 		return err
@@ -69,21 +69,21 @@
 		if err := control.Register(role.Registry, role.Agents, role.Peers); err != nil {
 			return err
 		}
-		go hangups.follow(ctx, role.reload)
+		go reloads.handle(ctx, role.reload)
 		return role.run(ctx)
 	})
 }
 
-// flushPatience bounds the wait for the last log lines at the end of a process.
-const flushPatience = 200 * time.Millisecond
+// flushTimeout limits the time to write the remaining log lines at exit.
+const flushTimeout = 200 * time.Millisecond
 
-// neverBlocking returns a log's writer that never blocks, and a function that writes out what is left.
-func neverBlocking(logs Output) (Output, func()) {
+// asyncOutput returns a non-blocking Output and a function that flushes its buffer.
+func asyncOutput(logs Output) (Output, func()) {
 	w := process.NewAsyncWriter(logs)
 	return Output{w}, func() {
-		giveUp, cancel := context.WithTimeout(context.Background(), flushPatience)
+		ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 		defer cancel()
-		w.Close(giveUp.Done())
+		w.Close(ctx.Done())
 	}
 }
 
@@ -91,19 +91,19 @@
 	return control.Options{Self: string(c.Listen), Interval: c.Interval, Heartbeat: c.Heartbeat, SilenceLimit: c.SilenceLimit}
 }
 
-// retryFloor is how many repeated sendings a second each gateway may make whatever else came, so that one with little traffic
-// can repeat at all.
-const retryFloor = 0.05
+// minRetryRate is the number of retries per second that each gateway may always make, so that a gateway with little traffic
+// can retry at all.
+const minRetryRate = 0.05
 
 func retryBudget(r settings.SharedRetries) routing.BudgetOptions {
-	return routing.BudgetOptions{Share: r.Share * budgetUse, Burst: r.Extra * budgetUse, FloorPerSecond: retryFloor}
+	return routing.BudgetOptions{Share: r.Share * budgetFraction, Burst: r.Extra * budgetFraction, FloorPerSecond: minRetryRate}
 }
 
 func newGateway(s *settings.Gateway, f *fleet.Fleet, p *control.Peers, l *slog.Logger, m *gateway.Metrics) *gateway.Gateway {
 	options := gateway.Options{
 		Seed:     rand.Uint64(),
 		Budget:   retryBudget(s.Retries),
-		SharedBy: func() int { return max(p.Known(), assumedGateways) },
+		SharedBy: func() int { return max(p.Known(), minGateways) },
 	}
 	transport := &http.Transport{
 		DialContext:         netconn.DialAbortive(),
@@ -114,30 +114,31 @@
 	return gateway.New(options, platform.Codec{}, f, transport, l, m)
 }
 
-// gatewayRole is an assembled gateway.
+// gatewayRole holds the components of a gateway.
 type gatewayRole struct {
 	dig.In
 
-	Settings  *settings.Gateway
-	Gateway   *gateway.Gateway
-	Fleet     *fleet.Fleet
-	Site      *site
-	Agents    *control.Agents
-	Peers     *control.Peers
-	Placement *placement.Manager
-	Watches   *watch.Metrics
-	Registry  *prometheus.Registry
-	Logger    *slog.Logger
+	Settings     *settings.Gateway
+	Gateway      *gateway.Gateway
+	Fleet        *fleet.Fleet
+	Sync         *siteSync
+	Agents       *control.Agents
+	Peers        *control.Peers
+	Placement    *placement.Manager
+	WatchMetrics *watch.Metrics
+	Registry     *prometheus.Registry
+	Logger       *slog.Logger
 }
 
-// reload takes in settings that have changed. The budget of repeated sendings changes at once, all else at the next start.
+// reload reads the settings again. Changes of the retry budget apply at once, all others at the next start.
 func (r gatewayRole) reload() {
-	if next := readAgain(r.Settings, r.Settings.Again, r.Logger, "retries"); next != nil {
+	if next := reloadSettings(r.Settings, r.Settings.Again, r.Logger, "retries"); next != nil {
 		r.Gateway.SetBudget(retryBudget(next.Retries))
 	}
 }
 
-// run serves until ctx ends. The watches and links go on until the clients' requests have ended.
+// run serves until ctx ends and the gateway has drained. Watches and connections to agents and peers stay open until the
+// in-flight requests have ended.
 func (r gatewayRole) run(ctx context.Context) error {
 	listeners, err := r.listen()
 	if err != nil {
@@ -150,30 +151,31 @@
 	defer context.AfterFunc(ctx, stopServing)()
 	var stopping atomic.Bool
 
-	r.follow(work, group, listeners)
+	r.startBackground(work, group, listeners)
 	group.Go(func() error {
 		defer stopWork()
 		return r.serveClients(serving, listeners, &stopping)
 	})
-	r.serveState(work, group, listeners, &stopping)
+	r.serveReadiness(work, group, listeners, &stopping)
 	r.Logger.Info("listening", "event", "started", "clients", listeners.clients.Addr().String(), "domain", r.Settings.Gateway.FailureDomain)
 	err = group.Wait()
 	r.Logger.Info("stopped", "event", "stopped", "error", err)
 	return err
 }
 
-// follow keeps what the gateway believes up to date, and decides on placement where it coordinates, until ctx ends.
-func (r gatewayRole) follow(ctx context.Context, group *errgroup.Group, listeners gatewayListeners) {
+// startBackground starts the tasks that keep the gateway's state up to date, and placement decisions while this gateway is
+// the coordinator. They run until ctx ends.
+func (r gatewayRole) startBackground(ctx context.Context, group *errgroup.Group, listeners gatewayListeners) {
 	store := platform.NewStore(string(r.Settings.Store.Address))
-	r.watch(ctx, group, store, platform.OperatorTable, configSink{r.Site})
-	r.watch(ctx, group, store, platform.EndpointTable, endpointSink{r.Site})
-	for _, run := range []func(context.Context){r.Site.run, r.Agents.Run, r.Peers.Run, r.Placement.Run} {
+	r.startWatch(ctx, group, store, platform.OperatorTable, configSink{r.Sync})
+	r.startWatch(ctx, group, store, platform.EndpointTable, endpointSink{r.Sync})
+	for _, run := range []func(context.Context){r.Sync.run, r.Agents.Run, r.Peers.Run, r.Placement.Run} {
 		group.Go(func() error { run(ctx); return nil })
 	}
 	group.Go(func() error { return r.Peers.Serve(ctx, listeners.control) })
 }
 
-// serveClients takes clients' requests until ctx ends, and answers those that it has.
+// serveClients accepts client requests until ctx ends, then drains those in flight.
 func (r gatewayRole) serveClients(ctx context.Context, listeners gatewayListeners, stopping *atomic.Bool) error {
 	drain := r.Settings.Drain
 	return process.Serve(ctx, listeners.clients, r.Gateway, process.ServeOptions{
@@ -182,14 +184,14 @@
 		OnStop: func() {
 			stopping.Store(true)
 			r.Gateway.StopBy(time.Now().Add(drain.Grace - drain.Reserve))
-			r.Logger.Info("stop begins", "event", "stopping", "active", r.Gateway.Active())
+			r.Logger.Info("shutting down", "event", "stopping", "active", r.Gateway.Active())
 		},
 		Logger: r.Logger,
 	})
 }
 
-// serveState answers the balancer's question whether to send connections, and serves metrics, until ctx ends.
-func (r gatewayRole) serveState(ctx context.Context, group *errgroup.Group, listeners gatewayListeners, stopping *atomic.Bool) {
+// serveReadiness serves the load balancer's readiness probe and the metrics until ctx ends.
+func (r gatewayRole) serveReadiness(ctx context.Context, group *errgroup.Group, listeners gatewayListeners, stopping *atomic.Bool) {
 	ready := func() []string {
 		switch {
 		case stopping.Load():
@@ -211,13 +213,13 @@
 	serveHTTP(ctx, group, listeners.metrics, server, process.ServeOptions{Logger: r.Logger})
 }
 
-func (r gatewayRole) watch(ctx context.Context, group *errgroup.Group, source watch.Source, table string, sink watch.Sink) {
+func (r gatewayRole) startWatch(ctx context.Context, group *errgroup.Group, source watch.Source, table string, sink watch.Sink) {
 	s := r.Settings.Store
-	options := watch.Options{Table: table, Wait: s.Wait, Gather: s.Gather, MinBackoff: s.MinBackoff, MaxBackoff: s.MaxBackoff, Metrics: r.Watches}
+	options := watch.Options{Table: table, Wait: s.Wait, Gather: s.Gather, MinBackoff: s.MinBackoff, MaxBackoff: s.MaxBackoff, Metrics: r.WatchMetrics}
 	group.Go(func() error { watch.Run(ctx, source, sink, options, r.Logger); return nil })
 }
 
-// gatewayListeners are a gateway's listeners.
+// gatewayListeners holds a gateway's listeners.
 type gatewayListeners struct{ clients, readiness, control, metrics net.Listener }
 
 func (r gatewayRole) listen() (gatewayListeners, error) {
@@ -232,7 +234,7 @@
 		{&l.control, r.Settings.Control.Listen},
 		{&l.metrics, r.Settings.Gateway.MetricsListen},
 	} {
-		*each.listener, err = listenBetweenHosts(each.address)
+		*each.listener, err = listenKeepAlive(each.address)
 		if err != nil {
 			return l, err
 		}
--- a/internal/app/hangup.go
+++ b/internal/app/hangup.go
@@ -10,40 +10,40 @@
 	"balsamsail/internal/settings"
 )
 
-// hangups are the signals with which the platform tells a process that its settings file has changed. Without a handler the
-// first one would end the process.
-type hangups struct{ signals chan os.Signal }
+// reloadSignals receives SIGHUP, which the platform sends after the settings file has changed. Without a handler SIGHUP
+// terminates the process.
+type reloadSignals struct{ signals chan os.Signal }
 
-// notifyHangups takes the signals from now on.
-func notifyHangups() hangups {
-	h := hangups{signals: make(chan os.Signal, 1)}
-	signal.Notify(h.signals, syscall.SIGHUP)
-	return h
+// notifyReloadSignals starts receiving SIGHUP.
+func notifyReloadSignals() reloadSignals {
+	s := reloadSignals{signals: make(chan os.Signal, 1)}
+	signal.Notify(s.signals, syscall.SIGHUP)
+	return s
 }
 
-// stop takes no more of them. A late one must not end a process that is ending in good order.
-func (h hangups) stop() { signal.Ignore(syscall.SIGHUP) }
+// stop ignores further SIGHUPs, so that a late one cannot terminate the process during a graceful shutdown.
+func (s reloadSignals) stop() { signal.Ignore(syscall.SIGHUP) }
 
-// follow calls reload at each signal until ctx ends.
-func (h hangups) follow(ctx context.Context, reload func()) {
+// handle calls reload for each signal until ctx ends.
+func (s reloadSignals) handle(ctx context.Context, reload func()) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-h.signals:
+		case <-s.signals:
 			reload()
 		}
 	}
 }
 
-// readAgain reads a role's settings anew and says which sections have changed, and which of them the role puts into force at
-// once. It returns nil where the new ones are not understood; those before stay in force then.
-func readAgain[S any](before *S, again func() (*S, error), logger *slog.Logger, atOnce ...string) *S {
-	next, err := again()
+// reloadSettings reads a role's settings again and logs which sections changed and which sections the role applies without
+// a restart. If the new settings are invalid, it logs the error and returns nil; the current settings then stay in force.
+func reloadSettings[S any](current *S, load func() (*S, error), logger *slog.Logger, immediate ...string) *S {
+	next, err := load()
 	if err != nil {
-		logger.Error("settings not understood, those before stay in force", "event", "reload_failed", "error", err)
+		logger.Error("invalid settings; keeping the current ones", "event", "reload_failed", "error", err)
 		return nil
 	}
-	logger.Info("settings read again", "event", "reloaded", "changed", settings.ChangedSections(before, next), "at_once", atOnce)
+	logger.Info("settings reloaded", "event", "reloaded", "changed", settings.ChangedSections(current, next), "at_once", immediate)
 	return next
 }
--- a/internal/app/site.go
+++ b/internal/app/site.go
@@ -12,33 +12,34 @@
 	"balsamsail/platform"
 )
 
-// refreshInterval is the time between two looks at endpoints whose registration lapsed.
-const refreshInterval = 200 * time.Millisecond
+// expiryCheckInterval is the interval between checks for expired endpoint registrations.
+const expiryCheckInterval = 200 * time.Millisecond
 
-// site follows what the operator and the endpoints declare in the store. Its sinks run in goroutines of their own.
-type site struct {
+// siteSync applies the operator's configuration and the endpoint registrations from the store. The sinks run in the
+// goroutines of the watches and send their updates to run.
+type siteSync struct {
 	fleet  *fleet.Fleet
 	agents *control.Agents
 	logger *slog.Logger
 
-	events    chan func()
+	updates   chan func()
 	endpoints *catalog.Endpoints
 }
 
-func newSite(f *fleet.Fleet, a *control.Agents, l *slog.Logger) *site {
-	return &site{fleet: f, agents: a, logger: l, events: make(chan func()), endpoints: catalog.NewEndpoints()}
+func newSiteSync(f *fleet.Fleet, a *control.Agents, l *slog.Logger) *siteSync {
+	return &siteSync{fleet: f, agents: a, logger: l, updates: make(chan func()), endpoints: catalog.NewEndpoints()}
 }
 
-// run applies what the watches read, one event after another, until ctx ends.
-func (s *site) run(ctx context.Context) {
-	ticker := time.NewTicker(refreshInterval)
+// run applies updates from the watches one at a time until ctx ends.
+func (s *siteSync) run(ctx context.Context) {
+	ticker := time.NewTicker(expiryCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case event := <-s.events:
-			event()
+		case update := <-s.updates:
+			update()
 		case <-ticker.C:
 			if next, ok := s.endpoints.NextChange(); ok && !time.Now().Before(next) {
 				s.publish()
@@ -47,21 +48,21 @@
 	}
 }
 
-// publish hands the endpoints that count to all that use them.
-func (s *site) publish() {
+// publish passes the live endpoints to the fleet and to the connections to agents.
+func (s *siteSync) publish() {
 	live := s.endpoints.Live(time.Now())
 	added, removed := s.fleet.SetEndpoints(live)
 	for _, e := range added {
-		s.logger.Info("endpoint listed", "event", "endpoint_added", "endpoint", e.ID, "service", e.Service, "address", e.Address, "revision", e.Revision)
+		s.logger.Info("endpoint added", "event", "endpoint_added", "endpoint", e.ID, "service", e.Service, "address", e.Address, "revision", e.Revision)
 	}
 	for _, e := range removed {
-		s.logger.Info("endpoint gone", "event", "endpoint_gone", "endpoint", e.ID, "service", e.Service)
+		s.logger.Info("endpoint removed", "event", "endpoint_gone", "endpoint", e.ID, "service", e.Service)
 	}
 	s.agents.SetEndpoints(live)
 }
 
-// configSink takes in the operator's configuration.
-type configSink struct{ *site }
+// configSink receives the operator's configuration from a watch.
+type configSink struct{ *siteSync }
 
 func (s configSink) Replace(rows []watch.Row) { s.Apply(rows) }
 func (s configSink) Lost(error)               {}
@@ -74,21 +75,21 @@
 		}
 		config, err := platform.DecodeConfig(row.Value)
 		if err != nil {
-			s.logger.Error("configuration not understood, the one before stays in force", "event", "bad_config", "revision", row.Revision, "error", err)
+			s.logger.Error("cannot decode the configuration; keeping the current one", "event", "bad_config", "revision", row.Revision, "error", err)
 			continue
 		}
 		if s.fleet.SetConfig(config) {
-			s.logger.Info("configuration in force", "event", "config", "version", config.Version, "routes", config.Routes(), "revision", row.Revision)
-			s.events <- s.publish
+			s.logger.Info("configuration applied", "event", "config", "version", config.Version, "routes", config.Routes(), "revision", row.Revision)
+			s.updates <- s.publish
 		}
 	}
 }
 
-// endpointSink takes in the endpoints' registrations.
-type endpointSink struct{ *site }
+// endpointSink receives endpoint registrations from a watch.
+type endpointSink struct{ *siteSync }
 
 func (s endpointSink) Replace(rows []watch.Row) {
-	s.events <- func() {
+	s.updates <- func() {
 		var list []catalog.Endpoint
 		for _, row := range rows {
 			if e, ok := s.decode(row); ok {
@@ -101,7 +102,7 @@
 }
 
 func (s endpointSink) Apply(rows []watch.Row) {
-	s.events <- func() {
+	s.updates <- func() {
 		for _, row := range rows {
 			if row.Deleted {
 				s.endpoints.Remove(row.Key, time.Now())
@@ -113,13 +114,13 @@
 	}
 }
 
-func (s endpointSink) Lost(error) { s.events <- s.endpoints.StoreLost }
-func (s endpointSink) Back()      { s.events <- func() { s.endpoints.StoreBack(time.Now()) } }
+func (s endpointSink) Lost(error) { s.updates <- s.endpoints.StoreLost }
+func (s endpointSink) Back()      { s.updates <- func() { s.endpoints.StoreBack(time.Now()) } }
 
 func (s endpointSink) decode(row watch.Row) (catalog.Endpoint, bool) {
 	e, err := platform.DecodeEndpoint(row.Key, row.Value, row.Revision)
 	if err != nil {
-		s.logger.Error("registration of an endpoint not understood", "event", "bad_endpoint", "endpoint", row.Key, "error", err)
+		s.logger.Error("cannot decode an endpoint registration", "event", "bad_endpoint", "endpoint", row.Key, "error", err)
 	}
 	return e, err == nil
 }
--- a/internal/app/standin.go
+++ b/internal/app/standin.go
@@ -16,10 +16,10 @@
 	standinservice "balsamsail/internal/standin/service"
 )
 
-// standinDrain bounds the wait for running requests when a stand-in stops.
-const standinDrain = 5 * time.Second
+// standinDrainTimeout limits the wait for in-flight requests when a stand-in stops.
+const standinDrainTimeout = 5 * time.Second
 
-// RunStandinPlatform runs the stand-in of the platform's services until ctx ends.
+// RunStandinPlatform runs the stand-in for the platform's services until ctx ends.
 func RunStandinPlatform(ctx context.Context, s *settings.StandinPlatform, out Output) error {
 	server := standinplatform.New(standinplatform.Options{
 		Seed:    uint64(s.Standin.Seed),
@@ -52,7 +52,7 @@
 	return list
 }
 
-// RunStandinEngine runs the stand-in of an engine until ctx ends.
+// RunStandinEngine runs the stand-in for an engine until ctx ends.
 func RunStandinEngine(ctx context.Context, s *settings.StandinEngine, out Output) error {
 	o, err := engineOptions(s)
 	if err != nil {
@@ -62,41 +62,41 @@
 }
 
 func engineOptions(s *settings.StandinEngine) (standinengine.Options, error) {
-	b := s.Engine
+	e := s.Engine
 	o := standinengine.Options{
 		Seed:             uint64(s.Standin.Seed),
 		Name:             s.Standin.Name,
-		MemoryBytes:      int64(b.Memory),
-		KVBytes:          int64(b.KV),
-		MemoryCacheBytes: int64(b.MemoryCache),
-		DiskCacheBytes:   int64(b.DiskCache),
-		LoadFromMemory:   b.LoadFromMemory,
-		LoadFromDisk:     b.LoadFromDisk,
-		LoadFromStore:    b.LoadFromStore,
-		LoadAdapter:      b.LoadAdapter,
-		Unload:           b.Unload,
-		WeightsURL:       string(b.WeightsURL),
-		MaxBatch:         b.MaxBatch,
-		MaxRunning:       b.MaxRunning,
-		MaxWaiting:       b.MaxWaiting,
-		FirstToken:       b.FirstToken,
-		BetweenTokens:    b.BetweenTokens,
-		DefaultTokens:    b.DefaultTokens,
-		PrefixEntries:    b.PrefixEntries,
-		Fencing:          standinengine.FencingMode(b.Fencing),
-		Overcommit:       standinengine.OvercommitMode(b.Overcommit),
-		ReportLag:        b.ReportLag,
-		EventLag:         b.EventLag,
+		MemoryBytes:      int64(e.Memory),
+		KVBytes:          int64(e.KV),
+		MemoryCacheBytes: int64(e.MemoryCache),
+		DiskCacheBytes:   int64(e.DiskCache),
+		LoadFromMemory:   e.LoadFromMemory,
+		LoadFromDisk:     e.LoadFromDisk,
+		LoadFromStore:    e.LoadFromStore,
+		LoadAdapter:      e.LoadAdapter,
+		Unload:           e.Unload,
+		WeightsURL:       string(e.WeightsURL),
+		MaxBatch:         e.MaxBatch,
+		MaxRunning:       e.MaxRunning,
+		MaxWaiting:       e.MaxWaiting,
+		FirstToken:       e.FirstToken,
+		BetweenTokens:    e.BetweenTokens,
+		DefaultTokens:    e.DefaultTokens,
+		PrefixEntries:    e.PrefixEntries,
+		Fencing:          standinengine.FencingMode(e.Fencing),
+		Overcommit:       standinengine.OvercommitMode(e.Overcommit),
+		ReportLag:        e.ReportLag,
+		EventLag:         e.EventLag,
 	}
-	if b.CredentialsFile == "" {
+	if e.CredentialsFile == "" {
 		return o, nil
 	}
-	secret, err := settings.ReadSecret(b.CredentialsFile)
+	secret, err := settings.ReadSecret(e.CredentialsFile)
 	o.Token = secret.Reveal()
 	return o, err
 }
 
-// RunStandinService runs the stand-in of a plain service until ctx ends.
+// RunStandinService runs the stand-in for a plain service until ctx ends.
 func RunStandinService(ctx context.Context, s *settings.StandinService, out Output) error {
 	server := standinservice.New(standinservice.Options{
 		Seed:           uint64(s.Standin.Seed),
@@ -117,10 +117,10 @@
 		return err
 	}
 	logger.Info("listening", "address", listener.Addr())
-	err = process.Serve(ctx, listener, handler, process.ServeOptions{DrainTimeout: standinDrain, Logger: logger})
+	err = process.Serve(ctx, listener, handler, process.ServeOptions{DrainTimeout: standinDrainTimeout, Logger: logger})
 	if errors.Is(err, process.ErrDrainTimeout) {
-		// A stand-in may be told to hang, so that calls to it may never end.
-		logger.Log(ctx, slog.LevelInfo, "calls were cut at the stop")
+		// A stand-in can be configured to hang, so some calls may never end.
+		logger.Log(ctx, slog.LevelInfo, "aborted calls that were still in flight at shutdown")
 		return nil
 	}
 	return err
