--- a/cmd/balsamsail/dev.go
+++ b/cmd/balsamsail/dev.go
@@ -11,7 +11,7 @@
 	"balsamsail/internal/app"
 )
 
-// defaultDevListen is where dev serves callers.
+// defaultDevListen is the default address for callers of dev.
 const defaultDevListen = "127.0.0.1:18080"
 
 func devCommand() *ffcli.Command {
--- a/cmd/balsamsail/edits.go
+++ b/cmd/balsamsail/edits.go
@@ -19,14 +19,14 @@
 	return operator.Edit{Base: f.base, Author: f.author}
 }
 
-// finish tells of an accepted edit and, if asked, follows it until it is in force.
-func (f *operatorFlags) finish(ctx context.Context, client *operator.Client, accepted operator.Accepted, err error) error {
+// reportEdit prints the outcome of an edit. With -wait it waits until the edit is in force.
+func (f *operatorFlags) reportEdit(ctx context.Context, client *operator.Client, accepted operator.Accepted, err error) error {
 	var unknown *operator.OutcomeUnknownError
 	if errors.As(err, &unknown) {
-		return f.settle(ctx, client, unknown)
+		return f.resolveUnknownEdit(ctx, client, unknown)
 	}
 	if err != nil {
-		return tell(err)
+		return reportError(err)
 	}
 	if err := f.print(accepted, func(w io.Writer) error { return operator.WriteAccepted(w, accepted) }); err != nil {
 		return err
@@ -34,29 +34,29 @@
 	if !f.wait {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, f.patient)
+	ctx, cancel := context.WithTimeout(ctx, f.timeout)
 	defer cancel()
 	inForce, waitErr := operator.Wait(ctx, client, accepted.Revision)
 	if err := f.print(inForce, func(w io.Writer) error { return operator.WriteInForce(w, inForce) }); err != nil {
 		return err
 	}
-	return tell(waitErr)
+	return reportError(waitErr)
 }
 
-// tell writes what an edit's error means and what to do about it.
-func tell(err error) error {
+// reportError prints an edit's error with advice for the operator, and marks the error as reported.
+func reportError(err error) error {
 	if err == nil {
 		return nil
 	}
 	if writeErr := operator.WriteError(os.Stderr, err); writeErr != nil {
 		return writeErr
 	}
-	return toldError{err}
+	return reportedError{err}
 }
 
-// warnUnknown warns of an edit of an endpoint that no host has. It is accepted all the same, as declarations may come
-// before their hosts; but a mistyped name would leave the meant endpoint as it is.
-func warnUnknown(ctx context.Context, client *operator.Client, endpoint string) {
+// warnUnknownEndpoint prints a warning if no listed host has the edited endpoint. The edit is valid, because a declaration
+// may precede its host, but the name may also be mistyped.
+func warnUnknownEndpoint(ctx context.Context, client *operator.Client, endpoint string) {
 	status, err := client.Status(ctx)
 	if err != nil {
 		return
@@ -69,17 +69,17 @@
 	fmt.Fprintf(os.Stderr, "%s: warning: no listed host has an endpoint %q\n", program, endpoint)
 }
 
-// settle looks an edit of unknown outcome up until it is known or the time is over.
-func (f *operatorFlags) settle(ctx context.Context, client *operator.Client, unknown *operator.OutcomeUnknownError) error {
+// resolveUnknownEdit looks up an edit with an unknown outcome until the outcome is known or the timeout expires.
+func (f *operatorFlags) resolveUnknownEdit(ctx context.Context, client *operator.Client, unknown *operator.OutcomeUnknownError) error {
 	fmt.Fprintln(os.Stderr, "balsamsail: the answer was lost; looking the edit up")
-	ctx, cancel := context.WithTimeout(ctx, f.patient)
+	ctx, cancel := context.WithTimeout(ctx, f.timeout)
 	defer cancel()
 	operation := operator.Settle(ctx, client, unknown.OperationID)
 	if operation.State != operator.OperationApplied {
-		return tell(unknown)
+		return reportError(unknown)
 	}
 	accepted := operator.Accepted{Revision: operation.Revision, OperationID: operation.OperationID}
-	return f.finish(ctx, client, accepted, nil)
+	return f.reportEdit(ctx, client, accepted, nil)
 }
 
 func applyCommand() *ffcli.Command {
@@ -107,11 +107,11 @@
 			}
 			client := f.client()
 			accepted, err := client.Apply(ctx, request)
-			return f.finish(ctx, client, accepted, err)
+			return f.reportEdit(ctx, client, accepted, err)
 		})
 }
 
-// keyList gathers repeated kind/name flags.
+// keyList collects the values of a repeated kind/name flag.
 type keyList []operator.ObjectKey
 
 // String implements flag.Value.
@@ -136,8 +136,8 @@
 			if err := flagsFirst(args); err != nil {
 				return err
 			}
-			const least = 3
-			if len(args) < least {
+			const minArgs = 3
+			if len(args) < minArgs {
 				return errors.Wrap(errUsage, "a kind, a name and at least one label are wanted")
 			}
 			request := operator.LabelRequest{
@@ -153,13 +153,13 @@
 			client := f.client()
 			accepted, err := client.Label(ctx, request)
 			if err == nil && request.Kind == declarations.KindEngine {
-				warnUnknown(ctx, client, request.Name)
+				warnUnknownEndpoint(ctx, client, request.Name)
 			}
-			return f.finish(ctx, client, accepted, err)
+			return f.reportEdit(ctx, client, accepted, err)
 		})
 }
 
-// addLabel reads "key=value" or "key-".
+// addLabel adds the label change "key=value" or "key-" to the request.
 func addLabel(request *operator.LabelRequest, change string) error {
 	if key, value, ok := strings.Cut(change, "="); ok {
 		request.Set[key] = value
@@ -189,8 +189,8 @@
 			client := f.client()
 			accepted, err := client.Drain(ctx, operator.DrainRequest{Endpoint: args[0], Drain: !*undo, Edit: f.edit()})
 			if err == nil {
-				warnUnknown(ctx, client, args[0])
+				warnUnknownEndpoint(ctx, client, args[0])
 			}
-			return f.finish(ctx, client, accepted, err)
+			return f.reportEdit(ctx, client, accepted, err)
 		})
 }
--- a/cmd/balsamsail/events_page_test.go
+++ b/cmd/balsamsail/events_page_test.go
@@ -12,7 +12,7 @@
 
 var eventInCode = regexp.MustCompile(`"event", "([a-z_]+)"`)
 
-// The operators' page lists every event that the programs log, so that who meets one in a log finds it explained.
+// TestOperationsPageListsEvents checks that docs/OPERATIONS.md documents every event name in the log lines.
 func TestOperationsPageListsEvents(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// namesInCode returns what an expression's first group finds in the programs' sources.
+// namesInCode returns the sorted unique matches of the expression's first group in the non-test sources.
 func namesInCode(t *testing.T, expression *regexp.Regexp) []string {
 	t.Helper()
 	var names []string
--- a/cmd/balsamsail/load.go
+++ b/cmd/balsamsail/load.go
@@ -21,7 +21,7 @@
 	options load.Options
 	targets targetList
 	direct  string
-	// directPrefix is taken off the paths of plain calls that go to the endpoint itself.
+	// directPrefix is stripped from the paths of plain calls that are sent directly to the endpoint.
 	directPrefix string
 	rounds       int
 	hold         int
@@ -30,7 +30,7 @@
 	format       string
 }
 
-// targetList gathers repeated targets.
+// targetList collects the values of a repeated -target flag.
 type targetList []load.Target
 
 // String implements flag.Value.
@@ -84,7 +84,7 @@
 	}
 }
 
-// report is the result of any kind of run.
+// report is the result of a load run of any kind.
 type report interface{ Write(io.Writer) error }
 
 func (f *loadFlags) run(ctx context.Context) error {
@@ -124,7 +124,7 @@
 	}
 }
 
-// expectedAnswer is what a stand-in engine answers to a call.
+// expectedAnswer returns the answer of a stand-in engine to a call.
 func expectedAnswer(call load.Call) string {
 	return engine.Answer(call.Target.ServedAs, call.Message, call.Target.MaxTokens)
 }
--- a/cmd/balsamsail/main.go
+++ b/cmd/balsamsail/main.go
@@ -1,4 +1,4 @@
-// Command balsamsail serves language models that are idle most of the day: one binary with all roles and the operators'
+// Command balsamsail serves language models that are idle most of the day. The binary contains all roles and the operator
 // commands.
 package main
 
@@ -19,26 +19,26 @@
 	"balsamsail/internal/operator"
 )
 
-// errUsage says that a command line was wrong; the process exits with operator.ExitUsage.
+// errUsage reports an invalid command line; the process exits with operator.ExitUsage.
 var errUsage = errors.New("usage")
 
 const program = "balsamsail"
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run carries out a command line and returns the exit code.
+// run executes a command line and returns the exit code.
 func run(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := rootCommand()
-	// What the flag package writes is kept back: a wrong flag is answered with one line, not with all help.
+	// The flag package's output is buffered, because an invalid flag is reported in one line and not with the full help.
 	var help bytes.Buffer
 	setOutput(root, &help)
 	if err := root.Parse(args); errors.Is(err, flag.ErrHelp) {
 		fmt.Fprint(os.Stdout, help.String())
 		return operator.ExitOK
 	} else if err != nil {
-		return wrongUsage(root, args, err)
+		return reportUsageError(root, args, err)
 	}
 	err := root.Run(ctx)
 	switch {
@@ -46,7 +46,7 @@
 		fmt.Fprint(os.Stderr, help.String())
 		return operator.ExitUsage
 	case errors.Is(err, errUsage):
-		return wrongUsage(root, args, err)
+		return reportUsageError(root, args, err)
 	}
 	return exitCode(err)
 }
@@ -85,15 +85,15 @@
 	}
 }
 
-// prefixUsage puts the names of the commands above into the usage lines, so that each can be typed as it stands.
-func prefixUsage(c *ffcli.Command, above string) {
-	c.ShortUsage = above + c.ShortUsage
+// prefixUsage prepends the names of the parent commands to the usage lines, so that each shows the full command.
+func prefixUsage(c *ffcli.Command, parents string) {
+	c.ShortUsage = parents + c.ShortUsage
 	for _, sub := range c.Subcommands {
-		prefixUsage(sub, above+c.Name+" ")
+		prefixUsage(sub, parents+c.Name+" ")
 	}
 }
 
-// setOutput sets where the flag package writes, for a command and all below it.
+// setOutput sets the output of the flag package for a command and all its subcommands.
 func setOutput(c *ffcli.Command, w io.Writer) {
 	c.FlagSet.SetOutput(w)
 	for _, sub := range c.Subcommands {
@@ -101,13 +101,13 @@
 	}
 }
 
-// wrongUsage tells what is wrong with a command line and where its help is.
-func wrongUsage(root *ffcli.Command, args []string, err error) int {
+// reportUsageError prints a usage error and the command that shows the help, and returns the exit code.
+func reportUsageError(root *ffcli.Command, args []string, err error) int {
 	fmt.Fprintf(os.Stderr, "%s: %s\nsee: %s -h\n", program, strings.TrimSuffix(err.Error(), ": "+errUsage.Error()), commandPath(root, args))
 	return operator.ExitUsage
 }
 
-// commandPath names the command that a command line chooses.
+// commandPath returns the full name of the command that the arguments select.
 func commandPath(c *ffcli.Command, args []string) string {
 	if len(args) > 0 {
 		for _, sub := range c.Subcommands {
@@ -119,7 +119,7 @@
 	return c.Name
 }
 
-// noArguments refuses arguments that a command would not read.
+// noArguments returns a usage error if there are positional arguments.
 func noArguments(args []string) error {
 	if len(args) > 0 {
 		return errors.Wrapf(errUsage, "unexpected argument %q", args[0])
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// flagsFirst refuses flags behind the arguments, where the flag package does not read them.
+// flagsFirst returns a usage error if a flag follows the positional arguments, where the flag package does not parse it.
 func flagsFirst(args []string) error {
 	for _, arg := range args {
 		if strings.HasPrefix(arg, "-") {
@@ -137,17 +137,17 @@
 	return nil
 }
 
-// toldError is an error that the operator was told of.
-type toldError struct{ error }
+// reportedError is an error that has already been printed.
+type reportedError struct{ error }
 
-// Unwrap returns the error itself.
-func (e toldError) Unwrap() error { return e.error }
+// Unwrap returns the wrapped error.
+func (e reportedError) Unwrap() error { return e.error }
 
-// exitCode tells of an error and returns the process's exit code.
+// exitCode prints an error that has not been reported yet and returns the process's exit code.
 func exitCode(err error) int {
-	var told toldError
-	if err != nil && !errors.As(err, &told) {
-		// What an entry did not find is named by the entry and by the client.
+	var reported reportedError
+	if err != nil && !errors.As(err, &reported) {
+		// Both the entry and the client append ErrNotFound's text; one of them is removed.
 		fmt.Fprintf(os.Stderr, "%s: %s\n", program, strings.TrimSuffix(err.Error(), ": "+operator.ErrNotFound.Error()))
 	}
 	return operator.ExitCode(err)
--- a/cmd/balsamsail/main_test.go
+++ b/cmd/balsamsail/main_test.go
@@ -14,7 +14,7 @@
 	"balsamsail/internal/operator"
 )
 
-// runCaptured carries out a command line and returns the exit code and what was written.
+// runCaptured executes a command line and returns the exit code and its output.
 func runCaptured(t *testing.T, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -23,10 +23,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		before := *stream
+		original := *stream
 		*stream = file
 		return func() string {
-			*stream = before
+			*stream = original
 			if err := file.Close(); err != nil {
 				t.Fatal(err)
 			}
@@ -52,11 +52,11 @@
 	return path
 }
 
-// commandLines returns the words that choose each command.
-func commandLines(c *ffcli.Command, above []string) [][]string {
-	lines := [][]string{above}
+// commandLines returns the arguments that select each command and subcommand.
+func commandLines(c *ffcli.Command, parents []string) [][]string {
+	lines := [][]string{parents}
 	for _, sub := range c.Subcommands {
-		lines = append(lines, commandLines(sub, append(append([]string{}, above...), sub.Name))...)
+		lines = append(lines, commandLines(sub, append(append([]string{}, parents...), sub.Name))...)
 	}
 	return lines
 }
@@ -118,7 +118,8 @@
 	}
 }
 
-// fakeBackend accepts each edit of engine-1's drain and knows that one endpoint.
+// fakeBackend has the single endpoint engine-1. It accepts every drain, rejects label edits with a conflict and loses the
+// outcome of apply edits.
 type fakeBackend struct{ operator.Backend }
 
 func (fakeBackend) Label(context.Context, operator.LabelRequest) (operator.Accepted, error) {
--- a/cmd/balsamsail/operators.go
+++ b/cmd/balsamsail/operators.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// defaultEntries is where `dev` serves the operators.
+	// defaultEntries is the operator address of `balsamsail dev`.
 	defaultEntries = "http://127.0.0.1:18081"
 	environment    = "BALSAMSAIL"
 	formatText     = "text"
@@ -29,7 +29,7 @@
 	formatINI      = "ini"
 )
 
-// operatorFlags are the flags of all operators' commands.
+// operatorFlags holds the flags of the operator commands.
 type operatorFlags struct {
 	entries string
 	format  string
@@ -38,10 +38,10 @@
 	author  string
 	base    uint64
 	wait    bool
-	patient time.Duration
+	timeout time.Duration
 }
 
-// register adds the flags of a command that only reads.
+// register adds the flags of a read-only command.
 func (f *operatorFlags) register(flags *flag.FlagSet, moreFormats ...string) {
 	f.formats = append([]string{formatText, formatJSON}, moreFormats...)
 	flags.StringVar(&f.entries, "entries", defaultEntries, "base `URLs` of the entries' operator addresses, separated by commas")
@@ -54,7 +54,7 @@
 	flags.StringVar(&f.author, "author", defaultAuthor(), "`name` that others see beside the edit")
 	flags.Uint64Var(&f.base, "base", 0, "`revision` that the edit was made on; it is refused when another edit came since (0: any)")
 	flags.BoolVar(&f.wait, "wait", false, "return when the edit is in force in every live process")
-	flags.DurationVar(&f.patient, "timeout", time.Minute, "longest `time` to wait")
+	flags.DurationVar(&f.timeout, "timeout", time.Minute, "longest `time` to wait")
 }
 
 func defaultAuthor() string {
@@ -69,7 +69,7 @@
 	return operator.NewClient(strings.Split(f.entries, ","), http.DefaultClient)
 }
 
-// checkFormat refuses an unknown output format before anything is done.
+// checkFormat returns a usage error for an unknown output format. It runs before the command has any effect.
 func (f *operatorFlags) checkFormat() error {
 	if !slices.Contains(f.formats, f.format) {
 		return errors.Wrapf(errUsage, "-o %s: allowed are %s", f.format, strings.Join(f.formats, ", "))
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// print writes an answer as text or JSON.
+// print writes an answer in the selected output format; text writes every format except JSON.
 func (f *operatorFlags) print(answer any, text func(io.Writer) error) error {
 	if f.format == formatJSON {
 		return operator.WriteJSON(os.Stdout, answer)
@@ -85,19 +85,19 @@
 	return text(os.Stdout)
 }
 
-// operatorCommands are the commands that talk to the entries' operators' API.
+// operatorCommands returns the commands that use the operator API of the entries.
 func operatorCommands() []*ffcli.Command {
 	return []*ffcli.Command{applyCommand(), getCommand(), labelCommand(), drainCommand(), statusCommand(), inForceCommand(), operationCommand()}
 }
 
-// The exit codes of commands that edit and of those that read.
+// Help texts for the exit codes of editing and of read-only commands.
 const (
 	editCodes = "Exit codes: 0 done; 1 failed, nothing was changed; 2 wrong command line; 3 another edit came first;\n" +
 		"4 the edit may have been applied; 5 accepted and not in force everywhere in time."
 	readCodes = "Exit codes: 0 done; 1 failed; 2 wrong command line."
 )
 
-// command returns a command whose flags may also come from the environment (BALSAMSAIL_ENTRIES and so on).
+// command returns a command whose flags can also be set by environment variables such as BALSAMSAIL_ENTRIES.
 func (f *operatorFlags) command(name, usage, help, codes string, flags *flag.FlagSet, exec func(context.Context, []string) error) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       name,
@@ -115,7 +115,7 @@
 	}
 }
 
-// kinds are the kinds of declarations.
+// kinds lists the kinds of declarations.
 var kinds = []string{
 	declarations.KindModel, declarations.KindAdapter, declarations.KindEngine, declarations.KindService, declarations.KindLimits,
 }
@@ -187,7 +187,7 @@
 				return err
 			}
 			if len(inForce.Missing()) > 0 {
-				return toldError{operator.ErrNotInForce}
+				return reportedError{operator.ErrNotInForce}
 			}
 			return nil
 		})
--- a/cmd/balsamsail/roles.go
+++ b/cmd/balsamsail/roles.go
@@ -15,10 +15,10 @@
 	"balsamsail/internal/settings"
 )
 
-// setList gathers repeated -set flags.
+// setList collects the values of a repeated -set flag.
 type setList []string
 
-// String implements flag.Value; the zero value is empty, so that help shows no default.
+// String implements flag.Value. It is empty for the zero value, so that the help shows no default.
 func (s *setList) String() string { return strings.Join(*s, " ") }
 
 // Set implements flag.Value.
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// settingsFlags are the flags of all commands that read a settings file.
+// settingsFlags holds the flags of the commands that read a settings file.
 type settingsFlags struct {
 	file string
 	sets setList
@@ -92,7 +92,7 @@
 		settings.LoadEngineAgent, logsToStandardOutput(app.RunEngineAgent))
 }
 
-// logsToStandardOutput makes a role log where the users' platform collects logs.
+// logsToStandardOutput makes a role log to standard output, from which the platform collects logs.
 func logsToStandardOutput[S any](run func(context.Context, *S, app.Output) error) func(context.Context, *S, app.Output) error {
 	return func(ctx context.Context, s *S, _ app.Output) error { return run(ctx, s, app.Output{Writer: os.Stdout}) }
 }
--- a/cmd/balsamsail/settings_page_test.go
+++ b/cmd/balsamsail/settings_page_test.go
@@ -10,11 +10,11 @@
 	"balsamsail/internal/settings"
 )
 
-var update = flag.Bool("update", false, "write the page of settings anew")
+var update = flag.Bool("update", false, "regenerate docs/SETTINGS.md")
 
 const settingsPage = "../../docs/SETTINGS.md"
 
-// settingsPageText is the page of settings: what the commands' help shows, for all roles.
+// settingsPageText returns the text of docs/SETTINGS.md, which has the settings from each role's help.
 func settingsPageText() string {
 	var b strings.Builder
 	b.WriteString("# Settings and declarations\n\n" +
@@ -41,6 +41,6 @@
 	}
 	got, err := os.ReadFile(settingsPage)
 	if err != nil || string(got) != want {
-		t.Errorf("docs/SETTINGS.md is not current (error: %v): go test ./cmd/balsamsail -run SettingsPage -update", err)
+		t.Errorf("docs/SETTINGS.md is out of date (error: %v); regenerate it with: go test ./cmd/balsamsail -run SettingsPage -update", err)
 	}
 }
--- a/cmd/balsamsail/timeline.go
+++ b/cmd/balsamsail/timeline.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	followInterval  = 500 * time.Millisecond
-	collectPatience = 5 * time.Second
+	followInterval = 500 * time.Millisecond
+	collectTimeout = 5 * time.Second
 )
 
 func timelineCommand() *ffcli.Command {
@@ -36,29 +36,30 @@
 			if err := noArguments(args); err != nil {
 				return err
 			}
-			filter := timeline.Filter{Requests: list(*requests), Models: list(*models), Endpoints: list(*endpoints)}
-			for _, k := range list(*kinds) {
+			filter := timeline.Filter{Requests: splitList(*requests), Models: splitList(*models), Endpoints: splitList(*endpoints)}
+			for _, k := range splitList(*kinds) {
 				filter.Kinds = append(filter.Kinds, timeline.Kind(k))
 			}
 			printer := timeline.NewPrinter(os.Stdout, timeline.Format(f.format))
 			if *logs != "" {
-				return printLogs(list(*logs), filter, *causes, printer)
+				return printLogs(splitList(*logs), filter, *causes, printer)
 			}
 			client := f.client()
-			collector := timeline.NewCollector(&http.Client{Timeout: collectPatience}, filter)
+			collector := timeline.NewCollector(&http.Client{Timeout: collectTimeout}, filter)
 			urls := func(ctx context.Context) ([]string, error) { return processURLs(ctx, client) }
 			if *follow {
 				return collector.Follow(ctx, followInterval, urls, printer.Print)
 			}
-			known, err := urls(ctx)
+			processes, err := urls(ctx)
 			if err != nil {
 				return err
 			}
-			return printer.Print(collector.Collect(ctx, known))
+			return printer.Print(collector.Collect(ctx, processes))
 		})
 }
 
-// printLogs prints what logs tell of a filter's events, or of the causes of how requests ended.
+// printLogs prints the events in the log files that match the filter or, with causes > 0, the events that may have caused
+// the outcome of each request.
 func printLogs(files []string, filter timeline.Filter, causes time.Duration, printer *timeline.Printer) error {
 	if causes > 0 && len(filter.Requests) == 0 {
 		return errors.Wrap(errUsage, "-causes needs -request")
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// readLog reads a log file, or standard input.
+// readLog reads a log file, or standard input if the name is "-".
 func readLog(lines *timeline.LogLines, name string) error {
 	if name == "-" {
 		return lines.Read(os.Stdin)
@@ -109,8 +110,8 @@
 	return urls, nil
 }
 
-// list splits a flag's value at commas; an empty one is no list.
-func list(value string) []string {
+// splitList splits a comma-separated flag value. It returns nil for an empty value.
+func splitList(value string) []string {
 	if value == "" {
 		return nil
 	}
