--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,4 +1,5 @@
-// Package examples holds the settings and declarations of two sites; its tests check them against each other.
+// Package examples holds the settings and declarations of two example sites. Its tests check that the files of each site are
+// valid and consistent with each other.
 package examples
 
 import (
@@ -12,7 +13,7 @@
 	"balsamsail/internal/settings"
 )
 
-// site is what a site's files must hold.
+// site holds the expected contents of a site's files.
 type site struct {
 	name, service              string
 	entries, engines, services int
@@ -20,27 +21,27 @@
 	models, adapters           int
 	loadsPerSecond             float64
 	loadsAtOnce                int32
-	// coldStart says that the site weighs cold starts against idle accelerators by this much.
-	coldStart float64
+	// coldStartWeightRatio is the ratio of the cold start weight to the idle accelerator weight.
+	coldStartWeightRatio float64
 }
 
-// adaptersAtFullSpeed is how many adapters load at full speed, at both sites.
+// adaptersAtFullSpeed is the number of adapters that load concurrently at full speed, at both sites.
 const adaptersAtFullSpeed = 30
 
 var sites = []site{
 	{
 		name: "amman", service: "ledger", entries: 3, engines: 9, services: 4,
 		domains: []string{"amman-a", "amman-b", "zarqa-a", "salt-a"},
-		models:  50, adapters: 55, loadsPerSecond: 2.5, loadsAtOnce: 4, coldStart: 15,
+		models:  50, adapters: 55, loadsPerSecond: 2.5, loadsAtOnce: 4, coldStartWeightRatio: 15,
 	},
 	{
 		name: "ulaanbaatar", service: "pads", entries: 3, engines: 18, services: 3,
 		domains: []string{"hall-north", "hall-east", "hall-cargo"},
-		models:  105, adapters: 100, loadsPerSecond: 5, loadsAtOnce: 4, coldStart: 60,
+		models:  105, adapters: 100, loadsPerSecond: 5, loadsAtOnce: 4, coldStartWeightRatio: 60,
 	},
 }
 
-// TestMain runs the tests where the files are meant to be used: paths in them count from the root of the tree.
+// TestMain runs the tests in the repository root, because paths in the files are relative to it.
 func TestMain(m *testing.M) {
 	if err := os.Chdir(".."); err != nil {
 		panic(err)
@@ -100,7 +101,7 @@
 				case strings.HasPrefix(h.Endpoint, s.service+"-"):
 					services++
 				default:
-					t.Errorf("host %q has endpoint %q, which run.sh does not know", h.ID, h.Endpoint)
+					t.Errorf("host %q has endpoint %q, which run.sh does not handle", h.ID, h.Endpoint)
 				}
 			}
 			if entries != s.entries || engines != s.engines || services != s.services {
@@ -117,14 +118,14 @@
 			}
 			w := platform.Weights
 			if w.LoadsPerSecond != s.loadsPerSecond || w.Loads != int(s.loadsAtOnce) || w.Adapters != adaptersAtFullSpeed {
-				t.Errorf("weight store %+v", w)
+				t.Errorf("unexpected weight store limits: %+v", w)
 			}
 		})
 	}
 }
 
-// declared reads a site's declarations.
-func (s site) declared(t *testing.T) *declarations.Set {
+// declarationSet parses a site's declarations.
+func (s site) declarationSet(t *testing.T) *declarations.Set {
 	t.Helper()
 	path := s.path("declarations.ini")
 	text, err := os.ReadFile(path)
@@ -145,7 +146,7 @@
 func TestDeclarations(t *testing.T) {
 	for _, s := range sites {
 		t.Run(s.name, func(t *testing.T) {
-			set := s.declared(t)
+			set := s.declarationSet(t)
 			if models, adapters := len(set.Models()), len(set.Adapters()); models != s.models || adapters != s.adapters {
 				t.Errorf("%d models and %d adapters, want %d and %d", models, adapters, s.models, s.adapters)
 			}
@@ -153,8 +154,8 @@
 			if l.StoreLoadsPerSecond != s.loadsPerSecond || l.StoreLoadsAtOnce != s.loadsAtOnce || l.AdaptersInTransit != adaptersAtFullSpeed {
 				t.Errorf("limits of the store: %v", l)
 			}
-			if got := l.ColdStartWeight / l.IdleWeight; got != s.coldStart {
-				t.Errorf("cold starts weigh %v times an idle accelerator, want %v", got, s.coldStart)
+			if got := l.ColdStartWeight / l.IdleWeight; got != s.coldStartWeightRatio {
+				t.Errorf("cold starts weigh %v times an idle accelerator, want %v", got, s.coldStartWeightRatio)
 			}
 			service, ok := set.Service(s.service)
 			if !ok || service.Idempotent("POST") || !service.Idempotent("GET") {
@@ -164,7 +165,7 @@
 	}
 }
 
-// labelsOf returns the labels of each endpoint: those of the agents' settings, the declared ones, and those that the
+// labelsOf returns the labels of each endpoint: those from the agents' settings, the declared ones, and those that the
 // system adds.
 func (s site) labelsOf(t *testing.T, set *declarations.Set) map[string]map[string]string {
 	t.Helper()
@@ -195,12 +196,12 @@
 	return all
 }
 
-// Each declared engine exists, each model may be held by engines of two failure domains at least, so that the loss of one
-// leaves it a place, and each service has endpoints.
+// TestSelectorsFindEndpoints checks that each declared engine is in the host list, that each model's selector matches engines
+// in at least two failure domains, so that the model survives the loss of one, and that each service has endpoints.
 func TestSelectorsFindEndpoints(t *testing.T) {
 	for _, s := range sites {
 		t.Run(s.name, func(t *testing.T) {
-			set := s.declared(t)
+			set := s.declarationSet(t)
 			labels := s.labelsOf(t, set)
 			for _, e := range set.Engines() {
 				if labels[e.Name] == nil {
@@ -215,7 +216,7 @@
 					}
 				}
 				if len(domains) < 2 {
-					t.Errorf("model %q may be held in %d failure domains only", m.Name, len(domains))
+					t.Errorf("model %q can be loaded in only %d failure domains", m.Name, len(domains))
 				}
 			}
 			service, _ := set.Service(s.service)
@@ -232,7 +233,8 @@
 	}
 }
 
-// Where a site's engines take orders with old fencing numbers, its agents must know, and wait such orders out.
+// TestAgentsKnowTheirEngines checks that an agent's checks_fencing setting matches its engine. If the engine does not check
+// fencing tokens, the agent must wait for old orders to expire.
 func TestAgentsKnowTheirEngines(t *testing.T) {
 	for _, s := range sites {
 		t.Run(s.name, func(t *testing.T) {
@@ -248,7 +250,7 @@
 				t.Errorf("engine: fencing = %s; agent: checks_fencing = %v", engine.Engine.Fencing, agent.Endpoint.ChecksFencing)
 			}
 			if engine.Credentials.Reveal() != agent.Credentials.Reveal() {
-				t.Error("the agent's credentials are not those that its engine wants")
+				t.Error("the agent's credentials differ from those of its engine")
 			}
 		})
 	}
