--- a/internal/trace/fleet_test.go
+++ b/internal/trace/fleet_test.go
@@ -15,81 +15,81 @@
 )
 
 const (
-	// memoryUnit is an accelerator's memory; shares are rounded to its thousandths.
-	memoryUnit  = 1000
-	unloadTime  = time.Second
-	readTime    = time.Millisecond
-	reportEvery = 5 * time.Second
+	// engineMemory is the memory of one accelerator in thousandths, to which memory shares are rounded down.
+	engineMemory   = 1000
+	unloadDuration = time.Second
+	readLatency    = time.Millisecond
+	reportInterval = 5 * time.Second
 )
 
-// timed is something that happens at a time; sequence keeps the order of what happens at the same time.
-type timed struct {
+// timedEvent is a scheduled callback. Events at the same time run in the order of sequence.
+type timedEvent struct {
 	at       time.Time
 	sequence int
-	do       func()
+	run      func()
 }
 
-// agenda is a heap of what is to happen.
-type agenda []timed
+// eventQueue is a heap of scheduled events.
+type eventQueue []timedEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	if !a[i].at.Equal(a[j].at) {
-		return a[i].at.Before(a[j].at)
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	if !q[i].at.Equal(q[j].at) {
+		return q[i].at.Before(q[j].at)
 	}
-	return a[i].sequence < a[j].sequence
+	return q[i].sequence < q[j].sequence
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(timed)) }
-func (a *agenda) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(timedEvent)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// heldModel is a model version in the memory of one engine.
-type heldModel struct {
+// residentModel is a model version in the memory of one engine.
+type residentModel struct {
 	state   string
 	bytes   int64
 	running int
-	// idleFrom is when it last stopped serving, or began to load.
+	// idleFrom is the time of the last accounting or the start of the load.
 	idleFrom time.Time
 }
 
-// node is one engine with its agent's machine and policy.
+// node is an engine with its agent's state machine and idle policy.
 type node struct {
 	name    string
 	machine *loading.Machine
 	policy  loading.IdlePolicy
-	models  map[string]*heldModel
+	models  map[string]*residentModel
 	usable  map[string]bool
-	waiting map[string][]*pending
+	waiting map[string][]*pendingRequest
 	tickAt  time.Time
 	loads   int
 }
 
-// pending is a request on its way.
-type pending struct {
+// pendingRequest is a request that has not been served yet.
+type pendingRequest struct {
 	Request
 	id      string
 	arrived time.Time
-	// tried are the engines that refused it.
-	tried int
-	done  bool
+	// attempts is the number of engines to which the request has been offered.
+	attempts int
+	done     bool
 }
 
-// fleet plays a trace through the real machines, policies and budget of a deployment, with engines that only take time.
-// Each model has slots on two engines; a request goes to the first and, if refused, to the second.
+// fleet simulates a trace with the production state machines, idle policies and load budget. Engines are simulated by
+// delays. Each model has slots on two engines; a request goes to the first one and, if refused, to the second.
 type fleet struct {
-	trace   *Trace
-	now     time.Time
-	agenda  agenda
-	counter int
-	nodes   []*node
-	budget  *permits.Budget
-	wakeAt  time.Time
-	held    map[int][]*pending
-	holding bool
+	trace        *Trace
+	now          time.Time
+	events       eventQueue
+	counter      int
+	nodes        []*node
+	budget       *permits.Budget
+	wakeAt       time.Time
+	heldRequests map[int][]*pendingRequest
+	holdBatch    bool
 
 	result       Result
 	refused      int
@@ -97,14 +97,14 @@
 	overcommit   int
 }
 
-func newFleet(t *Trace, opts permits.Options, holding bool, policy func() loading.IdlePolicy) *fleet {
-	f := &fleet{trace: t, now: epoch, budget: permits.NewBudget(opts), held: map[int][]*pending{}, holding: holding}
+func newFleet(t *Trace, opts permits.Options, holdBatch bool, policy func() loading.IdlePolicy) *fleet {
+	f := &fleet{trace: t, now: epoch, budget: permits.NewBudget(opts), heldRequests: map[int][]*pendingRequest{}, holdBatch: holdBatch}
 	for e := range t.Profile.Engines {
 		p := policy()
 		n := &node{
-			name: fmt.Sprintf("engine-%02d", e), policy: p, models: map[string]*heldModel{}, usable: map[string]bool{}, waiting: map[string][]*pending{},
+			name: fmt.Sprintf("engine-%02d", e), policy: p, models: map[string]*residentModel{}, usable: map[string]bool{}, waiting: map[string][]*pendingRequest{},
 			machine: loading.NewMachine(loading.Options{
-				Engine: fmt.Sprintf("engine-%02d", e), Host: "h", MemoryBytes: memoryUnit, ChecksFencing: true, OrderLife: time.Minute,
+				Engine: fmt.Sprintf("engine-%02d", e), Host: "h", MemoryBytes: engineMemory, ChecksFencing: true, OrderLife: time.Minute,
 				StateInterval: time.Hour, PermitPatience: 30 * time.Second, LoadsAtOnce: 2, Seed: uint64(e),
 			}, p),
 		}
@@ -114,15 +114,15 @@
 		f.step(n, loading.Tick{})
 		f.step(n, loading.SpecsChanged{Models: f.specs()})
 	}
-	f.at(epoch.Add(reportEvery), f.report)
+	f.schedule(epoch.Add(reportInterval), f.report)
 	for _, r := range t.Requests {
-		p := &pending{Request: r, arrived: epoch.Add(r.At)}
-		f.at(p.arrived, func() { f.arrive(p) })
+		p := &pendingRequest{Request: r, arrived: epoch.Add(r.At)}
+		f.schedule(p.arrived, func() { f.arrive(p) })
 	}
 	return f
 }
 
-// slots returns the engines of a model, the first one preferred; neighbours in the list of models share neither.
+// slots returns the two engines of a model, the preferred one first. Adjacent models in the list differ in both engines.
 func (f *fleet) slots(model int) [2]*node {
 	n := len(f.nodes)
 	first := model % n
@@ -133,12 +133,12 @@
 func (f *fleet) specs() []loading.ModelSpec {
 	var specs []loading.ModelSpec
 	for _, m := range f.trace.Models {
-		specs = append(specs, loading.ModelSpec{Model: m.Name, MemoryBytes: int64(m.MemoryShare * memoryUnit), ExpectedLoad: m.ColdStart})
+		specs = append(specs, loading.ModelSpec{Model: m.Name, MemoryBytes: int64(m.MemoryShare * engineMemory), ExpectedLoad: m.ColdStart})
 	}
 	return specs
 }
 
-// rows returns the grants that name a node.
+// rows returns the rows of the replica table that name a node.
 func (f *fleet) rows(n *node) []*replicaspb.Row {
 	var rows []*replicaspb.Row
 	for i, m := range f.trace.Models {
@@ -155,41 +155,41 @@
 	return rows
 }
 
-func (f *fleet) at(t time.Time, do func()) {
+func (f *fleet) schedule(t time.Time, run func()) {
 	f.counter++
-	heap.Push(&f.agenda, timed{t, f.counter, do})
+	heap.Push(&f.events, timedEvent{t, f.counter, run})
 }
 
-// run plays the trace to its end.
+// run simulates the trace to its end.
 func (f *fleet) run() Result {
 	end := epoch.Add(f.trace.Length)
-	for len(f.agenda) > 0 {
-		next := heap.Pop(&f.agenda).(timed)
+	for len(f.events) > 0 {
+		next := heap.Pop(&f.events).(timedEvent)
 		if next.at.After(end) {
 			break
 		}
 		f.now = next.at
-		next.do()
+		next.run()
 	}
 	f.now = end
 	for _, n := range f.nodes {
 		for _, h := range n.models {
-			f.account(h)
+			f.accountIdle(h)
 		}
 	}
 	slices.Sort(f.result.Waits)
 	return f.result
 }
 
-// account adds the idle time of a model up to now.
-func (f *fleet) account(h *heldModel) {
+// accountIdle adds the idle time of a model since the last accounting.
+func (f *fleet) accountIdle(h *residentModel) {
 	if h.running == 0 && f.now.After(h.idleFrom) {
-		f.result.IdleSeconds += f.now.Sub(h.idleFrom).Seconds() * float64(h.bytes) / memoryUnit
+		f.result.IdleSeconds += f.now.Sub(h.idleFrom).Seconds() * float64(h.bytes) / engineMemory
 	}
 	h.idleFrom = f.now
 }
 
-// step gives a machine an event, carries out its actions and arranges the next tick.
+// step passes an event to a node's state machine, executes the resulting actions and schedules the next tick.
 func (f *fleet) step(n *node, e loading.Event) {
 	for _, a := range n.machine.Step(f.now, e) {
 		f.perform(n, a)
@@ -202,7 +202,7 @@
 		next = f.now
 	}
 	n.tickAt = next
-	f.at(next, func() {
+	f.schedule(next, func() {
 		if n.tickAt.Equal(next) {
 			n.tickAt = time.Time{}
 			f.step(n, loading.Tick{})
@@ -213,20 +213,20 @@
 func (f *fleet) perform(n *node, a loading.Action) {
 	switch a := a.(type) {
 	case loading.GiveOrder:
-		f.order(n, a.Order)
+		f.executeOrder(n, a.Order)
 	case loading.ReadEngine:
-		f.at(f.now.Add(readTime), func() { f.step(n, loading.EngineRead{ID: a.ID, State: n.state()}) })
+		f.schedule(f.now.Add(readLatency), func() { f.step(n, loading.EngineRead{ID: a.ID, State: n.state()}) })
 	case loading.ReadRows:
-		f.at(f.now.Add(readTime), func() { f.step(n, loading.RowsRead{Rows: f.rows(n), Revision: 1}) })
+		f.schedule(f.now.Add(readLatency), func() { f.step(n, loading.RowsRead{Rows: f.rows(n), Revision: 1}) })
 	case loading.AskPermit:
 		f.budget.Request(f.now, n.name, &wirepb.PermitRequest{Id: a.ID, Kind: a.Kind, Model: a.Model, SlackMicros: a.Deadline.Sub(f.now).Microseconds()})
-		f.decide()
+		f.grantPermits()
 	case loading.EndPermit:
 		f.budget.Done(f.now, n.name, a.ID)
-		f.decide()
+		f.grantPermits()
 	case loading.Usable:
 		n.usable[a.Model] = true
-		f.at(f.now, func() { f.startWaiting(n, a.Model) })
+		f.schedule(f.now, func() { f.startWaiting(n, a.Model) })
 	case loading.Unusable:
 		delete(n.usable, a.Model)
 	case loading.RefuseDemand:
@@ -234,36 +234,36 @@
 	}
 }
 
-// decide carries the budget's answers to the agents.
-func (f *fleet) decide() {
+// grantPermits delivers the budget's decisions to the agents.
+func (f *fleet) grantPermits() {
 	for _, g := range f.budget.Decide(f.now) {
 		n := f.nodes[slices.IndexFunc(f.nodes, func(n *node) bool { return n.name == g.Agent })]
 		var e loading.Event = loading.PermitDenied{ID: g.Permit.GetId(), RetryAt: f.now.Add(time.Duration(g.Permit.GetRetryAfterMicros()) * time.Microsecond)}
 		if valid := g.Permit.GetValidMicros(); valid > 0 {
 			e = loading.PermitGiven{ID: g.Permit.GetId(), Expires: f.now.Add(time.Duration(valid) * time.Microsecond)}
 		}
-		f.at(f.now, func() { f.step(n, e) })
+		f.schedule(f.now, func() { f.step(n, e) })
 	}
 	if next := f.budget.Next(); !next.IsZero() && next.After(f.now) && (f.wakeAt.IsZero() || next.Before(f.wakeAt)) {
 		f.wakeAt = next
-		f.at(next, func() {
+		f.schedule(next, func() {
 			f.wakeAt = time.Time{}
-			f.decide()
+			f.grantPermits()
 		})
 	}
 }
 
-// report tells the budget what is in flight, as heartbeats do.
+// report sends the number of loads in flight to the budget, as agents do in heartbeats.
 func (f *fleet) report() {
 	for _, n := range f.nodes {
 		f.budget.InFlight(f.now, n.name, n.loads, 0)
 	}
-	f.decide()
-	f.at(f.now.Add(reportEvery), f.report)
+	f.grantPermits()
+	f.schedule(f.now.Add(reportInterval), f.report)
 }
 
 func (n *node) state() endpoint.EngineState {
-	s := endpoint.EngineState{Incarnation: "1", MemoryBytes: memoryUnit}
+	s := endpoint.EngineState{Incarnation: "1", MemoryBytes: engineMemory}
 	for _, model := range slices.Sorted(maps.Keys(n.models)) {
 		h := n.models[model]
 		s.UsedBytes += h.bytes
@@ -272,30 +272,30 @@
 	return s
 }
 
-// order lets the engine carry out an order.
-func (f *fleet) order(n *node, o endpoint.Order) {
-	took := readTime
+// executeOrder simulates an engine's execution of an order.
+func (f *fleet) executeOrder(n *node, o endpoint.Order) {
+	duration := readLatency
 	h := n.models[o.Model]
 	switch {
 	case o.Kind == endpoint.OrderLoad:
 		i := slices.IndexFunc(f.trace.Models, func(m Model) bool { return m.Name == o.Model })
-		took = f.trace.Models[i].ColdStart
-		f.result.Wakes++
+		duration = f.trace.Models[i].ColdStart
+		f.result.Loads++
 		n.loads++
-		n.models[o.Model] = &heldModel{state: endpoint.EngineLoading, bytes: o.MemoryBytes, idleFrom: f.now}
-		if n.state().UsedBytes > memoryUnit {
+		n.models[o.Model] = &residentModel{state: endpoint.EngineLoading, bytes: o.MemoryBytes, idleFrom: f.now}
+		if n.state().UsedBytes > engineMemory {
 			f.overcommit++
 		}
 	case h != nil:
 		h.state = endpoint.EngineUnloading
-		took = unloadTime
+		duration = unloadDuration
 	}
-	f.at(f.now.Add(took), func() {
+	f.schedule(f.now.Add(duration), func() {
 		if o.Kind == endpoint.OrderLoad {
 			n.loads--
 			n.models[o.Model].state = endpoint.EngineLoaded
 		} else if h != nil {
-			f.account(h)
+			f.accountIdle(h)
 			delete(n.models, o.Model)
 		}
 		f.step(n, loading.OrderDone{ID: o.ID})
--- a/internal/trace/fleetday_test.go
+++ b/internal/trace/fleetday_test.go
@@ -12,35 +12,35 @@
 	"balsamsail/internal/loading/permits"
 )
 
-// arrive takes in a request; a batch request for a cold model waits for company.
-func (f *fleet) arrive(p *pending) {
+// arrive handles an arriving request. A batch request for a model that is not loaded is held, to share a load with others.
+func (f *fleet) arrive(p *pendingRequest) {
 	model := f.trace.Models[p.Model]
 	slots := f.slots(p.Model)
 	if p.Interactive {
 		slots[0].policy.Observe(model.Name, f.now)
 	}
-	if !p.Interactive && f.holding && !slots[0].usable[model.Name] {
-		until := held(model.Name, f.now, p.arrived.Add(p.Deadline), model.ColdStart)
-		f.held[p.Model] = append(f.held[p.Model], p)
-		f.at(until, func() { f.release(p.Model) })
+	if !p.Interactive && f.holdBatch && !slots[0].usable[model.Name] {
+		until := batchHold(model.Name, f.now, p.arrived.Add(p.Deadline), model.ColdStart)
+		f.heldRequests[p.Model] = append(f.heldRequests[p.Model], p)
+		f.schedule(until, func() { f.release(p.Model) })
 		return
 	}
-	f.demand(p)
+	f.offer(p)
 }
 
-// release sends the held requests of a model.
+// release offers the held requests of a model to its engines.
 func (f *fleet) release(model int) {
-	waiting := f.held[model]
-	delete(f.held, model)
+	waiting := f.heldRequests[model]
+	delete(f.heldRequests, model)
 	for _, p := range waiting {
-		f.demand(p)
+		f.offer(p)
 	}
 }
 
-// demand offers a request to the next engine that has not refused it.
-func (f *fleet) demand(p *pending) {
+// offer sends a request to its model's next engine, or counts it as refused if both engines have refused it.
+func (f *fleet) offer(p *pendingRequest) {
 	slots := f.slots(p.Model)
-	if p.tried == len(slots) {
+	if p.attempts == len(slots) {
 		p.done = true
 		f.refused++
 		if !p.Interactive {
@@ -48,8 +48,8 @@
 		}
 		return
 	}
-	n := slots[p.tried]
-	p.tried++
+	n := slots[p.attempts]
+	p.attempts++
 	f.counter++
 	p.id = strconv.Itoa(f.counter)
 	name := f.trace.Models[p.Model].Name
@@ -60,10 +60,10 @@
 	}
 }
 
-// refuse takes refused requests on to the next engine.
+// refuse offers refused requests to the next engine. A refusal without a request ID covers all waiting requests of a model.
 func (f *fleet) refuse(n *node, a loading.RefuseDemand) {
-	var refused []*pending
-	n.waiting[a.Model] = slices.DeleteFunc(n.waiting[a.Model], func(p *pending) bool {
+	var refused []*pendingRequest
+	n.waiting[a.Model] = slices.DeleteFunc(n.waiting[a.Model], func(p *pendingRequest) bool {
 		if a.Request != "" && a.Request != p.id {
 			return false
 		}
@@ -71,11 +71,11 @@
 		return true
 	})
 	for _, p := range refused {
-		f.at(f.now, func() { f.demand(p) })
+		f.schedule(f.now, func() { f.offer(p) })
 	}
 }
 
-// startWaiting starts all requests that wait for a usable model, and those held back for it.
+// startWaiting starts all requests that wait for a usable model and releases its held requests.
 func (f *fleet) startWaiting(n *node, model string) {
 	if !n.usable[model] {
 		return
@@ -84,15 +84,15 @@
 	delete(n.waiting, model)
 	for _, p := range waiting {
 		f.start(n, model, p)
-		if len(f.held[p.Model]) > 0 {
+		if len(f.heldRequests[p.Model]) > 0 {
 			f.release(p.Model)
 		}
 	}
 }
 
-func (f *fleet) start(n *node, model string, p *pending) {
+func (f *fleet) start(n *node, model string, p *pendingRequest) {
 	h := n.models[model]
-	f.account(h)
+	f.accountIdle(h)
 	h.running++
 	f.step(n, loading.Started{Request: p.id, Model: model})
 	if p.Interactive {
@@ -103,8 +103,8 @@
 			f.result.ColdWait += wait
 		}
 	}
-	f.at(f.now.Add(p.Work), func() {
-		f.account(h)
+	f.schedule(f.now.Add(p.ServiceTime), func() {
+		f.accountIdle(h)
 		h.running--
 		if !p.Interactive && f.now.After(p.arrived.Add(p.Deadline)) {
 			f.result.BatchLate++
@@ -113,41 +113,41 @@
 	})
 }
 
-// shortestFleetTime is the index of the shortest fixed time that is played; those before it cost far more.
-const shortestFleetTime = 3
+// firstFleetKeepAlive is the index of the shortest fixed keep-alive time that is simulated; shorter ones cost far more.
+const firstFleetKeepAlive = 3
 
-// TestFleetDay plays one day through the real machines with their memory, the load budget and two slots a model, where
-// models displace each other, and compares the policy with fixed times. A refused request counts as one that waited for
-// its whole deadline.
+// TestFleetDay simulates one day with limited engine memory, the load budget and two slots per model, so that models evict
+// each other. It checks that the policy costs no more than the best fixed keep-alive time. A refused interactive request
+// counts as one that waited until its deadline.
 func TestFleetDay(t *testing.T) {
 	budgets := []permits.Options{{LoadsPerSecond: 2.5, LoadsAtOnce: 4}, {LoadsPerSecond: 5, LoadsAtOnce: 4}}
 	for i, d := range deployments {
 		for _, seed := range seeds[:2] {
 			t.Run(fmt.Sprintf("%s seed %d", d.profile.Name, seed), func(t *testing.T) {
 				t.Parallel()
-				testFleet(t, Generate(d.profile, 1, seed), budgets[i], d.weight)
+				testFleetPolicy(t, Generate(d.profile, 1, seed), budgets[i], d.weight)
 			})
 		}
 	}
 }
 
-// testFleet compares the policy with the fixed times on one trace.
-func testFleet(t *testing.T, tr *Trace, budget permits.Options, weight float64) {
+// testFleetPolicy compares the policy with the fixed keep-alive times on one trace.
+func testFleetPolicy(t *testing.T, tr *Trace, budget permits.Options, weight float64) {
 	best := math.Inf(1)
-	for _, f := range fixedTimes[shortestFleetTime:] {
-		best = min(best, playFleet(t, tr, budget, weight, name(f), func() loading.IdlePolicy { return f }))
+	for _, f := range fixedKeepAlives[firstFleetKeepAlive:] {
+		best = min(best, simulateFleet(t, tr, budget, weight, policyName(f), func() loading.IdlePolicy { return f }))
 	}
-	policy := playFleet(t, tr, budget, weight, "policy", func() loading.IdlePolicy {
+	policy := simulateFleet(t, tr, budget, weight, "policy", func() loading.IdlePolicy {
 		return idle.NewPolicy(idle.Options{ColdStartWeight: weight, IdleWeight: 1})
 	})
-	t.Logf("policy costs %.1f%% less than the best fixed time", 100*(1-policy/best))
+	t.Logf("policy costs %.1f%% less than the best fixed keep-alive time", 100*(1-policy/best))
 	if policy > best {
-		t.Errorf("policy costs %.0f, the best fixed time %.0f", policy, best)
+		t.Errorf("policy costs %.0f, the best fixed keep-alive time %.0f", policy, best)
 	}
 }
 
-// playFleet plays one trace with one policy on each engine, prints what came of it and returns its cost.
-func playFleet(t *testing.T, tr *Trace, budget permits.Options, weight float64, name string, policy func() loading.IdlePolicy) float64 {
+// simulateFleet simulates one trace with a separate policy for each engine, logs the result and returns its cost.
+func simulateFleet(t *testing.T, tr *Trace, budget permits.Options, weight float64, name string, policy func() loading.IdlePolicy) float64 {
 	t.Helper()
 	f := newFleet(tr, budget, true, policy)
 	r := f.run()
@@ -155,9 +155,9 @@
 	cost := r.Cost(weight, 1) + weight*float64(refused)*interactiveDeadline.Seconds()
 	s := func(p float64) float64 { return r.Percentile(p).Seconds() }
 	t.Logf("%-14s cold %5.2f%%, refused %d, first token p50 %.1f p95 %.1f p99 %.1f s, idle %.1f h, loads %d, batch late %d refused %d, cost %.0f",
-		name, 100*float64(r.ColdRequests)/float64(len(r.Waits)), refused, s(0.5), s(0.95), s(0.99), r.IdleSeconds/3600, r.Wakes, r.BatchLate, f.batchRefused, cost)
+		name, 100*float64(r.ColdRequests)/float64(len(r.Waits)), refused, s(0.5), s(0.95), s(0.99), r.IdleSeconds/3600, r.Loads, r.BatchLate, f.batchRefused, cost)
 	if f.overcommit > 0 {
-		t.Errorf("%s: %d loads beyond the memory", name, f.overcommit)
+		t.Errorf("%s: %d loads exceeded the engine's memory", name, f.overcommit)
 	}
 	return cost
 }
--- a/internal/trace/generate.go
+++ b/internal/trace/generate.go
@@ -11,29 +11,30 @@
 
 const (
 	day = 24 * time.Hour
-	// sleeping is the demand of a model at night and on holidays if it doesn't work around the clock.
-	sleeping = 0.08
-	// aroundTheClockShare is the share of the demand that doesn't sleep, so that nights and holidays halve the demand.
+	// offHoursDemand is the relative demand at night and on holidays for a model that is not used around the clock.
+	offHoursDemand = 0.08
+	// aroundTheClockShare is the share of demand for models used around the clock. It makes total demand at night and on
+	// holidays about half of that in the shift.
 	aroundTheClockShare = 0.45
-	// cachedShare is the share of loads that find the checkpoint on the host; cachedSpeedup is how much faster those are.
+	// cachedShare is the share of loads that find the checkpoint cached on the host; cachedSpeedup is their speedup.
 	cachedShare   = 0.3
 	cachedSpeedup = 4
-	// morningShare is the share of sleeping models that are asked for when the shift begins.
-	morningShare = 0.85
-	// gapSigma and workSigma spread the log-normal gaps and service times.
-	gapSigma, workSigma = 0.9, 0.5
-	medianWork          = 4 * time.Second
-	interactiveDeadline = time.Minute
+	// morningBurstShare is the share of models not used around the clock that get requests when the shift begins.
+	morningBurstShare = 0.85
+	// gapSigma and serviceTimeSigma are the sigmas of the log-normal gaps and service times.
+	gapSigma, serviceTimeSigma = 0.9, 0.5
+	medianServiceTime          = 4 * time.Second
+	interactiveDeadline        = time.Minute
 )
 
-// generator holds the state of one generation.
+// generator holds the state of generating one trace.
 type generator struct {
 	profile Profile
 	rng     *rand.Rand
 	trace   *Trace
 }
 
-// Generate returns a trace of a number of days; the same seed gives the same trace.
+// Generate returns a trace of the given number of days. The same seed gives the same trace.
 func Generate(p Profile, days int, seed uint64) *Trace {
 	g := &generator{
 		profile: p,
@@ -53,32 +54,32 @@
 	return g.trace
 }
 
-// models draws the models; their demand follows Zipf's law.
+// models generates the models. Their demand follows Zipf's law.
 func (g *generator) models() {
 	p := g.profile
 	total := 0.0
 	for i := range p.Models {
 		total += 1 / float64(i+1)
 	}
-	awakeShare := 0.0
+	alwaysActiveShare := 0.0
 	for i, rank := range g.rng.Perm(p.Models) {
 		share := 1 / float64(rank+1) / total
-		awake := awakeShare+share <= aroundTheClockShare
-		if awake {
-			awakeShare += share
+		alwaysActive := alwaysActiveShare+share <= aroundTheClockShare
+		if alwaysActive {
+			alwaysActiveShare += share
 		}
 		g.trace.Models = append(g.trace.Models, Model{
 			Name:           fmt.Sprintf("model-%03d@1", i),
 			ColdStart:      g.logUniform(p.ColdStart),
 			MemoryShare:    p.MemoryShareFrom + g.rng.Float64()*(p.MemoryShareTo-p.MemoryShareFrom),
-			AroundTheClock: awake,
+			AroundTheClock: alwaysActive,
 			Rate:           float64(p.Sessions) * share,
 			Gap:            g.logUniform(p.Gap),
 		})
 	}
 }
 
-// sessions draws a model's sessions of one day as a Poisson process whose rate depends on the time.
+// sessions generates a model's sessions of one day as a Poisson process with a time-dependent rate.
 func (g *generator) sessions(m, d int) {
 	p := g.profile
 	rate := g.trace.Models[m].Rate / float64(p.DayEnds-p.DayBegins)
@@ -89,25 +90,25 @@
 	}
 }
 
-// demand is a model's demand at a time of day as a share of its demand in the shift.
+// demand returns a model's demand at a time of day, relative to its demand in the shift.
 func (g *generator) demand(m, d int, at time.Duration) float64 {
 	p := g.profile
 	night := at < p.DayBegins || at >= p.DayEnds
 	if g.trace.Models[m].AroundTheClock || !(night || p.Weekend[d%7]) {
 		return 1
 	}
-	return sleeping
+	return offHoursDemand
 }
 
-// morning draws the first session of a sleeping model at the beginning of a shift.
+// morning generates the first session of the shift for a model that is not used around the clock.
 func (g *generator) morning(m, d int) {
-	if g.trace.Models[m].AroundTheClock || g.profile.Weekend[d%7] || g.rng.Float64() >= morningShare {
+	if g.trace.Models[m].AroundTheClock || g.profile.Weekend[d%7] || g.rng.Float64() >= morningBurstShare {
 		return
 	}
 	g.session(m, time.Duration(d)*day+g.profile.DayBegins+g.exponential(float64(g.profile.MorningSpread)))
 }
 
-// session draws the requests of one session; the first ones may come from several callers at once.
+// session generates the requests of one session, which starts with nearly simultaneous requests of one to three callers.
 func (g *generator) session(m int, at time.Duration) {
 	callers := 1 + g.rng.IntN(3)
 	for range callers {
@@ -119,12 +120,12 @@
 	}
 }
 
-// interactive adds a request of a waiting caller.
+// interactive adds an interactive request.
 func (g *generator) interactive(m int, at time.Duration) {
 	g.add(Request{At: at, Model: m, Interactive: true, Deadline: interactiveDeadline})
 }
 
-// batch draws the files that one night hands in for a model.
+// batch generates a model's batch requests of one night.
 func (g *generator) batch(m, d int) {
 	if g.rng.Float64() >= g.profile.BatchShare {
 		return
@@ -135,10 +136,10 @@
 	}
 }
 
-// add completes a request and appends it.
+// add sets the remaining fields of a request at random and appends it to the trace.
 func (g *generator) add(r Request) {
 	r.Adapter = g.rng.IntN(max(1, g.profile.Adapters))
-	r.Work = g.logNormal(medianWork, workSigma)
+	r.ServiceTime = g.logNormal(medianServiceTime, serviceTimeSigma)
 	r.Cached = g.rng.Float64() < cachedShare
 	g.trace.Requests = append(g.trace.Requests, r)
 }
--- a/internal/trace/profile.go
+++ b/internal/trace/profile.go
@@ -1,9 +1,9 @@
-// Package trace generates traces of a deployment's requests and replays them through an idle policy, so that the
-// operator's weights of cold starts against idle accelerators can be chosen from a whole curve.
+// Package trace generates synthetic request traces of a deployment and replays them with an idle policy. The results give
+// the trade-off between cold starts and idle accelerator time, from which an operator chooses the weights.
 //
-// A trace follows what the deployments say of their demand: sessions of a few requests with short gaps, demand halved at
-// night and on holidays because most models sleep then and a few work around the clock, a burst of first requests when
-// the shift begins, and a batch overnight whose callers can wait for hours.
+// A trace models the demand that the deployments describe: sessions of a few requests with short gaps; half the demand at
+// night and on holidays, when most models are hardly used and a few are used around the clock; a burst of first requests
+// when the shift begins; and overnight batches whose callers can wait for hours.
 package trace
 
 import "time"
@@ -14,34 +14,35 @@
 // Profile describes a deployment's models and demand.
 type Profile struct {
 	Name string
-	// Models, Adapters and Engines are the deployment's sizes.
+	// Models, Adapters and Engines are the numbers of each in the deployment.
 	Models, Adapters, Engines int
-	// Sessions is the number of interactive sessions on a working day without the morning burst.
+	// Sessions is the number of interactive sessions on a working day, excluding the morning burst.
 	Sessions int
 	// SessionLength is the mean number of requests in a session.
 	SessionLength float64
-	// Gap is the range over models of the median time between two requests of a session.
+	// Gap is the range of the models' median times between two requests of a session.
 	Gap Span
-	// DayBegins and DayEnds bound the shift as times of the day.
+	// DayBegins and DayEnds are the times of day at which the shift begins and ends.
 	DayBegins, DayEnds time.Duration
-	// MorningSpread is the mean delay of a model's first request after the shift began.
+	// MorningSpread is the mean delay of a model's first request after the beginning of the shift.
 	MorningSpread time.Duration
-	// BatchBegins is the time of day from which the overnight batch is handed in, BatchWithin the time that this takes,
-	// and BatchDeadline the range of its deadlines.
+	// Overnight batch requests arrive within BatchWithin from the time of day BatchBegins. BatchDeadline is the range of
+	// their deadlines.
 	BatchBegins, BatchWithin time.Duration
 	BatchDeadline            Span
-	// BatchShare is the share of the models that have a batch in a night.
+	// BatchShare is the probability that a model has a batch in a given night.
 	BatchShare float64
-	// ColdStart is the range over models of a load from the weight store; a cached checkpoint takes a quarter.
+	// ColdStart is the range of the models' load times from the weight store. Loading a cached checkpoint takes a quarter
+	// of that.
 	ColdStart Span
-	// MemoryShare is the range over models of the share of an accelerator's memory.
+	// MemoryShareFrom and MemoryShareTo are the range of the share of an accelerator's memory that a model takes.
 	MemoryShareFrom, MemoryShareTo float64
-	// Weekend tells by day of the week, 0 for the first day of a trace, whether demand is halved.
+	// Weekend reports whether demand is halved on a day of the week; index 0 is the first day of a trace.
 	Weekend [7]bool
 }
 
-// Hashemite is the profile of Hashemite Trenchworks Assurance: inspectors who photograph layer after layer, and case
-// files of auditors overnight.
+// Hashemite returns the profile of Hashemite Trenchworks Assurance: inspectors' requests during the day and batches of
+// auditors' case files overnight.
 func Hashemite() Profile {
 	return Profile{
 		Name: "Hashemite", Models: 50, Adapters: 55, Engines: 9,
@@ -53,7 +54,8 @@
 	}
 }
 
-// Tsagaan is the profile of Tsagaan Wing Systems: advisories in waves of departures, and fluid logs at night.
+// Tsagaan returns the profile of Tsagaan Wing Systems: advisories for waves of departures during the day and fluid logs at
+// night.
 func Tsagaan() Profile {
 	return Profile{
 		Name: "Tsagaan", Models: 105, Adapters: 100, Engines: 18,
@@ -68,10 +70,10 @@
 // Model is one model version of a trace.
 type Model struct {
 	Name string
-	// ColdStart is the time of a load from the weight store.
+	// ColdStart is the load time from the weight store.
 	ColdStart   time.Duration
 	MemoryShare float64
-	// AroundTheClock models keep their demand at night and on holidays; the others nearly sleep.
+	// AroundTheClock is set if demand stays the same at night and on holidays; other models are hardly used then.
 	AroundTheClock bool
 	// Rate is the number of sessions on a working day.
 	Rate float64
@@ -82,19 +84,19 @@
 // Request is one request of a trace.
 type Request struct {
 	At time.Duration
-	// Model is an index of Trace.Models; Adapter is an index below Profile.Adapters.
+	// Model is an index into Trace.Models; Adapter is an index below Profile.Adapters.
 	Model, Adapter int
-	// Interactive requests have a waiting person; the others are of the overnight batch.
+	// Interactive is set if a person waits for the answer. Other requests belong to the overnight batch.
 	Interactive bool
-	// Deadline is the time for which the caller waits.
+	// Deadline is the time for which the caller waits, from At.
 	Deadline time.Duration
-	// Work is the time for which a loaded model serves the request.
-	Work time.Duration
-	// Cached is set when a load for this request would find the checkpoint on the host.
+	// ServiceTime is the time that a loaded model takes to serve the request.
+	ServiceTime time.Duration
+	// Cached is set if a load for this request would find the checkpoint cached on the host.
 	Cached bool
 }
 
-// Trace is a deployment's requests in the order of their arrival.
+// Trace holds a deployment's requests in order of arrival.
 type Trace struct {
 	Profile  Profile
 	Models   []Model
