--- a/internal/trace/curve_test.go
+++ b/internal/trace/curve_test.go
@@ -26,21 +26,19 @@
 
 var seeds = []uint64{1, 2, 3, 4, 5}
 
-// fixedKeepAlive is the baseline policy, which keeps every model loaded for the same time after its last request.
-type fixedKeepAlive time.Duration
+// fixed is the baseline policy with a fixed keep-alive time, the same for all models.
+type fixed time.Duration
 
-func (fixedKeepAlive) Observe(string, time.Time) {}
+func (fixed) Observe(string, time.Time) {}
 
-func (f fixedKeepAlive) Keep(string, time.Time, time.Duration, float64) time.Duration {
-	return time.Duration(f)
-}
+func (f fixed) Keep(string, time.Time, time.Duration, float64) time.Duration { return time.Duration(f) }
 
 // alwaysOn never unloads a model after its first request.
-const alwaysOn = fixedKeepAlive(1000 * day)
+const alwaysOn = fixed(1000 * day)
 
-var fixedKeepAlives = []fixedKeepAlive{
-	0, fixedKeepAlive(time.Minute), fixedKeepAlive(2 * time.Minute), fixedKeepAlive(5 * time.Minute), fixedKeepAlive(10 * time.Minute), fixedKeepAlive(15 * time.Minute), fixedKeepAlive(20 * time.Minute),
-	fixedKeepAlive(30 * time.Minute), fixedKeepAlive(45 * time.Minute), fixedKeepAlive(time.Hour), fixedKeepAlive(90 * time.Minute), fixedKeepAlive(2 * time.Hour), fixedKeepAlive(4 * time.Hour), alwaysOn,
+var fixedTTLs = []fixed{
+	0, fixed(time.Minute), fixed(2 * time.Minute), fixed(5 * time.Minute), fixed(10 * time.Minute), fixed(15 * time.Minute), fixed(20 * time.Minute),
+	fixed(30 * time.Minute), fixed(45 * time.Minute), fixed(time.Hour), fixed(90 * time.Minute), fixed(2 * time.Hour), fixed(4 * time.Hour), alwaysOn,
 }
 
 // policyPerEngine gives each engine its own policy instance, because agents do not share learned state.
@@ -84,7 +82,7 @@
 	return r
 }
 
-func policyName(f fixedKeepAlive) string {
+func policyName(f fixed) string {
 	if f == alwaysOn {
 		return "always on"
 	}
@@ -106,7 +104,7 @@
 // weightSweep lists cold start weights, from a low one to one that makes idle time almost free.
 var weightSweep = []float64{2, 5, 15, 60, 240, 1000}
 
-// bestFixed returns the result with the lowest cost among those of fixedKeepAlives, and its name.
+// bestFixed returns the result with the lowest cost among those of fixedTTLs, and its name.
 func bestFixed(results []Result, weight float64) (Result, string) {
 	best := 0
 	for i, r := range results {
@@ -114,13 +112,13 @@
 			best = i
 		}
 	}
-	return results[best], policyName(fixedKeepAlives[best])
+	return results[best], policyName(fixedTTLs[best])
 }
 
 // replayFixed replays a trace with each fixed keep-alive time.
 func replayFixed(tr *Trace) []Result {
-	results := make([]Result, len(fixedKeepAlives))
-	for i, f := range fixedKeepAlives {
+	results := make([]Result, len(fixedTTLs))
+	for i, f := range fixedTTLs {
 		results[i] = Replay(tr, epoch, f, batchHold)
 	}
 	return results
@@ -132,7 +130,7 @@
 	t.Logf("%s, %s, %d requests, 1 s of waiting costs %g idle accelerator seconds", tr.Profile.Name, tr.Length, len(tr.Requests), weight)
 	t.Log(tableHeader)
 	for i, r := range results {
-		logRow(t, tr, weight, policyName(fixedKeepAlives[i]), r)
+		logRow(t, tr, weight, policyName(fixedTTLs[i]), r)
 	}
 	for _, w := range weightSweep {
 		logRow(t, tr, weight, fmt.Sprintf("policy weight %g", w), Replay(tr, epoch, weightedPolicy(tr, w), batchHold))
--- a/internal/trace/fleetday_test.go
+++ b/internal/trace/fleetday_test.go
@@ -113,8 +113,8 @@
 	})
 }
 
-// firstFleetKeepAlive is the index of the shortest fixed keep-alive time that is simulated; shorter ones cost far more.
-const firstFleetKeepAlive = 3
+// firstFleetTTL is the index of the shortest fixed keep-alive time that is simulated; shorter ones cost far more.
+const firstFleetTTL = 3
 
 // TestFleetDay simulates one day with limited engine memory, the load budget and two slots per model, so that models evict
 // each other. It checks that the policy costs no more than the best fixed keep-alive time. A refused interactive request
@@ -134,7 +134,7 @@
 // testFleetPolicy compares the policy with the fixed keep-alive times on one trace.
 func testFleetPolicy(t *testing.T, tr *Trace, budget permits.Options, weight float64) {
 	best := math.Inf(1)
-	for _, f := range fixedKeepAlives[firstFleetKeepAlive:] {
+	for _, f := range fixedTTLs[firstFleetTTL:] {
 		best = min(best, simulateFleet(t, tr, budget, weight, policyName(f), func() loading.IdlePolicy { return f }))
 	}
 	policy := simulateFleet(t, tr, budget, weight, "policy", func() loading.IdlePolicy {
