--- a/internal/capacity/agent_run_test.go
+++ b/internal/capacity/agent_run_test.go
@@ -18,7 +18,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// startEngine starts a stand-in engine in this process. Many of them share it.
+// startEngine starts a stand-in engine in the test process and returns its URL.
 func startEngine(t *testing.T, name string) string {
 	t.Helper()
 	server := engine.New(engine.Options{
@@ -39,18 +39,18 @@
 	return web.URL
 }
 
-// agentRun is one agent with many light entries.
-type agentRun struct {
+// agentBench is a real agent with many stub entries.
+type agentBench struct {
 	t       *testing.T
-	entries []*lightEntry
+	entries []*stubEntry
 	relay   *relay
 	agent   *child
 	models  int
 	rows    []*replicaspb.Row
 }
 
-// grant writes the rows that give the agent's engine its slots.
-func (r *agentRun) grant(s *site) {
+// writeGrants writes the table rows that grant slots to the agent's engine.
+func (r *agentBench) writeGrants(s *testPlatform) {
 	r.t.Helper()
 	table := backing.NewHTTPTable(backing.Options{TableURL: s.url, Timeout: 10 * time.Second}, nil)
 	for i := range r.models {
@@ -68,11 +68,11 @@
 	}
 }
 
-func startAgentRun(t *testing.T, entries, models, engines int) *agentRun {
+func startAgentBench(t *testing.T, entries, models, engines int) *agentBench {
 	t.Helper()
-	r := &agentRun{t: t, models: models}
-	s := newSite(t)
-	r.grant(s)
+	r := &agentBench{t: t, models: models}
+	s := newTestPlatform(t)
+	r.writeGrants(s)
 	r.agent = startChild(t, "agent", engineName(0), s.agentSettings(0, startEngine(t, engineName(0))))
 	r.relay = startRelay(t, r.agent.addresses["entries"])
 	ctx, cancel := context.WithCancel(context.Background())
@@ -80,23 +80,23 @@
 	for i := range entries {
 		first := &wirepb.ControlDown{Rows: r.rows, HostState: wirepb.HostState_LIVE}
 		if i == 0 {
-			// The others find that the agent holds the declarations.
+			// Only the first entry sends a snapshot; a real entry sends none to an agent that has the declarations.
 			first.Snapshot = snapshotOf(targetModels, targetAdapters, engines)
 		}
-		e, err := dialLightEntry(ctx, r.relay.address, fmt.Sprintf("entry-%04d", i), first)
+		e, err := dialStubEntry(ctx, r.relay.address, fmt.Sprintf("entry-%04d", i), first)
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.entries = append(r.entries, e)
 	}
-	eventually(t, time.Minute, "the agent is ready and holds its slots", func() bool {
+	eventually(t, time.Minute, "the agent is ready and has the declarations", func() bool {
 		s := r.entries[len(r.entries)-1].status.Load()
 		return s.GetReady() && s.GetDeclarationsRevision() > 0
 	})
 	return r
 }
 
-func (r *agentRun) batches() int64 {
+func (r *agentBench) batches() int64 {
 	sum := int64(0)
 	for _, e := range r.entries {
 		sum += e.batches.Load()
@@ -104,30 +104,30 @@
 	return sum
 }
 
-// measure reads the agent's use over a while.
-func (r *agentRun) measure(what string, d time.Duration) (cpu float64) {
+// measure logs the agent's CPU, memory and network usage over an interval and returns its CPU usage in cores.
+func (r *agentBench) measure(label string, interval time.Duration) (cpu float64) {
 	before, wireBefore, batches := r.agent.read(r.t), r.relay.conns.traffic(), r.batches()
-	time.Sleep(d)
-	after, moved, batchesAfter := r.agent.read(r.t), r.relay.conns.traffic().minus(wireBefore), r.batches()
+	time.Sleep(interval)
+	after, transferred, batchesAfter := r.agent.read(r.t), r.relay.conns.traffic().minus(wireBefore), r.batches()
 	seconds := after.at.Sub(before.at).Seconds()
 	n := float64(len(r.entries))
-	cpu = share(before, after)
-	r.t.Logf("%5d entries, %d slots, %s: %.2f%% of a core, rss %.1f MB, payload down %.0f up %.0f B/s an entry, on the wire %.0f B/s an entry and %.0f B/s the agent, %.1f batches/s an entry",
-		len(r.entries), r.models, what, 100*cpu, after.rss/1e6, moved.out/seconds/n, moved.in/seconds/n,
-		moved.onWire()/seconds/n, moved.onWire()/seconds, float64(batchesAfter-batches)/seconds/n)
+	cpu = cpuShare(before, after)
+	r.t.Logf("%5d entries, %d slots, %s: %.2f%% of a core, rss %.1f MB, payload received %.0f and sent %.0f B/s per entry, on the wire %.0f B/s per entry and %.0f B/s in total, %.1f batches/s per entry",
+		len(r.entries), r.models, label, 100*cpu, after.rss/1e6, transferred.out/seconds/n, transferred.in/seconds/n,
+		transferred.onWire()/seconds/n, transferred.onWire()/seconds, float64(batchesAfter-batches)/seconds/n)
 	return cpu
 }
 
-// busy sends requests to the agent at a rate, over the first light entry, until the returned function is called. The gaps
-// between them are random: at even ones the load looks the same each time that the agent looks at it.
-func (r *agentRun) busy(perSecond float64) (stop func()) {
+// startLoad sends requests to the agent at a rate, over the first stub entry, until the returned function is called. The
+// gaps are exponentially distributed: with equal gaps the agent would sample the same load each time.
+func (r *agentBench) startLoad(perSecond float64) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var requests sync.WaitGroup
 	var sent, failed atomic.Int64
 	random := rand.New(rand.NewPCG(1, 1))
 	gap := func() time.Duration { return time.Duration(random.ExpFloat64() * float64(time.Second) / perSecond) }
 	body := []byte(fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":20,"messages":[{"role":"user","content":"Is it closed?"}]}`, versionName(0)))
-	// The first request wakes the model.
+	// The first request loads the model.
 	if err := r.entries[0].request("light-first", versionName(0), body); err != nil {
 		r.t.Fatal(err)
 	}
@@ -157,19 +157,19 @@
 	}
 }
 
-// requestsPerEngine is the rate of requests of one engine at the target's peak.
+// requestsPerEngine is the request rate of one engine at the target size's peak.
 const requestsPerEngine = targetRequests / targetEngines
 
-// TestAgentPeers measures a real agent against light entries: what each connected entry costs it, idle and at the
-// target's rate of requests.
+// TestAgentPeers measures the cost of each connected entry to a real agent, idle and at the target request rate. The entries
+// are stubs.
 func TestAgentPeers(t *testing.T) {
 	skipUnlessRun(t)
 	for _, n := range sizesOr(t, 1, 3, 10, 100, 400, 1200) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			r := startAgentRun(t, n, 2, 1000)
+			r := startAgentBench(t, n, 2, 1000)
 			time.Sleep(3 * time.Second)
 			r.measure("idle", *measureFor)
-			stop := r.busy(requestsPerEngine)
+			stop := r.startLoad(requestsPerEngine)
 			time.Sleep(time.Second)
 			r.measure(fmt.Sprintf("%.0f requests/s", requestsPerEngine), *measureFor/3)
 			stop()
@@ -177,13 +177,13 @@
 	}
 }
 
-// TestAgentSlots measures a real agent by the slots that it holds and the engines that are declared.
+// TestAgentSlots measures a real agent for different numbers of its slots and of declared engines.
 func TestAgentSlots(t *testing.T) {
 	skipUnlessRun(t)
 	cases := []struct{ models, engines int }{{0, 0}, {2, 0}, {10, 0}, {51, 0}, {2, 1000}, {2, 10000}}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("slots=%d,engines=%d", c.models, c.engines), func(t *testing.T) {
-			r := startAgentRun(t, 3, c.models, c.engines)
+			r := startAgentBench(t, 3, c.models, c.engines)
 			time.Sleep(3 * time.Second)
 			r.measure(fmt.Sprintf("%d engines declared, idle", c.engines), *measureFor)
 		})
--- a/internal/capacity/control_test.go
+++ b/internal/capacity/control_test.go
@@ -12,7 +12,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// start is the time of the deterministic benchmarks.
+// start is the fixed time that the deterministic benchmarks use.
 var start = time.Date(2026, 11, 2, 8, 0, 0, 0, time.UTC)
 
 // framedBytes is the size of a message with its length prefix.
@@ -21,12 +21,11 @@
 	return float64(n + len(strconv.Itoa(n))/2 + 1)
 }
 
-// BenchmarkStatusBytes gives the bytes of a whole report by the model versions of an engine, and of a report in which one
-// replica has changed.
+// BenchmarkStatusBytes measures the size of a full status report by the number of an engine's model versions.
 func BenchmarkStatusBytes(b *testing.B) {
 	sizes := []int{2, 10, 51}
 	b.Run("full", func(b *testing.B) {
-		sweep(b, "wire-bytes", sizes, func(b *testing.B, n int) float64 {
+		benchmarkSizes(b, "wire-bytes", sizes, func(b *testing.B, n int) float64 {
 			size := 0.0
 			for b.Loop() {
 				size = framedBytes(&wirepb.ControlUp{Acknowledged: 1000, Clock: 1 << 57, Status: statusOf(1, n)})
@@ -36,7 +35,7 @@
 	})
 }
 
-// viewOf returns a view of that many engines that have all reported.
+// viewOf returns a membership view in which all of the given number of engines have reported.
 func viewOf(engines, models int) *membership.View {
 	view := membership.NewView()
 	view.HostsRead(endpointHosts(engines, "10.20.30.40:7100"), 1)
@@ -48,9 +47,9 @@
 
 var engineCounts = []int{100, 1000, 10000}
 
-// BenchmarkViewMemory gives the memory of an entry's view of engines that hold slots of ten model versions each.
+// BenchmarkViewMemory measures the memory of an entry's view of engines with slots of ten model versions each.
 func BenchmarkViewMemory(b *testing.B) {
-	sweep(b, "held-bytes", engineCounts, func(b *testing.B, n int) float64 {
+	benchmarkSizes(b, "held-bytes", engineCounts, func(b *testing.B, n int) float64 {
 		held := heldBytes(func() any { return viewOf(n, 10) })
 		for b.Loop() {
 			continue
@@ -59,11 +58,11 @@
 	})
 }
 
-// BenchmarkViewReport gives the processor time of taking a report in, from its bytes, by the engines in the view.
+// BenchmarkViewReport measures the CPU time to decode and apply a report by the number of engines in the view.
 func BenchmarkViewReport(b *testing.B) {
 	for _, full := range []bool{true, false} {
 		b.Run("full="+strconv.FormatBool(full), func(b *testing.B) {
-			sweep(b, "cpu-ns", engineCounts, func(b *testing.B, n int) float64 {
+			benchmarkSizes(b, "cpu-ns", engineCounts, func(b *testing.B, n int) float64 {
 				view := viewOf(n, 10)
 				status := statusOf(0, 10)
 				if !full {
@@ -82,9 +81,9 @@
 	}
 }
 
-// BenchmarkHostList gives the processor time of taking in a host list that has changed, and the bytes of a host's line.
+// BenchmarkHostList measures the CPU time to apply a changed host list, and the JSON bytes per host.
 func BenchmarkHostList(b *testing.B) {
-	sweep(b, "cpu-ns", engineCounts, func(b *testing.B, n int) float64 {
+	benchmarkSizes(b, "cpu-ns", engineCounts, func(b *testing.B, n int) float64 {
 		view := viewOf(n, 10)
 		hosts := endpointHosts(n, "10.20.30.40:7100")
 		ns := cpuPerOp(b, func(i int) { view.HostsRead(hosts, uint64(i+2)) })
--- a/internal/capacity/decision_test.go
+++ b/internal/capacity/decision_test.go
@@ -9,21 +9,21 @@
 	"balsamsail/internal/selector"
 )
 
-// grantsSite is a site whose grants are decided without a table.
-type grantsSite struct {
+// grantBench runs the replica decider on an in-memory snapshot, without a table.
+type grantBench struct {
 	decider  *replicas.Decider
 	snapshot replicas.Snapshot
 	now      time.Time
 	revision uint64
 }
 
-// slotsPerEngine is how many model versions each engine has a slot of, on average.
+// slotsPerEngine is the average number of model versions for which an engine has a slot.
 const slotsPerEngine = 2
 
-// newGrantsSite returns a site of the target's models on that many engines, all slots granted.
-func newGrantsSite(tb testing.TB, engines int) *grantsSite {
+// newGrantBench returns a grantBench with the target's models on the given number of engines and all slots granted.
+func newGrantBench(tb testing.TB, engines int) *grantBench {
 	tb.Helper()
-	s := &grantsSite{decider: replicas.NewDecider(replicas.DefaultPolicy()), now: start, revision: 1}
+	s := &grantBench{decider: replicas.NewDecider(replicas.DefaultPolicy()), now: start, revision: 1}
 	s.snapshot = replicas.Snapshot{
 		Declared:       replicas.Declared{Revision: 1},
 		Rows:           map[string]replicas.RowView{},
@@ -65,13 +65,13 @@
 		s.apply(changes)
 		s.now = s.now.Add(time.Second)
 	}
-	tb.Fatal("the decisions don't settle")
+	tb.Fatal("the decisions did not converge in 100 rounds")
 	return nil
 }
 
-func (s *grantsSite) decide() []replicas.Change { return s.decider.Decide(s.now, &s.snapshot).Changes }
+func (s *grantBench) decide() []replicas.Change { return s.decider.Decide(s.now, &s.snapshot).Changes }
 
-func (s *grantsSite) apply(changes []replicas.Change) {
+func (s *grantBench) apply(changes []replicas.Change) {
 	for _, c := range changes {
 		s.revision++
 		c.Next.Revision = s.revision
@@ -79,8 +79,8 @@
 	}
 }
 
-// takeAway lists the hosts of a failure domain as gone.
-func (s *grantsSite) takeAway(domain string) {
+// removeDomain marks all hosts of a failure domain as gone.
+func (s *grantBench) removeDomain(domain string) {
 	s.snapshot.Hosts.Version++
 	for _, e := range s.snapshot.Engines {
 		if e.FailureDomain == domain {
@@ -91,18 +91,18 @@
 
 var decisionSizes = []int{1000, 3000, 10000}
 
-// BenchmarkDecision gives the processor time of a decision over all models by the number of engines: when one row has
-// changed, when the engines have changed, and when a failure domain has gone.
+// BenchmarkDecision measures the CPU time of a decision for all models by the number of engines: after a change of rows,
+// after a change of engines, and after the loss of a failure domain.
 func BenchmarkDecision(b *testing.B) {
 	b.Run("rows", func(b *testing.B) {
-		sweep(b, "cpu-ns", decisionSizes, func(b *testing.B, n int) float64 {
-			s := newGrantsSite(b, n)
+		benchmarkSizes(b, "cpu-ns", decisionSizes, func(b *testing.B, n int) float64 {
+			s := newGrantBench(b, n)
 			return cpuPerOp(b, func(int) { s.decide() })
 		})
 	})
 	b.Run("engines", func(b *testing.B) {
-		sweep(b, "cpu-ns", decisionSizes, func(b *testing.B, n int) float64 {
-			s := newGrantsSite(b, n)
+		benchmarkSizes(b, "cpu-ns", decisionSizes, func(b *testing.B, n int) float64 {
+			s := newGrantBench(b, n)
 			return cpuPerOp(b, func(int) {
 				s.snapshot.EnginesVersion++
 				s.decide()
@@ -110,9 +110,9 @@
 		})
 	})
 	b.Run("domain gone", func(b *testing.B) {
-		sweep(b, "cpu-ns", decisionSizes, func(b *testing.B, n int) float64 {
-			s := newGrantsSite(b, n)
-			s.takeAway(domainName(0))
+		benchmarkSizes(b, "cpu-ns", decisionSizes, func(b *testing.B, n int) float64 {
+			s := newGrantBench(b, n)
+			s.removeDomain(domainName(0))
 			var changes []replicas.Change
 			ns := cpuPerOp(b, func(int) {
 				s.snapshot.EnginesVersion++
@@ -124,9 +124,9 @@
 	})
 }
 
-// BenchmarkRowBytes gives the bytes of a row of grants by its slots.
+// BenchmarkRowBytes measures the encoded size of a row of grants by its number of slots.
 func BenchmarkRowBytes(b *testing.B) {
-	sweep(b, "wire-bytes", []int{2, 40, 400}, func(b *testing.B, n int) float64 {
+	benchmarkSizes(b, "wire-bytes", []int{2, 40, 400}, func(b *testing.B, n int) float64 {
 		row := rowOf(1, n)
 		size := 0
 		for b.Loop() {
@@ -140,9 +140,9 @@
 	})
 }
 
-// BenchmarkRowMemory gives the memory of the decoded rows of all models by their slots.
+// BenchmarkRowMemory measures the memory of a decoded row by its number of slots, averaged over the rows of all models.
 func BenchmarkRowMemory(b *testing.B) {
-	sweep(b, "held-bytes", []int{2, 40, 400}, func(b *testing.B, n int) float64 {
+	benchmarkSizes(b, "held-bytes", []int{2, 40, 400}, func(b *testing.B, n int) float64 {
 		value, err := replicas.EncodeRow(rowOf(1, n))
 		if err != nil {
 			b.Fatal(err)
--- a/internal/capacity/declarations_test.go
+++ b/internal/capacity/declarations_test.go
@@ -9,7 +9,7 @@
 	pb "balsamsail/internal/declarations/declarationspb"
 )
 
-// objectKinds are the kinds of declarations whose number grows.
+// objectKinds lists the kinds of declarations whose number grows with the system.
 var objectKinds = []struct {
 	name     string
 	sizes    []int
@@ -42,11 +42,11 @@
 	return set
 }
 
-// BenchmarkSnapshotWireBytes gives the bytes of a snapshot for each kind of declaration.
+// BenchmarkSnapshotWireBytes measures the encoded size of a snapshot for each kind of declaration.
 func BenchmarkSnapshotWireBytes(b *testing.B) {
 	for _, kind := range objectKinds {
 		b.Run(kind.name, func(b *testing.B) {
-			sweep(b, "wire-bytes", kind.sizes, func(b *testing.B, n int) float64 {
+			benchmarkSizes(b, "wire-bytes", kind.sizes, func(b *testing.B, n int) float64 {
 				size := 0
 				snapshot := kind.snapshot(n)
 				for b.Loop() {
@@ -58,11 +58,11 @@
 	}
 }
 
-// BenchmarkSnapshotMemory gives the memory that a process holds for each kind of declaration.
+// BenchmarkSnapshotMemory measures the memory of a decoded snapshot for each kind of declaration.
 func BenchmarkSnapshotMemory(b *testing.B) {
 	for _, kind := range objectKinds {
 		b.Run(kind.name, func(b *testing.B) {
-			sweep(b, "held-bytes", kind.sizes, func(b *testing.B, n int) float64 {
+			benchmarkSizes(b, "held-bytes", kind.sizes, func(b *testing.B, n int) float64 {
 				data := encode(b, kind.snapshot(n))
 				held := heldBytes(func() any { return decodedSet(b, data) })
 				for b.Loop() {
@@ -74,11 +74,11 @@
 	}
 }
 
-// BenchmarkSnapshotTaken gives the processor time of taking in a snapshot.
+// BenchmarkSnapshotTaken measures the CPU time to decode a snapshot and build the set of declarations.
 func BenchmarkSnapshotTaken(b *testing.B) {
 	for _, kind := range objectKinds {
 		b.Run(kind.name, func(b *testing.B) {
-			sweep(b, "cpu-ns", kind.sizes, func(b *testing.B, n int) float64 {
+			benchmarkSizes(b, "cpu-ns", kind.sizes, func(b *testing.B, n int) float64 {
 				data := encode(b, kind.snapshot(n))
 				return cpuPerOp(b, func(int) { decodedSet(b, data) })
 			})
@@ -86,9 +86,9 @@
 	}
 }
 
-// BenchmarkDeltaApplied gives the processor time of one edit of an adapter, by the number of adapters.
+// BenchmarkDeltaApplied measures the CPU time to apply a one-adapter delta by the number of adapters.
 func BenchmarkDeltaApplied(b *testing.B) {
-	sweep(b, "cpu-ns", []int{270, 2700, 27000}, func(b *testing.B, n int) float64 {
+	benchmarkSizes(b, "cpu-ns", []int{270, 2700, 27000}, func(b *testing.B, n int) float64 {
 		set := decodedSet(b, encode(b, snapshotOf(targetModels, n, 0)))
 		data := encode(b, deltaOf(2))
 		ns := cpuPerOp(b, func(int) {
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,18 +1,18 @@
-// Package capacity measures what the system's parts cost as they grow, and sums the figures up for the size that the
-// system is designed for. It holds tests and benchmarks only; docs/CAPACITY.md is written from them.
+// Package capacity measures how the cost of the system's components scales, and estimates the total cost at the size for
+// which the system is designed. It contains only tests and benchmarks. docs/CAPACITY.md is based on their results.
 //
-// The benchmarks measure one slope each (bytes and processor time for one more model, peer, report, request) at three
-// sizes or more and log the line that fits them:
+// Each benchmark measures one slope (bytes or CPU time per additional model, peer, report or request) at three or more sizes
+// and reports the fitted line:
 //
 //	go test ./internal/capacity -run '^$' -bench .
 //
-// The runs with real processes start the built binary on loopback addresses. They are not part of the ordinary tests,
-// because they take minutes and hundreds of megabytes:
+// The tests with real processes run the binary on loopback addresses. They are disabled by default, because they take
+// minutes and hundreds of megabytes:
 //
 //	go test ./internal/capacity -run TestEntryPeers -capacity.run -timeout 30m -v
 //	go test ./internal/capacity -run TestAgentPeers -capacity.run -timeout 30m -v
 //	go test ./internal/capacity -run TestFleet      -capacity.run -timeout 30m -v
 //
-// TestSums works out each role's state, messages, processor time and memory from the measured slopes and prints the
-// tables of the page.
+// TestSums computes each role's network traffic, CPU time and memory from the measured slopes and logs the tables of
+// docs/CAPACITY.md.
 package capacity
--- a/internal/capacity/entry_run_test.go
+++ b/internal/capacity/entry_run_test.go
@@ -16,7 +16,7 @@
 	pb "balsamsail/internal/declarations/declarationspb"
 )
 
-// sizesOr returns the sizes of the flag, or the given ones.
+// sizesOr returns the sizes in the -capacity.sizes flag, or the given ones if the flag is not set.
 func sizesOr(t *testing.T, sizes ...int) []int {
 	t.Helper()
 	if *sizeList == "" {
@@ -33,7 +33,8 @@
 	return sizes
 }
 
-// fleetObjects are the target's models and adapters, and engines, with that many slots a model.
+// fleetObjects returns declarations of the target's models and adapters and the given number of engines. The models'
+// replica limits are set for the given number of slots per model.
 func fleetObjects(engines, slots int) []*pb.Object {
 	objects := snapshotOf(targetModels, targetAdapters, engines).Objects
 	for _, o := range objects {
@@ -45,146 +46,147 @@
 	return objects
 }
 
-// entryRun is one entry with many light agents.
-type entryRun struct {
-	t      *testing.T
-	size   int
-	site   *site
-	agents *lightAgents
-	entry  *child
-	begun  time.Time
-	tick   int
+// entryBench is a real entry with many stub agents.
+type entryBench struct {
+	t         *testing.T
+	size      int
+	site      *testPlatform
+	agents    *stubAgents
+	entry     *child
+	started   time.Time
+	editCount int
 }
 
-// startEntryRun starts them and waits until all agents have the declarations and the grants have come to rest. With held
-// set the agents hold the declarations from the start.
-func startEntryRun(t *testing.T, n int, held bool) *entryRun {
+// startEntryBench starts the entry and n agents. It waits until all agents have the declarations and no more grants are
+// written. With preloaded set, the agents have the declarations from the start.
+func startEntryBench(t *testing.T, n int, preloaded bool) *entryBench {
 	t.Helper()
-	r := &entryRun{t: t, size: n, site: newSite(t), agents: startLightAgents(t)}
+	r := &entryBench{t: t, size: n, site: newTestPlatform(t), agents: startStubAgents(t)}
 	for _, h := range endpointHosts(n, r.agents.address) {
-		r.site.platform.PutHost(h)
+		r.site.server.PutHost(h)
 	}
 	slots := max(2, n*slotsPerEngine/targetModels)
 	revision := r.site.declare(t, fleetObjects(n, slots))
-	if held {
-		r.agents.keep(revision)
-		r.start(revision, "hold the declarations")
+	if preloaded {
+		r.agents.setInitialRevision(revision)
+		r.start(revision, "with the declarations")
 	} else {
-		r.start(revision, "hold nothing")
+		r.start(revision, "without the declarations")
 	}
-	r.awaitRest()
+	r.awaitQuiescence()
 	return r
 }
 
-// start starts the entry and waits until all agents have a revision.
-func (r *entryRun) start(revision uint64, what string) {
+// start starts the entry and waits until all agents have a revision. The state of the agents goes into the log.
+func (r *entryBench) start(revision uint64, state string) {
 	r.t.Helper()
-	r.begun = time.Now()
+	r.started = time.Now()
 	r.entry = startChild(r.t, "entry", "entry-1", r.site.entrySettings("entry-1", ""))
-	r.site.platform.PutHost(backing.Host{
+	r.site.server.PutHost(backing.Host{
 		ID: "entry-1", Role: backing.RoleEntry, State: backing.HostLive,
 		FailureDomain: domainName(0), Address: r.entry.addresses["operators"],
 	})
 	eventually(r.t, 5*time.Minute, "all agents have the declarations", func() bool {
-		connected, reached := r.agents.at(revision)
+		connected, reached := r.agents.countAt(revision)
 		return reached == r.size && connected == r.size
 	})
 	now := r.entry.read(r.t)
-	r.t.Logf("%6d agents that %s: all connected and told %.2f s after the entry's start, which took %.2f s of processor time, rss %.1f MB",
-		r.size, what, time.Since(r.begun).Seconds(), now.cpu, now.rss/1e6)
+	r.t.Logf("%6d agents %s: all connected and up to date %.2f s after the entry's start, entry CPU time %.2f s, rss %.1f MB",
+		r.size, state, time.Since(r.started).Seconds(), now.cpu, now.rss/1e6)
 }
 
-// restart kills the entry and starts it again beside agents that hold the declarations.
-func (r *entryRun) restart() {
+// restart kills the entry and starts it again; the agents then have the declarations already.
+func (r *entryBench) restart() {
 	r.t.Helper()
 	revision := r.site.store.Current().Revision()
-	r.agents.keep(revision)
+	r.agents.setInitialRevision(revision)
 	r.entry.stop()
-	eventually(r.t, time.Minute, "the connections end", func() bool {
-		connected, _ := r.agents.at(0)
+	eventually(r.t, time.Minute, "all connections are closed", func() bool {
+		connected, _ := r.agents.countAt(0)
 		return connected == 0
 	})
-	r.start(revision, "hold the declarations")
+	r.start(revision, "with the declarations")
 	time.Sleep(*measureFor / 2)
 	r.t.Logf("%6d agents: rss %.1f MB after the restart", r.size, r.entry.read(r.t).rss/1e6)
 }
 
-// awaitRest waits until the table was not written for some seconds.
-func (r *entryRun) awaitRest() {
+// awaitQuiescence waits until there have been no writes to the table for 5 seconds.
+func (r *entryBench) awaitQuiescence() {
 	r.t.Helper()
-	writes, since := -1, time.Now()
-	eventually(r.t, 5*time.Minute, "the grants come to rest", func() bool {
-		if now := r.site.platform.Truth().Table.Writes; now != writes {
-			writes, since = now, time.Now()
+	lastWrites, since := -1, time.Now()
+	eventually(r.t, 5*time.Minute, "no more grants are written", func() bool {
+		if now := r.site.server.Truth().Table.Writes; now != lastWrites {
+			lastWrites, since = now, time.Now()
 		}
 		return time.Since(since) > 5*time.Second
 	})
-	r.t.Logf("%6d agents: %d writes of the table until the grants had come to rest, %.1f s after the start",
-		r.size, writes, time.Since(r.begun).Seconds()-5)
+	r.t.Logf("%6d agents: %d table writes until the last grant, %.1f s after the start",
+		r.size, lastWrites, time.Since(r.started).Seconds()-5)
 }
 
-// idle measures the entry while nothing happens.
-func (r *entryRun) idle() (cpu float64) {
-	before, wireBefore, table := r.entry.read(r.t), r.agents.conns.traffic(), r.site.platform.Truth().Table
+// idle logs the idle entry's resource usage and returns its CPU usage in cores.
+func (r *entryBench) idle() (cpu float64) {
+	before, wireBefore, table := r.entry.read(r.t), r.agents.conns.traffic(), r.site.server.Truth().Table
 	time.Sleep(*measureFor)
-	after, wireAfter, tableAfter := r.entry.read(r.t), r.agents.conns.traffic(), r.site.platform.Truth().Table
+	after, wireAfter, tableAfter := r.entry.read(r.t), r.agents.conns.traffic(), r.site.server.Truth().Table
 	seconds := after.at.Sub(before.at).Seconds()
 	moved := wireAfter.minus(wireBefore)
-	connected, _ := r.agents.at(0)
-	cpu = share(before, after)
-	r.t.Logf("%6d agents: idle %.2f%% of a core, rss %.1f MB, payload down %.0f up %.0f B/s an agent, on the wire %.0f B/s an agent and %.0f B/s the entry, table %.2f reads/s %.2f writes/s, connected %d",
-		r.size, 100*cpu, after.rss/1e6, moved.out2(seconds, r.size), moved.in2(seconds, r.size),
+	connected, _ := r.agents.countAt(0)
+	cpu = cpuShare(before, after)
+	r.t.Logf("%6d agents: idle %.2f%% of a core, rss %.1f MB, payload sent %.0f and received %.0f B/s per agent, on the wire %.0f B/s per agent and %.0f B/s in total, table %.2f reads/s %.2f writes/s, connected %d",
+		r.size, 100*cpu, after.rss/1e6, moved.sentPerConn(seconds, r.size), moved.receivedPerConn(seconds, r.size),
 		moved.onWire()/seconds/float64(r.size), moved.onWire()/seconds,
 		float64(tableAfter.Reads-table.Reads)/seconds, float64(tableAfter.Writes-table.Writes)/seconds, connected)
 	return cpu
 }
 
-// in2 and out2 are the payload a second of one of n connections, as the entry receives and sends it.
-func (t traffic) in2(seconds float64, n int) float64  { return t.out / seconds / float64(n) }
-func (t traffic) out2(seconds float64, n int) float64 { return t.in / seconds / float64(n) }
+// receivedPerConn and sentPerConn return the payload bytes per second that the entry receives and sends on one of n
+// connections. The traffic is counted at the agents' end.
+func (t traffic) receivedPerConn(seconds float64, n int) float64 { return t.out / seconds / float64(n) }
+func (t traffic) sentPerConn(seconds float64, n int) float64     { return t.in / seconds / float64(n) }
 
-// edits measures how long a revision takes to reach all agents, and what it costs the entry.
-func (r *entryRun) edits(idle float64) {
+// edits measures the time until an edit reaches all agents, and its CPU time at the entry.
+func (r *entryBench) edits(idleCPU float64) {
 	const count = 20
-	var took []float64
+	var latencies []float64
 	before, wireBefore := r.entry.read(r.t), r.agents.conns.traffic()
 	for range count {
 		begin := time.Now()
-		r.tick++
-		object := adapterObject(r.tick, targetModels)
-		object.GetAdapter().Labels["edit"] = strconv.Itoa(r.tick)
+		r.editCount++
+		object := adapterObject(r.editCount, targetModels)
+		object.GetAdapter().Labels["edit"] = strconv.Itoa(r.editCount)
 		revision := r.site.declare(r.t, []*pb.Object{object})
 		eventually(r.t, time.Minute, "the revision reaches all agents", func() bool {
-			_, reached := r.agents.at(revision)
+			_, reached := r.agents.countAt(revision)
 			return reached >= r.size
 		})
-		took = append(took, time.Since(begin).Seconds())
+		latencies = append(latencies, time.Since(begin).Seconds())
 	}
 	after := r.entry.read(r.t)
 	moved := r.agents.conns.traffic().minus(wireBefore)
-	spent := after.cpu - before.cpu - idle*after.at.Sub(before.at).Seconds()
-	slices.Sort(took)
-	r.t.Logf("%6d agents: revision at all agents p50 %.0f ms, worst of %d %.0f ms, %.2f ms of processor time an edit, %.0f payload bytes up an agent in all",
-		r.size, 1000*took[count/2], count, 1000*took[count-1], 1000*spent/count, moved.in/float64(r.size))
+	cpu := after.cpu - before.cpu - idleCPU*after.at.Sub(before.at).Seconds()
+	slices.Sort(latencies)
+	r.t.Logf("%6d agents: time until an edit reaches all agents p50 %.0f ms, max of %d %.0f ms, %.2f ms of CPU time per edit, %.0f payload bytes received per agent in total",
+		r.size, 1000*latencies[count/2], count, 1000*latencies[count-1], 1000*cpu/count, moved.in/float64(r.size))
 }
 
-// reports measures the cost of reports of load.
-func (r *entryRun) reports(every time.Duration, idle float64) {
-	r.agents.reports.Store(int64(every))
-	defer r.agents.reports.Store(0)
+// reports measures the CPU time of load reports at the entry.
+func (r *entryBench) reports(interval time.Duration, idleCPU float64) {
+	r.agents.reportInterval.Store(int64(interval))
+	defer r.agents.reportInterval.Store(0)
 	time.Sleep(2 * time.Second)
-	before, sent := r.entry.read(r.t), r.agents.sent.Load()
+	before, sent := r.entry.read(r.t), r.agents.reportsSent.Load()
 	time.Sleep(*measureFor / 3)
-	after, sentAfter := r.entry.read(r.t), r.agents.sent.Load()
+	after, sentAfter := r.entry.read(r.t), r.agents.reportsSent.Load()
 	seconds := after.at.Sub(before.at).Seconds()
 	rate := float64(sentAfter-sent) / seconds
-	cpu := share(before, after)
-	extra := rate - float64(r.size)/heartbeatInterval.Seconds()
-	r.t.Logf("%6d agents: %.0f reports/s take %.2f%% of a core, %.1f µs a report more than idle", r.size, rate, 100*cpu, 1e6*(cpu-idle)/extra)
+	cpu := cpuShare(before, after)
+	addedRate := rate - float64(r.size)/heartbeatInterval.Seconds()
+	r.t.Logf("%6d agents: %.0f reports/s take %.2f%% of a core, %.1f µs per report above idle", r.size, rate, 100*cpu, 1e6*(cpu-idleCPU)/addedRate)
 }
 
-// requests measures the cost of callers' requests to a model with many slots.
-func (r *entryRun) requests(idle float64) {
+// requests measures the entry's CPU time for callers' requests to a model with many slots.
+func (r *entryBench) requests(idleCPU float64) {
 	const count, parallel = 2000, 8
 	body := []byte(fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":"Is the layer closed?"}]}`, modelName(3)))
 	url := "http://" + r.entry.addresses["callers"] + "/v1/chat/completions"
@@ -214,22 +216,22 @@
 		return true
 	})
 	seconds := after.at.Sub(before.at).Seconds()
-	spent := after.cpu - before.cpu - idle*seconds
+	cpu := after.cpu - before.cpu - idleCPU*seconds
 	slots := max(2, r.size*slotsPerEngine/targetModels)
-	r.t.Logf("%6d agents: %.0f µs of the entry's processor time a request to a model with %d slots (%.0f requests/s)",
-		r.size, 1e6*spent/count, slots, count/seconds)
+	r.t.Logf("%6d agents: %.0f µs of entry CPU time per request to a model with %d slots (%.0f requests/s)",
+		r.size, 1e6*cpu/count, slots, count/seconds)
 }
 
-// TestEntryPeers measures a real entry against light agents: what each connected agent costs it.
+// TestEntryPeers measures the cost of each connected agent to a real entry. The agents are stubs.
 func TestEntryPeers(t *testing.T) {
 	skipUnlessRun(t)
 	for _, n := range sizesOr(t, 100, 400, 1600) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			r := startEntryRun(t, n, false)
-			idle := r.idle()
-			r.edits(idle)
-			r.reports(200*time.Millisecond, idle)
-			r.requests(idle)
+			r := startEntryBench(t, n, false)
+			idleCPU := r.idle()
+			r.edits(idleCPU)
+			r.reports(200*time.Millisecond, idleCPU)
+			r.requests(idleCPU)
 			end := r.entry.read(t)
 			t.Logf("%6d agents: rss at the end %.1f MB; declarations: %d", n, end.rss/1e6, len(r.site.store.Current().Objects()))
 			r.restart()
@@ -237,15 +239,15 @@
 	}
 }
 
-// TestEntryManyPeers measures a real entry against more light agents, which hold the declarations already.
+// TestEntryManyPeers measures a real entry with more stub agents, which have the declarations from the start.
 func TestEntryManyPeers(t *testing.T) {
 	skipUnlessRun(t)
 	for _, n := range sizesOr(t, 1600, 4000) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			r := startEntryRun(t, n, true)
-			idle := r.idle()
-			r.requests(idle)
-			r.edits(idle)
+			r := startEntryBench(t, n, true)
+			idleCPU := r.idle()
+			r.requests(idleCPU)
+			r.edits(idleCPU)
 			t.Logf("%6d agents: rss at the end %.1f MB", n, r.entry.read(t).rss/1e6)
 		})
 	}
--- a/internal/capacity/fleet_run_test.go
+++ b/internal/capacity/fleet_run_test.go
@@ -14,19 +14,20 @@
 	"balsamsail/internal/operator"
 )
 
-// fleet is real entries and real agents beside stand-in engines that share this process.
+// fleet is a set of real entries and agents. Their stand-in engines run in the test process.
 type fleet struct {
 	t       *testing.T
-	site    *site
+	site    *testPlatform
 	agents  []*child
 	entries []*child
 	relays  []*relay
 }
 
-// startFleet starts the processes and waits until the declarations are in force in all of them and the grants rest.
+// startFleet starts the processes and waits until the declarations are in force in all of them and no more grants are
+// written.
 func startFleet(t *testing.T, entries, agents int) *fleet {
 	t.Helper()
-	f := &fleet{t: t, site: newSite(t)}
+	f := &fleet{t: t, site: newTestPlatform(t)}
 	f.startAgents(agents)
 	revision := f.site.declare(t, fleetObjects(agents, max(2, agents*slotsPerEngine/targetModels)))
 	begin := time.Now()
@@ -34,18 +35,18 @@
 		id := fmt.Sprintf("entry-%d", i+1)
 		e := startChild(t, "entry", id, f.site.entrySettings(id, ""))
 		f.entries = append(f.entries, e)
-		f.site.platform.PutHost(backing.Host{
+		f.site.server.PutHost(backing.Host{
 			ID: id, Role: backing.RoleEntry, State: backing.HostLive,
 			FailureDomain: domainName(0), Address: e.addresses["operators"],
 		})
 	}
 	f.awaitInForce(revision, 2*time.Minute)
 	t.Logf("%4d agents, %d entries: in force everywhere %.2f s after the entries' start", agents, entries, time.Since(begin).Seconds())
-	f.awaitRest()
+	f.awaitQuiescence()
 	return f
 }
 
-// startAgents starts some agents at a time, each behind a relay that counts its traffic.
+// startAgents starts n agents, four at a time, each behind a relay that counts its traffic.
 func (f *fleet) startAgents(n int) {
 	f.t.Helper()
 	f.agents = make([]*child, n)
@@ -63,35 +64,35 @@
 	for i, a := range f.agents {
 		f.relays[i] = startRelay(f.t, a.addresses["entries"])
 		host := endpointHosts(i+1, f.relays[i].address)[i]
-		f.site.platform.PutHost(host)
+		f.site.server.PutHost(host)
 	}
 }
 
-func (f *fleet) awaitRest() {
+func (f *fleet) awaitQuiescence() {
 	f.t.Helper()
-	writes, since := -1, time.Now()
-	eventually(f.t, 3*time.Minute, "the grants come to rest", func() bool {
-		if now := f.site.platform.Truth().Table.Writes; now != writes {
-			writes, since = now, time.Now()
+	lastWrites, since := -1, time.Now()
+	eventually(f.t, 3*time.Minute, "no more grants are written", func() bool {
+		if now := f.site.server.Truth().Table.Writes; now != lastWrites {
+			lastWrites, since = now, time.Now()
 		}
 		return time.Since(since) > 5*time.Second
 	})
 }
 
-// awaitInForce waits until each entry says that a revision is in force in all processes.
-func (f *fleet) awaitInForce(revision uint64, patience time.Duration) {
+// awaitInForce waits until each entry reports that a revision is in force in all processes.
+func (f *fleet) awaitInForce(revision uint64, timeout time.Duration) {
 	f.t.Helper()
 	for _, e := range f.entries {
 		client := operator.NewClient([]string{"http://" + e.addresses["operators"]}, http.DefaultClient)
-		eventually(f.t, patience, "the revision is in force", func() bool {
+		eventually(f.t, timeout, "the revision is in force", func() bool {
 			in, err := client.InForce(context.Background(), revision)
-			return err == nil && f.complete(in, revision)
+			return err == nil && f.inForceEverywhere(in, revision)
 		})
 	}
 }
 
-// complete reports whether all processes have a revision.
-func (f *fleet) complete(in operator.InForce, revision uint64) bool {
+// inForceEverywhere reports whether all processes have a revision.
+func (f *fleet) inForceEverywhere(in operator.InForce, revision uint64) bool {
 	reached := 0
 	for _, p := range in.Processes {
 		if !p.Unreachable && p.Revision >= revision {
@@ -121,31 +122,31 @@
 	}
 	slices.Sort(accepted)
 	slices.Sort(inForce)
-	f.t.Logf("%4d agents, %d entries: edit accepted p50 %.0f ms, worst %.0f ms; in force in all p50 %.0f ms, worst of %d %.0f ms",
+	f.t.Logf("%4d agents, %d entries: edit accepted p50 %.0f ms, max %.0f ms; in force in all processes p50 %.0f ms, max of %d %.0f ms",
 		len(f.agents), len(f.entries), 1000*accepted[count/2], 1000*accepted[count-1], 1000*inForce[count/2], count, 1000*inForce[count-1])
 }
 
-// use is what one kind of process used: the median and the greatest of several.
-type use struct{ median, most float64 }
+// usage is the median and maximum of a resource's usage over several processes.
+type usage struct{ median, max float64 }
 
-func useOf(values []float64) use {
+func summarize(values []float64) usage {
 	slices.Sort(values)
-	return use{median: values[len(values)/2], most: values[len(values)-1]}
+	return usage{median: values[len(values)/2], max: values[len(values)-1]}
 }
 
-// processUse reads the processor share and the resident memory of processes over a while.
-func (f *fleet) processUse(children []*child, before []reading) (cpu, rss use) {
+// processUsage returns the CPU usage since the samples before, in percent of a core, and the resident memory in MB.
+func (f *fleet) processUsage(children []*child, before []sample) (cpu, rss usage) {
 	var shares, sizes []float64
 	for i, c := range children {
 		after := c.read(f.t)
-		shares = append(shares, 100*share(before[i], after))
+		shares = append(shares, 100*cpuShare(before[i], after))
 		sizes = append(sizes, after.rss/1e6)
 	}
-	return useOf(shares), useOf(sizes)
+	return summarize(shares), summarize(sizes)
 }
 
-func (f *fleet) read(children []*child) []reading {
-	var list []reading
+func (f *fleet) read(children []*child) []sample {
+	var list []sample
 	for _, c := range children {
 		list = append(list, c.read(f.t))
 	}
@@ -162,19 +163,19 @@
 	return sum
 }
 
-// idle measures all processes while nothing happens.
+// idle measures all processes while there is no load.
 func (f *fleet) idle() {
-	agents, entries, wire, table := f.read(f.agents), f.read(f.entries), f.traffic(), f.site.platform.Truth().Table
+	agents, entries, wire, table := f.read(f.agents), f.read(f.entries), f.traffic(), f.site.server.Truth().Table
 	time.Sleep(*measureFor)
-	agentCPU, agentRSS := f.processUse(f.agents, agents)
-	entryCPU, entryRSS := f.processUse(f.entries, entries)
-	moved, after := f.traffic().minus(wire), f.site.platform.Truth().Table
+	agentCPU, agentRSS := f.processUsage(f.agents, agents)
+	entryCPU, entryRSS := f.processUsage(f.entries, entries)
+	moved, after := f.traffic().minus(wire), f.site.server.Truth().Table
 	seconds := measureFor.Seconds()
 	perAgent := moved.onWire() / seconds / float64(len(f.agents))
-	f.t.Logf("%4d agents, %d entries: agent %.2f%% of a core (most %.2f%%), %.1f MB (most %.1f), %.0f B/s on the wire; "+
-		"entry %.2f%% of a core (most %.2f%%), %.1f MB (most %.1f), %.0f B/s on the wire; table %.1f reads/s, %.2f writes/s",
-		len(f.agents), len(f.entries), agentCPU.median, agentCPU.most, agentRSS.median, agentRSS.most, perAgent,
-		entryCPU.median, entryCPU.most, entryRSS.median, entryRSS.most, perAgent*float64(len(f.agents))/float64(len(f.entries)),
+	f.t.Logf("%4d agents, %d entries: agent %.2f%% of a core (max %.2f%%), %.1f MB (max %.1f), %.0f B/s on the wire; "+
+		"entry %.2f%% of a core (max %.2f%%), %.1f MB (max %.1f), %.0f B/s on the wire; table %.1f reads/s, %.2f writes/s",
+		len(f.agents), len(f.entries), agentCPU.median, agentCPU.max, agentRSS.median, agentRSS.max, perAgent,
+		entryCPU.median, entryCPU.max, entryRSS.median, entryRSS.max, perAgent*float64(len(f.agents))/float64(len(f.entries)),
 		float64(after.Reads-table.Reads)/seconds, float64(after.Writes-table.Writes)/seconds)
 }
 
--- a/internal/capacity/peers_test.go
+++ b/internal/capacity/peers_test.go
@@ -18,7 +18,7 @@
 
 const heartbeatInterval = time.Second
 
-// wireOptions are the default settings of the processes.
+// wireOptions are the connection options that entries and agents use by default.
 var wireOptions = wire.Options{
 	DialTimeout:   time.Second,
 	KeepAlive:     2 * time.Second,
@@ -26,41 +26,42 @@
 	HeaderTimeout: 5 * time.Second,
 }
 
-// lightAgents are many agents in this process, behind one address: each connection stands for one agent. They answer on
-// the control stream as agents do and serve each request with a short answer.
-type lightAgents struct {
+// stubAgents simulates many agents in the test process behind one address, with one connection per agent. They report on the
+// control stream like real agents and answer each request with a short fixed body.
+type stubAgents struct {
 	conns   conns
 	address string
-	// reports is the time between two reports of an agent's load, in nanoseconds; 0 leaves the heartbeats alone.
-	reports atomic.Int64
-	sent    atomic.Int64
+	// reportInterval is the time between two load reports of an agent in nanoseconds. If it is 0, agents send only
+	// heartbeats.
+	reportInterval atomic.Int64
+	reportsSent    atomic.Int64
 
 	mu        sync.Mutex
-	revisions map[*lightAgent]uint64
-	// held is the revision that agents hold when an entry connects.
-	held uint64
+	revisions map[*stubAgent]uint64
+	// initialRevision is the revision that agents have when an entry connects.
+	initialRevision uint64
 }
 
-// lightAgent is one of them.
-type lightAgent struct {
-	all      *lightAgents
-	stream   *wire.Stream
-	status   *wirepb.Status
-	revision uint64
-	seen     uint64
-	full     bool
-	mu       sync.Mutex
+// stubAgent is one simulated agent.
+type stubAgent struct {
+	all          *stubAgents
+	stream       *wire.Stream
+	status       *wirepb.Status
+	revision     uint64
+	acknowledged uint64
+	fullReport   bool
+	mu           sync.Mutex
 }
 
-func startLightAgents(t *testing.T) *lightAgents {
+func startStubAgents(t *testing.T) *stubAgents {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &lightAgents{
+	a := &stubAgents{
 		address:   listener.Addr().String(),
-		revisions: map[*lightAgent]uint64{},
+		revisions: map[*stubAgent]uint64{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan struct{})
@@ -76,15 +77,15 @@
 	return a
 }
 
-func (a *lightAgents) serve(ctx context.Context, header *wirepb.StreamHeader, stream *wire.Stream) {
+func (a *stubAgents) serve(ctx context.Context, header *wirepb.StreamHeader, stream *wire.Stream) {
 	if header.Kind == wirepb.StreamKind_REQUEST {
 		serveRequest(stream)
 		return
 	}
 	stream.SetLimit(wire.MaxControlBytes)
-	agent := &lightAgent{all: a, stream: stream, status: statusOf(1, 0), full: true}
-	agent.revision = a.join(agent)
-	defer a.forget(agent)
+	agent := &stubAgent{all: a, stream: stream, status: statusOf(1, 0), fullReport: true}
+	agent.revision = a.addAgent(agent)
+	defer a.removeAgent(agent)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -95,35 +96,35 @@
 	<-done
 }
 
-// join counts an agent's new connection and returns the revision that the agent holds.
-func (a *lightAgents) join(agent *lightAgent) uint64 {
+// addAgent registers an agent's new connection and returns the agent's initial revision.
+func (a *stubAgents) addAgent(agent *stubAgent) uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.revisions[agent] = a.held
-	return a.held
+	a.revisions[agent] = a.initialRevision
+	return a.initialRevision
 }
 
-// keep makes the agents hold a revision when an entry connects.
-func (a *lightAgents) keep(revision uint64) {
+// setInitialRevision sets the revision that agents have when an entry connects.
+func (a *stubAgents) setInitialRevision(revision uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.held = revision
+	a.initialRevision = revision
 }
 
-func (a *lightAgents) note(agent *lightAgent, revision uint64) {
+func (a *stubAgents) setRevision(agent *stubAgent, revision uint64) {
 	a.mu.Lock()
 	a.revisions[agent] = revision
 	a.mu.Unlock()
 }
 
-func (a *lightAgents) forget(agent *lightAgent) {
+func (a *stubAgents) removeAgent(agent *stubAgent) {
 	a.mu.Lock()
 	delete(a.revisions, agent)
 	a.mu.Unlock()
 }
 
-// at returns how many agents are connected, and how many of them have at least a revision.
-func (a *lightAgents) at(revision uint64) (connected, reached int) {
+// countAt returns the number of connected agents and how many of them have reached a revision.
+func (a *stubAgents) countAt(revision uint64) (connected, reached int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, r := range a.revisions {
@@ -134,21 +135,21 @@
 	return len(a.revisions), reached
 }
 
-// read takes the entry's batches.
-func (g *lightAgent) read() {
+// read applies the entry's batches until the stream ends.
+func (g *stubAgent) read() {
 	for {
 		down := &wirepb.ControlDown{}
 		if g.stream.Read(down) != nil {
 			return
 		}
-		g.take(down)
+		g.apply(down)
 	}
 }
 
-func (g *lightAgent) take(down *wirepb.ControlDown) {
+func (g *stubAgent) apply(down *wirepb.ControlDown) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.seen = down.Sequence
+	g.acknowledged = down.Sequence
 	if down.Snapshot != nil {
 		g.revision = max(g.revision, down.Snapshot.Revision)
 	}
@@ -156,34 +157,34 @@
 		g.revision = max(g.revision, d.Revision)
 	}
 	for _, row := range down.Rows {
-		g.hold(row)
+		g.addReplica(row)
 	}
-	g.all.note(g, g.revision)
+	g.all.setRevision(g, g.revision)
 }
 
-// hold takes a row for a loaded replica.
-func (g *lightAgent) hold(row *replicaspb.Row) {
+// addReplica reports the model of a row as loaded.
+func (g *stubAgent) addReplica(row *replicaspb.Row) {
 	for _, r := range g.status.Replicas {
 		if r.Model == row.Model {
 			r.Revision = row.Revision
 			return
 		}
 	}
-	g.full = true
+	g.fullReport = true
 	replica := &wirepb.Replica{Model: row.Model, Revision: row.Revision, State: wirepb.ReplicaState_LOADED}
 	g.status.Replicas = append(g.status.Replicas, replica)
 	g.status.Cached = append(g.status.Cached, row.Model)
 }
 
-// write sends heartbeats, and reports of the load as often as the test asks for.
-func (g *lightAgent) write(ctx context.Context) {
+// write sends heartbeats, or load reports at reportInterval if that is set.
+func (g *stubAgent) write(ctx context.Context) {
 	for {
 		if g.stream.Write(g.batch()) != nil {
 			return
 		}
-		g.all.sent.Add(1)
+		g.all.reportsSent.Add(1)
 		wait := heartbeatInterval
-		if r := time.Duration(g.all.reports.Load()); r > 0 {
+		if r := time.Duration(g.all.reportInterval.Load()); r > 0 {
 			wait = r
 		}
 		select {
@@ -194,7 +195,7 @@
 	}
 }
 
-func (g *lightAgent) batch() *wirepb.ControlUp {
+func (g *stubAgent) batch() *wirepb.ControlUp {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := &wirepb.Status{
@@ -203,18 +204,18 @@
 		DeclarationsRevision: g.revision,
 		Load:                 g.status.Load,
 	}
-	if g.full {
+	if g.fullReport {
 		s = g.status
 		s.DeclarationsRevision = g.revision
-	} else if g.all.reports.Load() > 0 && len(g.status.Replicas) > 0 {
+	} else if g.all.reportInterval.Load() > 0 && len(g.status.Replicas) > 0 {
 		g.status.Replicas[0].Running = (g.status.Replicas[0].Running + 1) % 16
 		s.Replicas = g.status.Replicas[:1]
 	}
-	g.full = false
-	return &wirepb.ControlUp{Acknowledged: g.seen, Clock: uint64(time.Now().UnixMilli()) << 16, Status: s}
+	g.fullReport = false
+	return &wirepb.ControlUp{Acknowledged: g.acknowledged, Clock: uint64(time.Now().UnixMilli()) << 16, Status: s}
 }
 
-// answerText is the body of each answer.
+// answerText is the body of every answer.
 var answerText = []byte(`{"object":"chat.completion","choices":[{"message":{"role":"assistant","content":"The layer is closed."}}]}`)
 
 // serveRequest answers one request at once.
@@ -247,21 +248,21 @@
 	_ = stream.Read(&wirepb.ToAgent{})
 }
 
-// lightEntry is an entry in this process that holds a control stream to an agent and does nothing else.
-type lightEntry struct {
+// stubEntry is an entry in the test process that keeps a control stream to an agent and sends the requests of a test.
+type stubEntry struct {
 	session *wire.Session
 	control *wire.Stream
 	batches atomic.Int64
 	status  atomic.Pointer[wirepb.Status]
 }
 
-// dialLightEntry connects to an agent and heartbeats until ctx ends. The first batch is what a new connection starts with.
-func dialLightEntry(ctx context.Context, address, name string, first *wirepb.ControlDown) (*lightEntry, error) {
+// dialStubEntry connects to an agent, sends the first batch, and then heartbeats until ctx ends.
+func dialStubEntry(ctx context.Context, address, name string, first *wirepb.ControlDown) (*stubEntry, error) {
 	session, err := wire.Dial(ctx, address, wireOptions, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return nil, err
 	}
-	e := &lightEntry{session: session}
+	e := &stubEntry{session: session}
 	e.control, err = session.Open(&wirepb.StreamHeader{Kind: wirepb.StreamKind_CONTROL, Entry: name, Incarnation: 1}, wire.MaxControlBytes)
 	if err != nil {
 		return nil, err
@@ -272,7 +273,7 @@
 	return e, nil
 }
 
-func (e *lightEntry) read() {
+func (e *stubEntry) read() {
 	for {
 		up := &wirepb.ControlUp{}
 		if e.control.Read(up) != nil {
@@ -283,7 +284,7 @@
 	}
 }
 
-func (e *lightEntry) write(ctx context.Context, down *wirepb.ControlDown) {
+func (e *stubEntry) write(ctx context.Context, down *wirepb.ControlDown) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for sequence := uint64(1); ; sequence++ {
@@ -301,8 +302,8 @@
 	}
 }
 
-// request sends a chat completion over the light entry and reads the answer to its end.
-func (e *lightEntry) request(id, model string, body []byte) error {
+// request sends a chat completion request to the agent and reads the whole answer.
+func (e *stubEntry) request(id, model string, body []byte) error {
 	stream, err := e.session.Open(&wirepb.StreamHeader{Kind: wirepb.StreamKind_REQUEST, Entry: "light"}, wire.MaxFrameBytes)
 	if err != nil {
 		return err
--- a/internal/capacity/process_test.go
+++ b/internal/capacity/process_test.go
@@ -33,8 +33,8 @@
 var (
 	runProcesses = flag.Bool("capacity.run", false, "run the tests that start real processes and measure them")
 	measureFor   = flag.Duration("capacity.for", 60*time.Second, "`time` over which processes are measured")
-	binaryPath   = flag.String("capacity.binary", "", "the binary to run, `path`; built from this tree where left out")
-	sizeList     = flag.String("capacity.sizes", "", "sizes of a run, separated by commas; the test's own where left out")
+	binaryPath   = flag.String("capacity.binary", "", "`path` of the binary to run; built from this tree if not set")
+	sizeList     = flag.String("capacity.sizes", "", "comma-separated sizes to run instead of the test's own")
 )
 
 func skipUnlessRun(t *testing.T) {
@@ -44,11 +44,11 @@
 	}
 }
 
-// buildDir is where the binary was built, empty when it was not.
+// buildDir is the directory of the built binary, empty if none was built.
 var buildDir string
 
-// built is the binary, built once.
-var built = sync.OnceValues(func() (string, error) {
+// binary returns the path of the binary, which is built at the first call.
+var binary = sync.OnceValues(func() (string, error) {
 	if *binaryPath != "" {
 		return *binaryPath, nil
 	}
@@ -61,7 +61,7 @@
 	return path, childprocess.BuildProgram(path)
 })
 
-// TestMain removes the binary that was built.
+// TestMain removes the built binary after the tests.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if buildDir != "" {
@@ -74,19 +74,19 @@
 type child struct {
 	name string
 	cmd  *exec.Cmd
-	// addresses are those that the process told that it listens on, by their names.
+	// addresses are the listen addresses that the process logged, by name.
 	addresses map[string]string
 }
 
 var (
-	listening = regexp.MustCompile(`msg=listening`)
-	addressOf = regexp.MustCompile(`(\w+)=(127\.0\.0\.1:\d+)`)
+	listeningLine  = regexp.MustCompile(`msg=listening`)
+	addressPattern = regexp.MustCompile(`(\w+)=(127\.0\.0\.1:\d+)`)
 )
 
-// startChild starts the binary in a role and waits until it tells its addresses.
+// startChild starts the binary in a role and waits until it logs its listen addresses.
 func startChild(t *testing.T, role, name, settings string) *child {
 	t.Helper()
-	binary, err := built()
+	path, err := binary()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := &child{name: name, cmd: exec.Command(binary, role, "-config", file), addresses: map[string]string{}}
+	c := &child{name: name, cmd: exec.Command(path, role, "-config", file), addresses: map[string]string{}}
 	logs, err := c.cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -105,33 +105,33 @@
 	t.Cleanup(func() { c.stop() })
 	lines := bufio.NewScanner(logs)
 	for lines.Scan() {
-		if !listening.Match(lines.Bytes()) {
+		if !listeningLine.Match(lines.Bytes()) {
 			continue
 		}
-		for _, m := range addressOf.FindAllStringSubmatch(lines.Text(), -1) {
+		for _, m := range addressPattern.FindAllStringSubmatch(lines.Text(), -1) {
 			c.addresses[m[1]] = m[2]
 		}
 		go func() { _, _ = io.Copy(io.Discard, logs) }()
 		return c
 	}
-	t.Fatalf("%s ended before it listened", name)
+	t.Fatalf("%s exited before it listened", name)
 	return nil
 }
 
-// stop ends the process at once.
+// stop kills the process.
 func (c *child) stop() {
 	_ = c.cmd.Process.Signal(syscall.SIGKILL)
 	_ = c.cmd.Wait()
 }
 
-// reading is what a process has used up to a moment.
-type reading struct {
+// sample is a process's total CPU time in seconds and resident memory in bytes at a time.
+type sample struct {
 	at  time.Time
 	cpu float64
 	rss float64
 }
 
-func (c *child) read(t *testing.T) reading {
+func (c *child) read(t *testing.T) sample {
 	t.Helper()
 	proc, err := procfs.NewProc(c.cmd.Process.Pid)
 	if err != nil {
@@ -141,24 +141,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return reading{at: time.Now(), cpu: stat.CPUTime(), rss: float64(stat.ResidentMemory())}
+	return sample{at: time.Now(), cpu: stat.CPUTime(), rss: float64(stat.ResidentMemory())}
 }
 
-// share is the part of a core that was used between two readings.
-func share(before, after reading) float64 {
+// cpuShare returns the CPU usage between two samples in cores.
+func cpuShare(before, after sample) float64 {
 	return (after.cpu - before.cpu) / after.at.Sub(before.at).Seconds()
 }
 
-// site is the stand-in platform and what the processes of a run need of it.
-type site struct {
-	platform *standin.Server
-	url      string
-	store    *declarations.Store
-	// reads and writes are the limits of the stand-in's table.
+// testPlatform is a stand-in platform with a store of declarations, for the processes of one test.
+type testPlatform struct {
+	server *standin.Server
+	url    string
+	store  *declarations.Store
 }
 
-// newSite returns a platform without limits that would change the figures.
-func newSite(t *testing.T) *site {
+// newTestPlatform starts a stand-in platform whose table limits are too high to affect the measurements.
+func newTestPlatform(t *testing.T) *testPlatform {
 	t.Helper()
 	server := standin.New(standin.Options{
 		Table: standin.StoreLimits{ReadsPerSecond: 1e6, WritesPerSecond: 1e6},
@@ -167,20 +166,20 @@
 	t.Cleanup(web.Close)
 	table := backing.NewHTTPTable(backing.Options{TableURL: web.URL, Timeout: 10 * time.Second}, nil)
 	logger := slog.New(slog.DiscardHandler)
-	return &site{
-		platform: server,
-		url:      web.URL,
-		store:    declarations.NewStore(declarations.Options{}, table, clock.Real{}, logger, prometheus.NewRegistry()),
+	return &testPlatform{
+		server: server,
+		url:    web.URL,
+		store:  declarations.NewStore(declarations.Options{}, table, clock.Real{}, logger, prometheus.NewRegistry()),
 	}
 }
 
-// declare makes edits that put objects, some thousands at a time, and returns the last revision.
-func (s *site) declare(t *testing.T, objects []*pb.Object) uint64 {
+// declare puts objects in batches, one edit each, and returns the last revision.
+func (s *testPlatform) declare(t *testing.T, objects []*pb.Object) uint64 {
 	t.Helper()
-	const most = 4000
+	const batchSize = 4000
 	revision := uint64(0)
 	for len(objects) > 0 {
-		n := min(most, len(objects))
+		n := min(batchSize, len(objects))
 		result, err := s.store.Edit(context.Background(), declarations.EditRequest{
 			Author: "capacity",
 			Change: declarations.PutObjects(objects[:n], nil),
@@ -193,39 +192,40 @@
 	return revision
 }
 
-// platformSettings are the settings of the platform's clients.
-func (s *site) platformSettings() string {
+// platformSettings returns the settings section for the platform's clients.
+func (s *testPlatform) platformSettings() string {
 	return fmt.Sprintf("[platform]\ntable_url = %[1]s\nobjects_url = %[1]s\nhosts_url = %[1]s\n", s.url)
 }
 
-func (s *site) entrySettings(id string, extra string) string {
+func (s *testPlatform) entrySettings(id string, extra string) string {
 	return fmt.Sprintf("[entry]\nid = %s\nfailure_domain = %s\nlisten = 127.0.0.1:0\noperator_listen = 127.0.0.1:0\n\n%s\n%s",
 		id, domainName(0), s.platformSettings(), extra)
 }
 
-func (s *site) agentSettings(i int, engineURL string) string {
+func (s *testPlatform) agentSettings(i int, engineURL string) string {
 	return fmt.Sprintf("[agent]\nhost = %s\nfailure_domain = %s\nlisten = 127.0.0.1:0\n\n[endpoint]\nkind = engine\nname = %s\nurl = %s\n"+
 		"labels = accelerator=%s, pool=pool-%d, rack=rack-%04d\nchecks_fencing = true\n\n%s",
 		hostName(i), domainName(i), engineName(i), engineURL, engineLabels(i)["accelerator"], i%7, i/16, s.platformSettings())
 }
 
-// traffic is what went over TCP connections, counted by the kernel.
+// traffic is the kernel's counts of the traffic on TCP connections.
 type traffic struct {
-	// in and out are the payload's bytes at our end, and segments all segments, acknowledgements included.
+	// in and out are the received and the acknowledged payload bytes. segments is the number of TCP segments in both
+	// directions, including pure acknowledgements.
 	in, out, segments float64
 }
 
-// headerBytes are the bytes of the IP and TCP headers of one segment, with the time-stamp option.
+// headerBytes is the size of a segment's IPv4 and TCP headers with the timestamp option.
 const headerBytes = 52
 
-// onWire is the bytes of both directions with their headers.
+// onWire returns the bytes of both directions including headers.
 func (t traffic) onWire() float64 { return t.in + t.out + headerBytes*t.segments }
 
 func (t traffic) minus(o traffic) traffic {
 	return traffic{in: t.in - o.in, out: t.out - o.out, segments: t.segments - o.segments}
 }
 
-// conns are connections whose traffic is counted.
+// conns is a set of connections whose traffic is counted.
 type conns struct {
 	mu   sync.Mutex
 	list []*net.TCPConn
@@ -274,7 +274,7 @@
 	return conn, err
 }
 
-// relay passes connections on to a process and counts the traffic on the process's side.
+// relay is a TCP proxy that counts the traffic of its connections to the target.
 type relay struct {
 	address, target string
 	conns           conns
@@ -290,38 +290,38 @@
 	r := &relay{address: listener.Addr().String(), target: target}
 	go func() {
 		for {
-			near, err := listener.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go r.pass(near)
+			go r.forward(client)
 		}
 	}()
 	return r
 }
 
-// pass copies both ways until either side ends.
-func (r *relay) pass(near net.Conn) {
-	far, err := net.Dial("tcp", r.target)
+// forward copies data in both directions until either side closes.
+func (r *relay) forward(client net.Conn) {
+	upstream, err := net.Dial("tcp", r.target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	r.conns.add(far)
+	r.conns.add(upstream)
 	go func() {
-		_, _ = io.Copy(near, far)
-		_ = near.Close()
+		_, _ = io.Copy(client, upstream)
+		_ = client.Close()
 	}()
-	_, _ = io.Copy(far, near)
-	_ = far.Close()
+	_, _ = io.Copy(upstream, client)
+	_ = upstream.Close()
 }
 
 // eventually waits until a condition holds.
-func eventually(tb testing.TB, patience time.Duration, what string, holds func() bool) {
+func eventually(tb testing.TB, timeout time.Duration, what string, condition func() bool) {
 	tb.Helper()
-	for deadline := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			tb.Fatalf("not within %v: %s", patience, what)
+			tb.Fatalf("timed out after %v waiting for: %s", timeout, what)
 		}
 	}
 }
--- a/internal/capacity/request_test.go
+++ b/internal/capacity/request_test.go
@@ -36,8 +36,8 @@
 	return list
 }
 
-// BenchmarkPick gives the choices of an endpoint that a core makes a second, by a scan over all candidates and by random
-// draws from an index.
+// BenchmarkPick measures the CPU time to pick an endpoint, with a scan over all candidates and with random sampling from an
+// index.
 func BenchmarkPick(b *testing.B) {
 	picks := []struct {
 		name  string
@@ -56,7 +56,7 @@
 	}
 	for _, p := range picks {
 		b.Run(p.name, func(b *testing.B) {
-			sweep(b, "cpu-ns", candidateCounts, func(b *testing.B, n int) float64 {
+			benchmarkSizes(b, "cpu-ns", candidateCounts, func(b *testing.B, n int) float64 {
 				pick := p.build(routing.NewRouter(routing.Options{Seed: 1}), loadedCandidates(n))
 				ns := cpuPerOp(b, func(int) { pick() })
 				b.ReportMetric(1e9/ns, "picks/s")
@@ -66,15 +66,14 @@
 	}
 }
 
-// BenchmarkSlotsOfRow gives the processor time of finding each engine's slot in a row, which an entry does for each
-// request.
+// BenchmarkSlotsOfRow measures the CPU time to look up every engine's slot in a row, which an entry does for each request.
 func BenchmarkSlotsOfRow(b *testing.B) {
-	sweep(b, "cpu-ns", []int{2, 20, 200, 1000}, func(b *testing.B, n int) float64 {
+	benchmarkSizes(b, "cpu-ns", []int{2, 20, 200, 1000}, func(b *testing.B, n int) float64 {
 		row := rowOf(1, n)
 		return cpuPerOp(b, func(int) {
 			for _, s := range row.Slots {
 				if replicas.SlotOf(row, s.Engine, s.Host) != s {
-					b.Fatal("another slot")
+					b.Fatal("SlotOf returned a wrong slot")
 				}
 			}
 		})
@@ -93,8 +92,7 @@
 	}
 }
 
-// BenchmarkQueuedRequest gives the memory of the requests that wait at an agent, and the processor time of one that is
-// offered and taken out.
+// BenchmarkQueuedRequest measures the memory of requests in an agent's queue, and the CPU time to add and remove one.
 func BenchmarkQueuedRequest(b *testing.B) {
 	sizes := []int{100, 1000, 10000}
 	estimate := admission.Estimate{Ready: true, Service: time.Microsecond, Concurrency: 16, Running: 16}
@@ -106,7 +104,7 @@
 		return q
 	}
 	b.Run("memory", func(b *testing.B) {
-		sweep(b, "held-bytes", sizes, func(b *testing.B, n int) float64 {
+		benchmarkSizes(b, "held-bytes", sizes, func(b *testing.B, n int) float64 {
 			held := heldBytes(func() any { return fill(n) })
 			for b.Loop() {
 				continue
@@ -115,7 +113,7 @@
 		})
 	})
 	b.Run("time", func(b *testing.B) {
-		sweep(b, "cpu-ns", sizes, func(b *testing.B, n int) float64 {
+		benchmarkSizes(b, "cpu-ns", sizes, func(b *testing.B, n int) float64 {
 			q := fill(n)
 			return cpuPerOp(b, func(i int) {
 				q.Offer(start, waitingRequest(n+i), estimate)
@@ -125,10 +123,10 @@
 	})
 }
 
-// BenchmarkOpenStream gives the memory of the request streams that are open between an entry and an agent, both ends
-// together, without what the two keep for the request itself.
+// BenchmarkOpenStream measures the memory of open request streams between an entry and an agent, for both ends together and
+// without the per-request state of either.
 func BenchmarkOpenStream(b *testing.B) {
-	sweep(b, "held-bytes", []int{100, 1000, 5000}, func(b *testing.B, n int) float64 {
+	benchmarkSizes(b, "held-bytes", []int{100, 1000, 5000}, func(b *testing.B, n int) float64 {
 		ctx, cancel := context.WithCancel(b.Context())
 		defer cancel()
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -168,7 +166,7 @@
 	})
 }
 
-// BenchmarkTimelineEvent gives the memory of the kept events and the processor time of one more.
+// BenchmarkTimelineEvent measures the memory of the retained events and the CPU time to record one.
 func BenchmarkTimelineEvent(b *testing.B) {
 	event := func(i int) timeline.Event {
 		return timeline.Event{
@@ -187,7 +185,7 @@
 	}
 	sizes := []int{1024, 8192, 65536}
 	b.Run("memory", func(b *testing.B) {
-		sweep(b, "held-bytes", sizes, func(b *testing.B, n int) float64 {
+		benchmarkSizes(b, "held-bytes", sizes, func(b *testing.B, n int) float64 {
 			held := heldBytes(func() any { return fill(n) })
 			for b.Loop() {
 				continue
@@ -196,16 +194,16 @@
 		})
 	})
 	b.Run("time", func(b *testing.B) {
-		sweep(b, "cpu-ns", sizes, func(b *testing.B, n int) float64 {
+		benchmarkSizes(b, "cpu-ns", sizes, func(b *testing.B, n int) float64 {
 			r := fill(n)
 			return cpuPerOp(b, func(i int) { r.Record(event(i)) })
 		})
 	})
 }
 
-// BenchmarkPermit gives the processor time of one permit, asked for, given and ended, while others wait.
+// BenchmarkPermit measures the CPU time to request, grant and end one permit while others wait.
 func BenchmarkPermit(b *testing.B) {
-	sweep(b, "cpu-ns", []int{10, 100, 1000, 10000}, func(b *testing.B, n int) float64 {
+	benchmarkSizes(b, "cpu-ns", []int{10, 100, 1000, 10000}, func(b *testing.B, n int) float64 {
 		budget := permits.NewBudget(permits.Options{LoadsAtOnce: 4, AdaptersInTransit: 30})
 		ask := func(i int) {
 			budget.Request(start, engineName(i%targetEngines), &wirepb.PermitRequest{
--- a/internal/capacity/size_test.go
+++ b/internal/capacity/size_test.go
@@ -10,7 +10,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// The size that the system is designed for.
+// The size for which the system is designed.
 const (
 	targetNodes    = 1200
 	targetEngines  = 10000
@@ -21,22 +21,23 @@
 
 	targetRequests = 110000.0
 	targetTokens   = 43e6
-	// targetChanges are edits of the declarations a day.
-	targetChanges = 12000.0
-	// targetTurnover is the part of the models and adapters that wake up or fall idle within an hour.
+	// targetEdits is the number of edits of the declarations per day.
+	targetEdits = 12000.0
+	// targetTurnover is the fraction of models and adapters that are loaded or become idle within an hour.
 	targetTurnover = 0.071
-	// hostFailures, hostRestarts are hosts a day.
-	hostFailures = 170.0
-	hostRestarts = 600.0
+	// dailyHostFailures and dailyHostRestarts are numbers of hosts per day.
+	dailyHostFailures = 170.0
+	dailyHostRestarts = 600.0
 )
 
-// The limits at that size.
+// The limits per process at that size: CPU in cores, memory in bytes, network traffic in bytes per second, and the table's
+// total reads and writes per second.
 const (
 	limitCPU    = 0.035
 	limitMemory = 128e6
 	limitBytes  = 4e3
 	limitReads  = 2000.0
-	// limitWrites stands for "several hundred".
+	// limitWrites is a value for the stated limit of "several hundred" writes per second.
 	limitWrites = 300.0
 )
 
@@ -59,7 +60,7 @@
 	}
 }
 
-// snapshotOf returns declarations of that many models, adapters and labelled engines.
+// snapshotOf returns declarations of the given numbers of models, adapters and labelled engines.
 func snapshotOf(models, adapters, engines int) *pb.Snapshot {
 	s := &pb.Snapshot{Revision: 1}
 	for i := range models {
@@ -97,7 +98,7 @@
 	})
 }
 
-// deltaOf returns the edit of one adapter that leads to a revision.
+// deltaOf returns a delta to the given revision that edits one adapter.
 func deltaOf(revision uint64) *pb.Delta {
 	return &pb.Delta{
 		Revision:    revision,
@@ -108,7 +109,7 @@
 	}
 }
 
-// rowOf returns a row of grants with that many slots.
+// rowOf returns a model's row of grants with the given number of slots.
 func rowOf(model, slots int) *replicaspb.Row {
 	row := &replicaspb.Row{Model: versionName(model), Revision: 1000, OperationId: "entry-0001/1796000000000000/1234", DeclarationsRevision: 12000}
 	for i := range slots {
@@ -123,7 +124,7 @@
 	return row
 }
 
-// endpointHosts returns the host list's lines of that many engines, all at one address.
+// endpointHosts returns the host list entries of n engines, all with the same address.
 func endpointHosts(n int, address string) []backing.Host {
 	hosts := make([]backing.Host, n)
 	for i := range hosts {
@@ -139,7 +140,8 @@
 	return hosts
 }
 
-// statusOf returns a whole report of an engine that holds slots of that many model versions, two of them loaded.
+// statusOf returns a full status report of an engine with slots of the given number of model versions, of which two are
+// loaded.
 func statusOf(engine, models int) *wirepb.Status {
 	s := &wirepb.Status{
 		Full:                 true,
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -9,14 +9,13 @@
 	"time"
 )
 
-// point is one measured size.
+// point is a measured value at one size.
 type point struct{ size, value float64 }
 
-// line is value = fixed + slope*size, and the greatest part by which a point lies off it.
-type line struct{ slope, fixed, worst float64 }
+// line is the fit value = intercept + slope*size. maxError is the maximum relative error of a point.
+type line struct{ slope, intercept, maxError float64 }
 
-// fit returns the line with the least squared error relative to each point, so that the small sizes count as much as the
-// large ones.
+// fit returns the line with the least squares of the relative errors, so that small sizes count as much as large ones.
 func fit(points []point) line {
 	var w, x, y, xx, xy float64
 	for _, p := range points {
@@ -29,29 +28,29 @@
 	}
 	var l line
 	l.slope = (w*xy - x*y) / (w*xx - x*x)
-	l.fixed = (y - l.slope*x) / w
+	l.intercept = (y - l.slope*x) / w
 	for _, p := range points {
-		l.worst = max(l.worst, math.Abs(l.fixed+l.slope*p.size-p.value)/p.value)
+		l.maxError = max(l.maxError, math.Abs(l.intercept+l.slope*p.size-p.value)/p.value)
 	}
 	return l
 }
 
-// growth is the power of the size with which the value grows between the two largest sizes: 1 for a line, 0 for a constant,
-// 2 for a square.
-func growth(points []point) float64 {
+// growthExponent returns the exponent of the value's growth between the two largest sizes: 0 if it is constant, 1 if linear,
+// 2 if quadratic.
+func growthExponent(points []point) float64 {
 	a, b := points[len(points)-2], points[len(points)-1]
 	return math.Log(b.value/a.value) / math.Log(b.size/a.size)
 }
 
-// sweep runs one benchmark at several sizes and reports the line that fits the values that it returns.
-func sweep(b *testing.B, unit string, sizes []int, measure func(b *testing.B, size int) float64) {
+// benchmarkSizes runs a benchmark at several sizes and reports the line fitted to the values that measure returns.
+func benchmarkSizes(b *testing.B, unit string, sizes []int, measure func(b *testing.B, size int) float64) {
 	b.Helper()
 	var points []point
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			value := measure(b, size)
 			b.ReportMetric(value, unit)
-			points = keep(points, point{size: float64(size), value: value})
+			points = replaceOrAppend(points, point{size: float64(size), value: value})
 		})
 	}
 	if len(points) < 3 {
@@ -63,15 +62,16 @@
 			continue
 		}
 		b.ReportMetric(0, "ns/op")
-		b.ReportMetric(l.fixed, unit+"-fixed")
+		b.ReportMetric(l.intercept, unit+"-fixed")
 		b.ReportMetric(l.slope, unit+"-slope")
-		b.ReportMetric(100*l.worst, "%-off")
-		b.ReportMetric(growth(points), "growth")
+		b.ReportMetric(100*l.maxError, "%-off")
+		b.ReportMetric(growthExponent(points), "growth")
 	})
 }
 
-// keep adds a point or replaces the one of the same size: a benchmark's function may run several times.
-func keep(points []point, p point) []point {
+// replaceOrAppend appends a point or replaces the last one if it has the same size, because the testing package may run a
+// benchmark function several times.
+func replaceOrAppend(points []point, p point) []point {
 	if n := len(points); n > 0 && points[n-1].size == p.size {
 		points[n-1] = p
 		return points
@@ -79,7 +79,7 @@
 	return append(points, p)
 }
 
-// cpuTime is the processor time that this process has used. Unlike elapsed time it hardly grows when the machine is busy.
+// cpuTime returns the CPU time of this process. Unlike elapsed time, it is little affected by other load on the machine.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -88,8 +88,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// cpuPerOp runs the operation for as long as the benchmark asks for and returns the nanoseconds of processor time of one,
-// garbage collection included.
+// cpuPerOp runs the operation in the benchmark's loop and returns the CPU time per operation in nanoseconds, including
+// garbage collection.
 func cpuPerOp(b *testing.B, operation func(i int)) float64 {
 	begin := cpuTime()
 	i := 0
@@ -100,18 +100,18 @@
 	return float64(cpuTime()-begin) / float64(i)
 }
 
-// heldBytes returns the heap and stack memory that what build returns keeps. It reports the smallest of three tries,
-// because other goroutines may allocate meanwhile.
+// heldBytes returns the heap and stack memory retained by the value that build returns. It is the minimum of three
+// measurements, because other goroutines may allocate at the same time.
 func heldBytes(build func() any) float64 {
-	least := math.Inf(1)
+	smallest := math.Inf(1)
 	for range 3 {
 		before := memoryInUse()
-		kept := build()
+		value := build()
 		after := memoryInUse()
-		runtime.KeepAlive(kept)
-		least = min(least, max(1, after-before))
+		runtime.KeepAlive(value)
+		smallest = min(smallest, max(1, after-before))
 	}
-	return least
+	return smallest
 }
 
 func memoryInUse() float64 {
@@ -128,14 +128,14 @@
 		points []point
 		want   line
 	}{
-		{"a line", []point{{1, 5}, {10, 23}, {100, 203}}, line{slope: 2, fixed: 3}},
-		{"no slope", []point{{1, 7}, {10, 7}, {100, 7}}, line{fixed: 7}},
+		{"a line", []point{{1, 5}, {10, 23}, {100, 203}}, line{slope: 2, intercept: 3}},
+		{"no slope", []point{{1, 7}, {10, 7}, {100, 7}}, line{intercept: 7}},
 		{"no fixed part", []point{{1, 2}, {10, 20}, {100, 200}}, line{slope: 2}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			got := fit(c.points)
-			if math.Abs(got.slope-c.want.slope) > 1e-9 || math.Abs(got.fixed-c.want.fixed) > 1e-6 || got.worst > 1e-6 {
+			if math.Abs(got.slope-c.want.slope) > 1e-9 || math.Abs(got.intercept-c.want.intercept) > 1e-6 || got.maxError > 1e-6 {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
--- a/internal/capacity/sums_test.go
+++ b/internal/capacity/sums_test.go
@@ -8,89 +8,92 @@
 	"testing"
 )
 
-// The slopes that were measured; docs/CAPACITY.md names the run of each. Bytes, seconds of processor time, and a second.
+// The measured slopes, in bytes, seconds of CPU time, and per second. docs/CAPACITY.md names the run of each.
 const (
-	// A connection between an entry and an agent, idle: bytes on the wire with headers, processor time at the entry and at
-	// the agent, resident memory at either.
-	peerWire        = 500.0
+	// An idle connection between an entry and an agent: bytes per second on the wire with headers, CPU time per second and
+	// resident memory at the entry and at the agent.
+	peerWireRate    = 500.0
 	entryPeerCPU    = 140e-6
 	agentPeerCPU    = 155e-6
 	entryPeerMemory = 93e3
 	agentPeerMemory = 87e3
-	// snapshotPeerMemory is what an entry keeps for each agent that it has once sent a snapshot.
+	// snapshotPeerMemory is an entry's memory for each agent to which it has sent a snapshot.
 	snapshotPeerMemory = 0.75e6
-	// The processes without peers.
+	// Processes without peers.
 	entryBaseMemory = 25e6
 	agentBaseMemory = 23e6
-	// A report taken in at an entry beyond the heartbeat's.
+	// Applying a report at an entry, in addition to the heartbeat.
 	reportCPU = 45e-6
-	// A connection made anew to an agent that holds the declarations.
+	// Connecting to an agent that already has the declarations.
 	connectCPU = 0.37e-3
-	// Declarations: bytes of a snapshot and memory by object, and the processor time of taking one in.
-	modelWire, adapterWire, engineWire = 142.0, 85.0, 55.0
-	modelHeld, adapterHeld, engineHeld = 827.0, 537.0, 473.0
-	objectCPU                          = 4e-6
-	// One edit: its delta, and what it costs an entry for each agent.
-	deltaWire   = 390.0
-	editCPU     = 2.2e-3
-	editPeerCPU = 39e-6
-	// Grants: bytes and memory of a slot in a row, and the processor time of a decision by engine.
-	slotWire, slotHeld = 53.0, 180.0
-	decisionEngineCPU  = 1.7e-6
-	domainDecisionCPU  = 0.158
-	// An endpoint in an entry's view, and its line in the host list as JSON.
-	viewHeld     = 3738.0
-	hostListLine = 146.0
-	// Routing: finding the slots of a row takes slotPairCPU times the square of the slots; a choice by scan and by index.
+	// Declarations, per object: bytes in a snapshot, memory, and CPU time to apply it.
+	modelWireBytes, adapterWireBytes, engineWireBytes = 142.0, 85.0, 55.0
+	modelMemory, adapterMemory, engineMemory          = 827.0, 537.0, 473.0
+	objectCPU                                         = 4e-6
+	// An edit: bytes of its delta, CPU time at an entry, and the additional CPU time for each agent.
+	deltaWireBytes = 390.0
+	editCPU        = 2.2e-3
+	editPeerCPU    = 39e-6
+	// Grants: bytes and memory of a slot in a row, CPU time of a decision per engine, and CPU time of the decision after the
+	// loss of a failure domain.
+	slotWireBytes, slotMemory = 53.0, 180.0
+	decisionEngineCPU         = 1.7e-6
+	domainDecisionCPU         = 0.158
+	// An endpoint: memory in an entry's view, and JSON bytes in the host list.
+	viewMemory    = 3738.0
+	hostListBytes = 146.0
+	// Routing: looking up all slots of a row takes slotPairCPU times the square of the number of slots. scanCPU is the cost
+	// of a pick by scan per candidate, indexCPU that of a pick by index.
 	slotPairCPU = 2.9e-9
-	// candidateCPU is by how much a request grows at an entry with each slot of its model, the looks at the row included.
+	// candidateCPU is the additional CPU time of a request at an entry for each slot of its model, including the lookups in
+	// the row.
 	candidateCPU = 6.7e-6
 	scanCPU      = 16.5e-9
 	indexCPU     = 0.4e-6
-	// Events of the time line.
-	eventCPU, eventHeld = 0.75e-6, 190.0
-	// Reads of the table by an entry, and the calls of one claim.
-	entryReads  = 4.0
-	claimWrites = 2.0
-	// trialMessageWire is a small message with its acknowledgement where header and body leave in one segment and yamux
-	// sends no probes; a trial.
-	trialMessageWire = 113.0
+	// A timeline event: CPU time to record it, and memory.
+	eventCPU, eventMemory = 0.75e-6, 190.0
+	// Table reads per second of an entry, and table writes of one idempotency claim.
+	entryReadRate = 4.0
+	claimWrites   = 2.0
+	// messageWireBytes is the size of a small message and its acknowledgement if header and body are sent in one segment and
+	// yamux sends no keep-alives. It comes from a trial, not from the current code.
+	messageWireBytes = 113.0
 )
 
-// What follows from the sizes.
+// Values derived from the target size.
 const (
-	requestsPerNode = targetRequests / targetNodes
-	slotsPerModel   = targetEngines * slotsPerEngine / targetModels
-	changesPerSec   = targetChanges / 86400
-	snapshotWire    = targetModels*modelWire + targetAdapters*adapterWire + targetEngines*engineWire
-	snapshotHeld    = targetModels*modelHeld + targetAdapters*adapterHeld + targetEngines*engineHeld
-	rowsHeld        = targetEngines * slotsPerEngine * slotHeld
-	// eventsPerRequest are the events that an entry records of a request.
+	requestsPerNode   = targetRequests / targetNodes
+	slotsPerModel     = targetEngines * slotsPerEngine / targetModels
+	editsPerSecond    = targetEdits / 86400
+	snapshotWireBytes = targetModels*modelWireBytes + targetAdapters*adapterWireBytes + targetEngines*engineWireBytes
+	snapshotMemory    = targetModels*modelMemory + targetAdapters*adapterMemory + targetEngines*engineMemory
+	rowsMemory        = targetEngines * slotsPerEngine * slotMemory
+	// eventsPerRequest is the number of timeline events that an entry records for a request.
 	eventsPerRequest = 5.0
 )
 
-// sum is one line of a table of the page.
-type sum struct {
-	what, formula string
+// estimate is one row of a table in docs/CAPACITY.md.
+type estimate struct {
+	name, formula string
 	value, limit  float64
 	unit          string
-	// upTo is the size up to which the limit holds; empty where it holds at the target.
-	upTo string
+	// scalesTo is the size up to which the limit holds; empty if it holds at the target size.
+	scalesTo string
 }
 
-func (s sum) String() string {
+func (s estimate) String() string {
 	if s.limit == 0 {
-		return fmt.Sprintf("| %s | %s | %s %s |", s.what, s.formula, number(s.value), s.unit)
+		return fmt.Sprintf("| %s | %s | %s %s |", s.name, s.formula, formatNumber(s.value), s.unit)
 	}
-	holds := "holds"
+	verdict := "holds"
 	if s.value > s.limit {
-		holds = s.upTo
+		verdict = s.scalesTo
 	}
-	return fmt.Sprintf("| %s | %s | %s %s | %s %s | %s |", s.what, s.formula, number(s.value), s.unit, number(s.limit), s.unit, holds)
+	return fmt.Sprintf("| %s | %s | %s %s | %s %s | %s |", s.name, s.formula, formatNumber(s.value), s.unit, formatNumber(s.limit), s.unit, verdict)
 }
 
-// number writes a value with three significant digits.
-func number(v float64) string {
+// formatNumber formats a value with three significant digits.
+func formatNumber(v float64) string {
 	if v == 0 {
 		return "0"
 	}
@@ -101,11 +104,11 @@
 	if strings.Contains(text, ".") {
 		text = strings.TrimRight(strings.TrimRight(text, "0"), ".")
 	}
-	return grouped(text)
+	return groupThousands(text)
 }
 
-// grouped puts commas between the thousands.
-func grouped(text string) string {
+// groupThousands inserts commas between groups of three digits.
+func groupThousands(text string) string {
 	whole, rest, _ := strings.Cut(text, ".")
 	for i := len(whole) - 3; i > 0; i -= 3 {
 		whole = whole[:i] + "," + whole[i:]
@@ -117,233 +120,234 @@
 }
 
 const (
-	bytesPerSecond = "B/s"
-	percent        = "% of a core"
-	megabytes      = "MB"
-	readsPerSecond = "reads/s"
-	writesPerSec   = "writes/s"
-	seconds        = "s"
+	bytesPerSecond  = "B/s"
+	percent         = "% of a core"
+	megabytes       = "MB"
+	readsPerSecond  = "reads/s"
+	writesPerSecond = "writes/s"
+	seconds         = "s"
 )
 
-func bytesSum(what, formula string, value float64, upTo string) sum {
-	return sum{what: what, formula: formula, value: value, limit: limitBytes, unit: bytesPerSecond, upTo: upTo}
+func bytesEstimate(what, formula string, value float64, upTo string) estimate {
+	return estimate{name: what, formula: formula, value: value, limit: limitBytes, unit: bytesPerSecond, scalesTo: upTo}
 }
 
-func cpuSum(what, formula string, value float64, upTo string) sum {
-	return sum{what: what, formula: formula, value: 100 * value, limit: 100 * limitCPU, unit: percent, upTo: upTo}
+func cpuEstimate(what, formula string, value float64, upTo string) estimate {
+	return estimate{name: what, formula: formula, value: 100 * value, limit: 100 * limitCPU, unit: percent, scalesTo: upTo}
 }
 
-func memorySum(what, formula string, value float64, upTo string) sum {
-	return sum{what: what, formula: formula, value: value / 1e6, limit: limitMemory / 1e6, unit: megabytes, upTo: upTo}
+func memoryEstimate(what, formula string, value float64, upTo string) estimate {
+	return estimate{name: what, formula: formula, value: value / 1e6, limit: limitMemory / 1e6, unit: megabytes, scalesTo: upTo}
 }
 
-// agentsUpTo is the number of agents of an entry at which something per agent reaches a limit.
+// agentsUpTo returns the number of agents per entry at which a cost per agent reaches a limit, as text for scalesTo.
 func agentsUpTo(limit, each float64) string {
-	return "up to " + number(math.Floor(limit/each)) + " agents"
+	return "up to " + formatNumber(math.Floor(limit/each)) + " agents"
 }
 
 func entriesUpTo(limit, each float64) string {
-	return "up to " + number(math.Floor(limit/each)) + " entries"
+	return "up to " + formatNumber(math.Floor(limit/each)) + " entries"
 }
 
-// todayAtEntry is what today's form costs each entry if it is connected to every agent.
-func todayAtEntry() []sum {
-	return []sum{
-		bytesSum("control streams, idle", "500 B/s × 10,000 agents", peerWire*targetEngines, agentsUpTo(limitBytes, peerWire)),
-		bytesSum("edits pushed", "390 B × 0.139/s × 10,000 agents", deltaWire*changesPerSec*targetEngines,
-			agentsUpTo(limitBytes, deltaWire*changesPerSec)),
-		bytesSum("host list, once a second", "146 B × 11,200 hosts", hostListLine*(targetEngines+targetNodes),
-			"up to "+number(math.Floor(limitBytes/hostListLine))+" hosts"),
-		cpuSum("control streams, idle", "140 µs/s × 10,000 agents", entryPeerCPU*targetEngines, agentsUpTo(limitCPU, entryPeerCPU)),
-		cpuSum("edits pushed", "(2.2 ms + 39 µs × 10,000) × 0.139/s", (editCPU+editPeerCPU*targetEngines)*changesPerSec,
-			agentsUpTo(limitCPU/changesPerSec-editCPU, editPeerCPU)),
-		cpuSum("slots of a row, three looks a request", "3 × 2.9 ns × 392² × 91.7/s", 3*slotPairCPU*slotsPerModel*slotsPerModel*requestsPerNode,
-			"up to "+number(math.Floor(math.Sqrt(limitCPU/(3*slotPairCPU*requestsPerNode))))+" slots a model"),
-		cpuSum("candidates listed anew for each request, all of it", "6.7 µs × 392 × 91.7/s", candidateCPU*slotsPerModel*requestsPerNode,
-			"up to "+number(math.Floor(limitCPU/(candidateCPU*requestsPerNode)))+" slots a model"),
-		cpuSum("the choice alone, by scan", "3 × 16.5 ns × 392 × 91.7/s", 3*scanCPU*slotsPerModel*requestsPerNode, ""),
-		cpuSum("decisions, 0.027 changes of engines a second", "1.7 µs × 10,000 × 0.027/s",
-			decisionEngineCPU*targetEngines*engineChanges, ""),
-		cpuSum("time line", "0.75 µs × 5 events × 91.7/s", eventCPU*eventsPerRequest*requestsPerNode, ""),
-		memorySum("connections and view", "25 MB + 93 kB × 10,000 agents", entryBaseMemory+entryPeerMemory*targetEngines,
+// currentEntry estimates the cost of the current design to each entry if it is connected to every agent.
+func currentEntry() []estimate {
+	return []estimate{
+		bytesEstimate("control streams, idle", "500 B/s × 10,000 agents", peerWireRate*targetEngines, agentsUpTo(limitBytes, peerWireRate)),
+		bytesEstimate("edits pushed", "390 B × 0.139/s × 10,000 agents", deltaWireBytes*editsPerSecond*targetEngines,
+			agentsUpTo(limitBytes, deltaWireBytes*editsPerSecond)),
+		bytesEstimate("host list, once a second", "146 B × 11,200 hosts", hostListBytes*(targetEngines+targetNodes),
+			"up to "+formatNumber(math.Floor(limitBytes/hostListBytes))+" hosts"),
+		cpuEstimate("control streams, idle", "140 µs/s × 10,000 agents", entryPeerCPU*targetEngines, agentsUpTo(limitCPU, entryPeerCPU)),
+		cpuEstimate("edits pushed", "(2.2 ms + 39 µs × 10,000) × 0.139/s", (editCPU+editPeerCPU*targetEngines)*editsPerSecond,
+			agentsUpTo(limitCPU/editsPerSecond-editCPU, editPeerCPU)),
+		cpuEstimate("slots of a row, three looks a request", "3 × 2.9 ns × 392² × 91.7/s", 3*slotPairCPU*slotsPerModel*slotsPerModel*requestsPerNode,
+			"up to "+formatNumber(math.Floor(math.Sqrt(limitCPU/(3*slotPairCPU*requestsPerNode))))+" slots a model"),
+		cpuEstimate("candidates listed anew for each request, all of it", "6.7 µs × 392 × 91.7/s", candidateCPU*slotsPerModel*requestsPerNode,
+			"up to "+formatNumber(math.Floor(limitCPU/(candidateCPU*requestsPerNode)))+" slots a model"),
+		cpuEstimate("the choice alone, by scan", "3 × 16.5 ns × 392 × 91.7/s", 3*scanCPU*slotsPerModel*requestsPerNode, ""),
+		cpuEstimate("decisions, 0.027 changes of engines a second", "1.7 µs × 10,000 × 0.027/s",
+			decisionEngineCPU*targetEngines*engineChangesPerSecond, ""),
+		cpuEstimate("time line", "0.75 µs × 5 events × 91.7/s", eventCPU*eventsPerRequest*requestsPerNode, ""),
+		memoryEstimate("connections and view", "25 MB + 93 kB × 10,000 agents", entryBaseMemory+entryPeerMemory*targetEngines,
 			agentsUpTo(limitMemory-entryBaseMemory, entryPeerMemory)),
-		memorySum("the same after a snapshot to each", "25 MB + 0.75 MB × 10,000 agents", entryBaseMemory+snapshotPeerMemory*targetEngines,
+		memoryEstimate("the same after a snapshot to each", "25 MB + 0.75 MB × 10,000 agents", entryBaseMemory+snapshotPeerMemory*targetEngines,
 			agentsUpTo(limitMemory-entryBaseMemory, snapshotPeerMemory)),
-		memorySum("declarations", "51 × 827 B + 2,700 × 537 B + 10,000 × 473 B", snapshotHeld, ""),
-		memorySum("rows of grants", "20,000 slots × 180 B", rowsHeld, ""),
-		memorySum("time line", "8,192 events × 190 B", 8192*eventHeld, ""),
+		memoryEstimate("declarations", "51 × 827 B + 2,700 × 537 B + 10,000 × 473 B", snapshotMemory, ""),
+		memoryEstimate("rows of grants", "20,000 slots × 180 B", rowsMemory, ""),
+		memoryEstimate("time line", "8,192 events × 190 B", 8192*eventMemory, ""),
 	}
 }
 
-// engineChanges are changes of what is known of an engine a second: each host that fails, restarts or is replaced goes and
-// comes.
-const engineChanges = (hostFailures + hostRestarts) * 3 / 86400
+// engineChangesPerSecond is the rate of changes in the state of engines. A host that fails, restarts or is replaced leaves
+// and joins again, which is counted as three changes per failure or restart.
+const engineChangesPerSecond = (dailyHostFailures + dailyHostRestarts) * 3 / 86400
 
-// todayAtAgent is what today's form costs each agent if every entry is connected to it.
-func todayAtAgent() []sum {
-	return []sum{
-		bytesSum("control streams, idle", "500 B/s × 1,200 entries", peerWire*targetNodes, entriesUpTo(limitBytes, peerWire)),
-		bytesSum("edits received", "390 B × 0.139/s × 1,200 entries", deltaWire*changesPerSec*targetNodes,
-			entriesUpTo(limitBytes, deltaWire*changesPerSec)),
-		bytesSum("rows received, whole, 20 changes of each row a day", "2 × 20.8 kB × 20/day × 1,200 entries",
-			slotsPerEngine*slotWire*slotsPerModel*rowChanges*targetNodes, entriesUpTo(limitBytes, slotsPerEngine*slotWire*slotsPerModel*rowChanges)),
-		cpuSum("control streams, idle", "155 µs/s × 1,200 entries", agentPeerCPU*targetNodes, entriesUpTo(limitCPU, agentPeerCPU)),
-		memorySum("connections", "23 MB + 87 kB × 1,200 entries", agentBaseMemory+agentPeerMemory*targetNodes, entriesUpTo(limitMemory-agentBaseMemory, agentPeerMemory)),
-		memorySum("declarations", "as at an entry", snapshotHeld, ""),
+// currentAgent estimates the cost of the current design to each agent if every entry is connected to it.
+func currentAgent() []estimate {
+	return []estimate{
+		bytesEstimate("control streams, idle", "500 B/s × 1,200 entries", peerWireRate*targetNodes, entriesUpTo(limitBytes, peerWireRate)),
+		bytesEstimate("edits received", "390 B × 0.139/s × 1,200 entries", deltaWireBytes*editsPerSecond*targetNodes,
+			entriesUpTo(limitBytes, deltaWireBytes*editsPerSecond)),
+		bytesEstimate("rows received, whole, 20 changes of each row a day", "2 × 20.8 kB × 20/day × 1,200 entries",
+			slotsPerEngine*slotWireBytes*slotsPerModel*rowChangesPerSecond*targetNodes, entriesUpTo(limitBytes, slotsPerEngine*slotWireBytes*slotsPerModel*rowChangesPerSecond)),
+		cpuEstimate("control streams, idle", "155 µs/s × 1,200 entries", agentPeerCPU*targetNodes, entriesUpTo(limitCPU, agentPeerCPU)),
+		memoryEstimate("connections", "23 MB + 87 kB × 1,200 entries", agentBaseMemory+agentPeerMemory*targetNodes, entriesUpTo(limitMemory-agentBaseMemory, agentPeerMemory)),
+		memoryEstimate("declarations", "as at an entry", snapshotMemory, ""),
 	}
 }
 
-// rowChanges are changes of one row a second: 170 failed engines a day with two slots each, three writes a slot.
-const rowChanges = hostFailures * slotsPerEngine * 3 / targetModels / 86400
+// rowChangesPerSecond is the rate of changes of one row: 170 failed engines per day with two slots each and three writes per
+// slot.
+const rowChangesPerSecond = dailyHostFailures * slotsPerEngine * 3 / targetModels / 86400
 
-// todayAtTable is what today's form asks of the table.
-func todayAtTable() []sum {
+// currentTable estimates the load of the current design on the table.
+func currentTable() []estimate {
 	const claimShare = 0.01
-	return []sum{
-		{what: "polls of declarations and rows", formula: "4 reads/s × 1,200 entries", value: entryReads * targetNodes,
-			limit: limitReads, unit: readsPerSecond, upTo: entriesUpTo(limitReads, entryReads)},
-		{what: "edits", formula: "12,000 a day × 1 write", value: changesPerSec, limit: limitWrites, unit: writesPerSec},
-		{what: "an edit taken in by all", formula: "12,000 a day × 1,200 lists", value: changesPerSec * targetNodes,
+	return []estimate{
+		{name: "polls of declarations and rows", formula: "4 reads/s × 1,200 entries", value: entryReadRate * targetNodes,
+			limit: limitReads, unit: readsPerSecond, scalesTo: entriesUpTo(limitReads, entryReadRate)},
+		{name: "edits", formula: "12,000 a day × 1 write", value: editsPerSecond, limit: limitWrites, unit: writesPerSecond},
+		{name: "an edit taken in by all", formula: "12,000 a day × 1,200 lists", value: editsPerSecond * targetNodes,
 			limit: limitReads, unit: readsPerSecond},
-		{what: "grants after 170 failures a day", formula: "170 × 2 slots × 3 writes", value: rowChanges * targetModels,
-			limit: limitWrites, unit: writesPerSec},
-		{what: "agents that start", formula: "770 a day × 1 write", value: (hostFailures + hostRestarts) / 86400,
-			limit: limitWrites, unit: writesPerSec},
-		{what: "claims, if 1 request in 100 needs one", formula: "1,100/s × 2 writes", value: claimShare * targetRequests * claimWrites,
-			limit: limitWrites, unit: writesPerSec, upTo: "up to " + number(limitWrites/claimWrites) + " claims/s"},
+		{name: "grants after 170 failures a day", formula: "170 × 2 slots × 3 writes", value: rowChangesPerSecond * targetModels,
+			limit: limitWrites, unit: writesPerSecond},
+		{name: "agents that start", formula: "770 a day × 1 write", value: (dailyHostFailures + dailyHostRestarts) / 86400,
+			limit: limitWrites, unit: writesPerSecond},
+		{name: "claims, if 1 request in 100 needs one", formula: "1,100/s × 2 writes", value: claimShare * targetRequests * claimWrites,
+			limit: limitWrites, unit: writesPerSecond, scalesTo: "up to " + formatNumber(limitWrites/claimWrites) + " claims/s"},
 	}
 }
 
-// The scaled form: each agent has homes of its own failure domain, each domain two readers, and entries hold connections
-// to a few engines of each model only.
+// The scaled design: each agent connects to a few home entries in its failure domain, two entries per domain read the table,
+// and entries keep connections to only a few engines of each model.
 const (
-	homes            = 2.0
-	readersPerDomain = 2.0
-	heartbeatEvery   = 4.0
-	subset           = 8.0
-	// fanOut is how many entries of its domain an entry passes changes on to, down from the domain's readers.
-	fanOut     = 6.0
-	homeAgents = targetEngines * homes / targetNodes
-	readers    = readersPerDomain * targetDomains
-	// stateChanges are changes of replicas and adapters a second over the fleet: 195 wakes and sleeps an hour with two steps
-	// at two engines each, and two slots with two steps each for every host that goes or comes.
-	stateChanges = (targetModels+targetAdapters)*targetTurnover*4/3600 + engineChanges*4
-	changeWire   = 60.0
-	// engineDigest is what a decider keeps of an engine: its labels, memory and reachability.
-	engineDigest = 400.0
+	homesPerAgent          = 2.0
+	readersPerDomain       = 2.0
+	scaledHeartbeatSeconds = 4.0
+	enginesPerModel        = 8.0
+	// fanOut is the number of entries in its domain to which an entry forwards changes, starting at the domain's readers.
+	fanOut        = 6.0
+	agentsPerHome = targetEngines * homesPerAgent / targetNodes
+	totalReaders  = readersPerDomain * targetDomains
+	// stateChangesPerSecond is the rate of changes of replicas and adapters in the whole fleet: 195 loads and unloads per hour
+	// with two steps at two engines each, and two slots with two steps each for every host that leaves or joins.
+	stateChangesPerSecond = (targetModels+targetAdapters)*targetTurnover*4/3600 + engineChangesPerSecond*4
+	changeWireBytes       = 60.0
+	// engineDigestMemory is the memory of a decider's summary of an engine: its labels, memory and reachability.
+	engineDigestMemory = 400.0
 )
 
-// scaledAtEntry is what the scaled form would cost an entry that is also a reader of its domain.
-func scaledAtEntry() []sum {
+// scaledEntry estimates the cost of the scaled design to an entry that is also a reader of its domain.
+func scaledEntry() []estimate {
 	const (
-		message   = trialMessageWire
+		message   = messageWireBytes
 		edit      = message + 172
-		change    = message + changeWire
-		toHomes   = homeAgents * 2 * message / heartbeatEvery
-		edits     = homeAgents * changesPerSec * edit
-		passed    = fanOut * (changesPerSec*edit + stateChanges*change)
-		taken     = changesPerSec*edit + stateChanges*change
-		others    = stateChanges / targetDomains * (targetDomains - 1) * change
-		perSecond = homeAgents*2/heartbeatEvery + (homeAgents+fanOut+1)*changesPerSec + (fanOut+2)*stateChanges
+		change    = message + changeWireBytes
+		toHomes   = agentsPerHome * 2 * message / scaledHeartbeatSeconds
+		edits     = agentsPerHome * editsPerSecond * edit
+		passed    = fanOut * (editsPerSecond*edit + stateChangesPerSecond*change)
+		taken     = editsPerSecond*edit + stateChangesPerSecond*change
+		others    = stateChangesPerSecond / targetDomains * (targetDomains - 1) * change
+		perSecond = agentsPerHome*2/scaledHeartbeatSeconds + (agentsPerHome+fanOut+1)*editsPerSecond + (fanOut+2)*stateChangesPerSecond
 	)
-	return []sum{
-		bytesSum("heartbeats of 16.7 home agents, each way every 4 s", "16.7 × 2 × 113 B ÷ 4 s", toHomes, ""),
-		bytesSum("edits to home agents", "16.7 × 0.139/s × 285 B", edits, ""),
-		bytesSum("edits and changes of replicas taken in", "0.139/s × 285 B + 0.32/s × 173 B", taken, ""),
-		bytesSum("the same passed on to 6 entries of its domain", "6 × (0.139/s × 285 B + 0.32/s × 173 B)", passed, ""),
-		bytesSum("its domain's changes to the readers of the others", "0.32/s ÷ 35 × 34 × 173 B", others, ""),
-		bytesSum("**all of these**", "sum", toHomes+edits+taken+passed+others, ""),
-		cpuSum("messages of all of these", "14.9/s × 185 µs", perSecond*(entryPeerCPU+reportCPU), ""),
-		cpuSum("choices by index", "91.7/s × 3 × 0.4 µs", requestsPerNode*3*indexCPU, ""),
-		cpuSum("decisions", "1.7 µs × 10,000 × 0.027/s", decisionEngineCPU*targetEngines*engineChanges, ""),
-		memorySum("declarations, rows, digests of engines", "6.22 + 3.6 MB + 10,000 × 400 B", snapshotHeld+rowsHeld+engineDigest*targetEngines, ""),
-		memorySum("connections to engines in use and to home agents", "25 MB + (8 × 51 + 16.7) × 93 kB",
-			entryBaseMemory+(subset*targetModels+homeAgents)*entryPeerMemory, ""),
+	return []estimate{
+		bytesEstimate("heartbeats of 16.7 home agents, each way every 4 s", "16.7 × 2 × 113 B ÷ 4 s", toHomes, ""),
+		bytesEstimate("edits to home agents", "16.7 × 0.139/s × 285 B", edits, ""),
+		bytesEstimate("edits and changes of replicas taken in", "0.139/s × 285 B + 0.32/s × 173 B", taken, ""),
+		bytesEstimate("the same passed on to 6 entries of its domain", "6 × (0.139/s × 285 B + 0.32/s × 173 B)", passed, ""),
+		bytesEstimate("its domain's changes to the readers of the others", "0.32/s ÷ 35 × 34 × 173 B", others, ""),
+		bytesEstimate("**all of these**", "sum", toHomes+edits+taken+passed+others, ""),
+		cpuEstimate("messages of all of these", "14.9/s × 185 µs", perSecond*(entryPeerCPU+reportCPU), ""),
+		cpuEstimate("choices by index", "91.7/s × 3 × 0.4 µs", requestsPerNode*3*indexCPU, ""),
+		cpuEstimate("decisions", "1.7 µs × 10,000 × 0.027/s", decisionEngineCPU*targetEngines*engineChangesPerSecond, ""),
+		memoryEstimate("declarations, rows, digests of engines", "6.22 + 3.6 MB + 10,000 × 400 B", snapshotMemory+rowsMemory+engineDigestMemory*targetEngines, ""),
+		memoryEstimate("connections to engines in use and to home agents", "25 MB + (8 × 51 + 16.7) × 93 kB",
+			entryBaseMemory+(enginesPerModel*targetModels+agentsPerHome)*entryPeerMemory, ""),
 	}
 }
 
-// scaledAtAgent is what the scaled form would cost an agent.
-func scaledAtAgent() []sum {
-	connections := targetNodes * subset * targetModels / targetEngines
-	return []sum{
-		bytesSum("two homes", "2 × (2 × 113 B ÷ 4 s + 0.139/s × 285 B)", homes*(2*trialMessageWire/heartbeatEvery+changesPerSec*(trialMessageWire+172)), ""),
-		memorySum("49 connections with requests, two homes", "23 MB + 51 × 87 kB", agentBaseMemory+(connections+homes)*agentPeerMemory, ""),
+// scaledAgent estimates the cost of the scaled design to an agent.
+func scaledAgent() []estimate {
+	connections := targetNodes * enginesPerModel * targetModels / targetEngines
+	return []estimate{
+		bytesEstimate("two homes", "2 × (2 × 113 B ÷ 4 s + 0.139/s × 285 B)", homesPerAgent*(2*messageWireBytes/scaledHeartbeatSeconds+editsPerSecond*(messageWireBytes+172)), ""),
+		memoryEstimate("49 connections with requests, two homes", "23 MB + 51 × 87 kB", agentBaseMemory+(connections+homesPerAgent)*agentPeerMemory, ""),
 	}
 }
 
-// scaledAtTable is what the scaled form would ask of the table.
-func scaledAtTable() []sum {
-	return []sum{
-		{what: "polls", formula: "4 reads/s × 70 readers", value: entryReads * readers, limit: limitReads, unit: readsPerSecond},
-		{what: "an edit taken in", formula: "0.139/s × 70 lists", value: changesPerSec * readers, limit: limitReads, unit: readsPerSecond},
-		{what: "claims in batches of 32", formula: "1,100/s × 2 ÷ 32", value: 0.01 * targetRequests * claimWrites / 32,
-			limit: limitWrites, unit: writesPerSec, upTo: ""},
+// scaledTable estimates the load of the scaled design on the table.
+func scaledTable() []estimate {
+	return []estimate{
+		{name: "polls", formula: "4 reads/s × 70 readers", value: entryReadRate * totalReaders, limit: limitReads, unit: readsPerSecond},
+		{name: "an edit taken in", formula: "0.139/s × 70 lists", value: editsPerSecond * totalReaders, limit: limitReads, unit: readsPerSecond},
+		{name: "claims in batches of 32", formula: "1,100/s × 2 ÷ 32", value: 0.01 * targetRequests * claimWrites / 32,
+			limit: limitWrites, unit: writesPerSecond, scalesTo: ""},
 	}
 }
 
-// lookup is the related paper's two-tier form with our bytes: S = c_s M + c_p N / M.
-func lookup() []sum {
-	held := func(m float64) float64 { return entryPeerMemory*m + viewHeld*targetEngines/m }
-	best := math.Sqrt(viewHeld * targetEngines / entryPeerMemory)
+// twoTierLookup applies the two-tier design of the related paper, S = c_s M + c_p N / M, to the measured sizes.
+func twoTierLookup() []estimate {
+	held := func(m float64) float64 { return entryPeerMemory*m + viewMemory*targetEngines/m }
+	best := math.Sqrt(viewMemory * targetEngines / entryPeerMemory)
 	rate := func(m float64) float64 { return 2 * targetRequests / m }
-	return []sum{
-		memorySum("full knowledge, c_p N", "3,738 B × 10,000", viewHeld*targetEngines, ""),
-		memorySum("two tiers, M = 70", "93 kB × 70 + 3,738 B × 10,000 ÷ 70", held(70), ""),
-		memorySum("two tiers, best M = "+number(math.Round(best)), "2 √(93 kB × 3,738 B × 10,000)", held(best), ""),
-		cpuSum("a lookup for each request, M = 70", "2 × 110,000/s ÷ 70 × 45 µs", rate(70)*reportCPU,
-			"needs M of at least "+number(math.Ceil(2*targetRequests*reportCPU/limitCPU))),
+	return []estimate{
+		memoryEstimate("full knowledge, c_p N", "3,738 B × 10,000", viewMemory*targetEngines, ""),
+		memoryEstimate("two tiers, M = 70", "93 kB × 70 + 3,738 B × 10,000 ÷ 70", held(70), ""),
+		memoryEstimate("two tiers, best M = "+formatNumber(math.Round(best)), "2 √(93 kB × 3,738 B × 10,000)", held(best), ""),
+		cpuEstimate("a lookup for each request, M = 70", "2 × 110,000/s ÷ 70 × 45 µs", rate(70)*reportCPU,
+			"needs M of at least "+formatNumber(math.Ceil(2*targetRequests*reportCPU/limitCPU))),
 	}
 }
 
-// failures is the arithmetic of failures.
-func failures() []sum {
+// failures estimates the cost of failures and restarts.
+func failures() []estimate {
 	const domainEngines = 1.0 * targetEngines / targetDomains
 	const regionEngines = 1.0 * targetEngines / targetRegions
 	const storeLoads = 5.0
-	return []sum{
-		{what: "one host of 170 a day fails: writes", formula: "2 slots × 3", value: slotsPerEngine * 3, unit: "writes"},
-		{what: "a rack of 16: writes", formula: "32 slots × 3", value: 16 * slotsPerEngine * 3, unit: "writes"},
-		{what: "a failure domain: engines", formula: "10,000 ÷ 35", value: domainEngines, unit: "engines"},
-		{what: "a failure domain: the decision", formula: "measured at 10,000 engines", value: domainDecisionCPU, unit: seconds},
-		{what: "a failure domain: writes", formula: "51 rows × 3", value: targetModels * 3, unit: "writes"},
-		{what: "a failure domain: writes take at 50 a second", formula: "153 ÷ 50", value: targetModels * 3 / 50.0, unit: seconds},
-		{what: "a failure domain: loads lost", formula: "286 × 2", value: domainEngines * slotsPerEngine, unit: "loads"},
-		{what: "a failure domain: loads anew at the store's 5 a second", formula: "571 ÷ 5", value: domainEngines * slotsPerEngine / storeLoads, unit: seconds},
-		{what: "a region cut for an hour: revisions missed", formula: "12,000 ÷ 24", value: targetChanges / 24, unit: "revisions"},
-		{what: "a region cut for an hour: bytes to each agent afterwards", formula: "500 × 142 B", value: targetChanges / 24 * 142, unit: "B"},
-		{what: "a region cut for an hour: engines silent to the others", formula: "10,000 ÷ 10", value: regionEngines, unit: "engines"},
-		{what: "all entries restart, today's form: connections", formula: "1,200 × 10,000", value: targetNodes * targetEngines, unit: "connections"},
-		{what: "all entries restart, today's form: processor time an entry", formula: "10,000 × 0.37 ms", value: targetEngines * connectCPU, unit: seconds},
-		{what: "all entries restart: reads of the table", formula: "1,200 × 4", value: targetNodes * 4, unit: "reads"},
-		{what: "all entries restart: reads take at 2,000 a second", formula: "4,800 ÷ 2,000", value: targetNodes * 4 / limitReads, unit: seconds},
-		{what: "all entries restart, scaled form: connections to homes", formula: "10,000 × 2", value: targetEngines * homes, unit: "connections"},
-		{what: "an agent that holds nothing: a snapshot", formula: "51 × 142 B + 2,700 × 85 B + 10,000 × 55 B", value: snapshotWire / 1e6, unit: megabytes},
-		{what: "an agent that holds nothing: time to take it in", formula: "12,751 × 4 µs", value: (targetModels + targetAdapters + targetEngines) * objectCPU, unit: seconds},
+	return []estimate{
+		{name: "one host of 170 a day fails: writes", formula: "2 slots × 3", value: slotsPerEngine * 3, unit: "writes"},
+		{name: "a rack of 16: writes", formula: "32 slots × 3", value: 16 * slotsPerEngine * 3, unit: "writes"},
+		{name: "a failure domain: engines", formula: "10,000 ÷ 35", value: domainEngines, unit: "engines"},
+		{name: "a failure domain: the decision", formula: "measured at 10,000 engines", value: domainDecisionCPU, unit: seconds},
+		{name: "a failure domain: writes", formula: "51 rows × 3", value: targetModels * 3, unit: "writes"},
+		{name: "a failure domain: writes take at 50 a second", formula: "153 ÷ 50", value: targetModels * 3 / 50.0, unit: seconds},
+		{name: "a failure domain: loads lost", formula: "286 × 2", value: domainEngines * slotsPerEngine, unit: "loads"},
+		{name: "a failure domain: loads anew at the store's 5 a second", formula: "571 ÷ 5", value: domainEngines * slotsPerEngine / storeLoads, unit: seconds},
+		{name: "a region cut for an hour: revisions missed", formula: "12,000 ÷ 24", value: targetEdits / 24, unit: "revisions"},
+		{name: "a region cut for an hour: bytes to each agent afterwards", formula: "500 × 142 B", value: targetEdits / 24 * 142, unit: "B"},
+		{name: "a region cut for an hour: engines silent to the others", formula: "10,000 ÷ 10", value: regionEngines, unit: "engines"},
+		{name: "all entries restart, today's form: connections", formula: "1,200 × 10,000", value: targetNodes * targetEngines, unit: "connections"},
+		{name: "all entries restart, today's form: processor time an entry", formula: "10,000 × 0.37 ms", value: targetEngines * connectCPU, unit: seconds},
+		{name: "all entries restart: reads of the table", formula: "1,200 × 4", value: targetNodes * 4, unit: "reads"},
+		{name: "all entries restart: reads take at 2,000 a second", formula: "4,800 ÷ 2,000", value: targetNodes * 4 / limitReads, unit: seconds},
+		{name: "all entries restart, scaled form: connections to homes", formula: "10,000 × 2", value: targetEngines * homesPerAgent, unit: "connections"},
+		{name: "an agent that holds nothing: a snapshot", formula: "51 × 142 B + 2,700 × 85 B + 10,000 × 55 B", value: snapshotWireBytes / 1e6, unit: megabytes},
+		{name: "an agent that holds nothing: time to take it in", formula: "12,751 × 4 µs", value: (targetModels + targetAdapters + targetEngines) * objectCPU, unit: seconds},
 	}
 }
 
-// tables are the tables of the page.
+// tables lists the tables of docs/CAPACITY.md.
 var tables = []struct {
 	title string
-	rows  func() []sum
+	rows  func() []estimate
 }{
-	{"Today's form, an entry", todayAtEntry},
-	{"Today's form, an agent", todayAtAgent},
-	{"Today's form, the table", todayAtTable},
-	{"Scaled form, an entry", scaledAtEntry},
-	{"Scaled form, an agent", scaledAtAgent},
-	{"Scaled form, the table", scaledAtTable},
-	{"Two-tier lookup", lookup},
+	{"Today's form, an entry", currentEntry},
+	{"Today's form, an agent", currentAgent},
+	{"Today's form, the table", currentTable},
+	{"Scaled form, an entry", scaledEntry},
+	{"Scaled form, an agent", scaledAgent},
+	{"Scaled form, the table", scaledTable},
+	{"Two-tier lookup", twoTierLookup},
 	{"Failures", failures},
 }
 
-// page is the page that holds the tables.
-const page = "../../docs/CAPACITY.md"
+// capacityPage is the path of the page that contains the tables.
+const capacityPage = "../../docs/CAPACITY.md"
 
-// The page's figures follow from the slopes above. A slope that is measured anew and not worked into the page would leave
-// its sums, and what it says of the limits, wrong. Run with -v for the tables.
+// TestSums checks that docs/CAPACITY.md contains the tables computed from the slopes above. It guards against a slope that
+// changes without an update of the page, whose estimates and limits would then be wrong. Run it with -v to log the tables.
 func TestSums(t *testing.T) {
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(capacityPage)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -352,7 +356,7 @@
 		for _, s := range table.rows() {
 			fmt.Fprintln(&lines, s)
 			if !strings.Contains(string(text), s.String()) {
-				t.Errorf("%s: the page lacks %q", table.title, s)
+				t.Errorf("%s: docs/CAPACITY.md does not contain %q", table.title, s)
 			}
 		}
 		t.Logf("%s\n%s", table.title, lines.String())
