--- a/internal/joined/agent_test.go
+++ b/internal/joined/agent_test.go
@@ -25,7 +25,7 @@
 	commitTimeout     = 2 * time.Second
 	maxAnswer         = 15 * time.Second
 	drainLinger       = 500 * time.Millisecond
-	longestWait       = 250 * time.Millisecond
+	maxTickInterval   = 250 * time.Millisecond
 )
 
 // agent is the process beside an endpoint: the machines of package agent, joined as its shell joins them.
@@ -43,9 +43,9 @@
 	// streams are the control streams: an entry that gave one up may have another one taken up before it ends here.
 	streams []*controlStream
 	// readAsked and rowsAsked are the shell's channels of capacity one; reading and readingRows are set while it reads.
-	readAsked, rowsAsked bool
-	readID               uint64
-	reading, readingRows bool
+	readRequested, rowsRequested bool
+	readID                       uint64
+	reading, readingRows         bool
 	// inflight counts the request streams, offers the offers.
 	inflight, offers int
 	// unloads counts the unload orders on their way.
@@ -77,7 +77,7 @@
 func (a *agent) begin() {
 	a.start()
 	a.logf("%s starts", a.name)
-	a.w.net.notice()
+	a.w.net.checkConns()
 	if a.core.machine == nil {
 		a.probe()
 	} else {
@@ -88,9 +88,9 @@
 
 // tick is the shell's timer.
 func (a *agent) tick() {
-	wait := longestWait
+	wait := maxTickInterval
 	if next := a.core.expire(); !next.IsZero() {
-		wait = min(longestWait, max(time.Millisecond, next.Sub(a.now())))
+		wait = min(maxTickInterval, max(time.Millisecond, next.Sub(a.now())))
 	}
 	a.later(wait, a.tick)
 }
@@ -101,9 +101,9 @@
 	if a.core.up != up {
 		a.core.up = up
 		if up {
-			a.perform(a.core.pump(a.now()))
+			a.perform(a.core.startReady(a.now()))
 		}
-		a.stir()
+		a.scheduleWrites()
 	}
 	a.later(probeInterval, a.probe)
 }
@@ -116,13 +116,13 @@
 			if isUnload(action.Order) {
 				a.unloads++
 			}
-			a.soon(func() { a.order(action.Order) })
+			a.soon(func() { a.sendOrder(action.Order) })
 		case loading.ReadEngine:
-			a.askRead(action.ID)
+			a.requestRead(action.ID)
 		case loading.ReadRows:
-			a.askRows()
+			a.requestRows()
 		case loading.AskPermit:
-			a.askPermit(action)
+			a.requestPermit(action)
 		case loading.EndPermit:
 			a.broadcast(func(up *wirepb.ControlUp) { up.PermitsDone = append(up.PermitsDone, action.ID) })
 		case loading.ConfirmRelease:
@@ -136,7 +136,7 @@
 }
 
 // order gives an order; its answer is taken whenever it comes.
-func (a *agent) order(o endpoint.Order) {
+func (a *agent) sendOrder(o endpoint.Order) {
 	done := func(err error) {
 		a.later(0, func() {
 			a.core.step(loading.OrderDone{ID: o.ID, Err: err})
@@ -149,81 +149,81 @@
 		done(endpoint.ErrUnreachable)
 		return
 	}
-	a.host.engine.give(a, o, done)
+	a.host.engine.submit(a, o, done)
 }
 
 func isUnload(o endpoint.Order) bool {
 	return o.Kind == endpoint.OrderUnload || o.Kind == endpoint.OrderUnloadAdapter
 }
 
-func (a *agent) askRead(id uint64) {
-	a.readAsked, a.readID = true, id
+func (a *agent) requestRead(id uint64) {
+	a.readRequested, a.readID = true, id
 	a.readEngine()
 }
 
 // readEngine reads the engine's state when that was asked for and no read is under way.
 func (a *agent) readEngine() {
-	if a.reading || !a.readAsked {
+	if a.reading || !a.readRequested {
 		return
 	}
-	a.reading, a.readAsked = true, false
-	ended := func(e loading.Event) {
+	a.reading, a.readRequested = true, false
+	finish := func(e loading.Event) {
 		a.reading = false
 		a.core.step(e)
 		a.readEngine()
 	}
 	a.soon(func() {
 		id, e := a.readID, a.host.engine
-		if a.w.without == guardReadID {
+		if a.w.disabledGuard == guardReadID {
 			id = 0
 		}
-		slow := a.between(200*time.Microsecond, 2*time.Millisecond)
+		duration := a.between(200*time.Microsecond, 2*time.Millisecond)
 		if a.w.faulty(10) {
-			slow = a.between(0, 2*time.Second)
+			duration = a.between(0, 2*time.Second)
 		}
 		lost := a.w.faulty(20)
-		looked := a.between(0, slow)
-		if e.readTime > 0 {
-			slow, looked = e.readTime, 0
+		sampledAt := a.between(0, duration)
+		if e.readDelay > 0 {
+			duration, sampledAt = e.readDelay, 0
 		}
-		a.w.after(looked, func() {
+		a.w.after(sampledAt, func() {
 			if !e.up || lost {
-				a.later(slow-looked, func() { ended(loading.EngineLost{ID: id}) })
+				a.later(duration-sampledAt, func() { finish(loading.EngineLost{ID: id}) })
 				return
 			}
 			state := e.state()
-			a.later(slow-looked, func() { ended(loading.EngineRead{ID: id, State: state}) })
+			a.later(duration-sampledAt, func() { finish(loading.EngineRead{ID: id, State: state}) })
 		})
 	})
 }
 
-func (a *agent) askRows() {
-	a.rowsAsked = true
+func (a *agent) requestRows() {
+	a.rowsRequested = true
 	a.readRows()
 }
 
 // readRows registers the agent in the table and reads its grants, again until both are done.
 func (a *agent) readRows() {
-	if a.readingRows || !a.rowsAsked {
+	if a.readingRows || !a.rowsRequested {
 		return
 	}
-	a.readingRows, a.rowsAsked = true, false
-	again := func() {
+	a.readingRows, a.rowsRequested = true, false
+	retry := func() {
 		a.later(tableRetry, func() {
-			a.readingRows, a.rowsAsked = false, true
+			a.readingRows, a.rowsRequested = false, true
 			a.readRows()
 		})
 	}
 	a.later(a.w.net.latency(), func() {
 		put := backing.Put{Key: "agents/" + a.host.endpoint, Value: []byte(a.name)}
 		if _, err := a.table.Commit(context.Background(), backing.Txn{Puts: []backing.Put{put}}); err != nil {
-			again()
+			retry()
 			return
 		}
 		a.later(a.w.net.latency(), func() {
 			listing, err := a.table.List(context.Background(), replicas.KeyPrefix, 0)
 			if err != nil {
-				again()
+				retry()
 				return
 			}
 			a.later(a.w.net.latency(), func() {
@@ -261,12 +261,12 @@
 	a.logf("%s stops by plan", a.name)
 	a.draining = true
 	a.leave()
-	a.awaitEnd()
+	a.awaitIdle()
 }
 
-func (a *agent) awaitEnd() {
+func (a *agent) awaitIdle() {
 	if a.inflight > 0 {
-		a.later(10*time.Millisecond, a.awaitEnd)
+		a.later(10*time.Millisecond, a.awaitIdle)
 		return
 	}
 	a.later(drainLinger, a.awaitUnloads)
@@ -274,7 +274,7 @@
 
 // awaitUnloads waits for the unloads on their way, and ends the process.
 func (a *agent) awaitUnloads() {
-	if a.unloads > 0 && a.w.without != guardUnloads {
+	if a.unloads > 0 && a.w.disabledGuard != guardUnloadsAtStop {
 		a.later(10*time.Millisecond, a.awaitUnloads)
 		return
 	}
--- a/internal/joined/attempt_test.go
+++ b/internal/joined/attempt_test.go
@@ -12,26 +12,26 @@
 type phase int
 
 const (
-	following phase = iota
+	phaseActive phase = iota
 	// withdrawing: the agent's word on a request that was withdrawn is awaited for a moment.
-	withdrawing
+	phaseWithdrawing
 	// ended: the attempt's outcome is known; only its fate may still come.
-	ended
+	phaseEnded
 )
 
 // fate is whether a request had its effect.
-type fate int
+type settlement int
 
 const (
-	fateUnknown fate = iota
-	fateServed
-	fateNotRun
+	settledUnknown settlement = iota
+	settledServed
+	settledNotRun
 )
 
 const (
-	withdrawalPatience = 100 * time.Millisecond
-	deadlineGrace      = 50 * time.Millisecond
-	coldPatience       = 4
+	withdrawalTimeout = 100 * time.Millisecond
+	deadlineGrace     = 50 * time.Millisecond
+	coldLoadFactor    = 4
 )
 
 // attempt is one offer of a request to one endpoint.
@@ -48,26 +48,26 @@
 	stage     routing.Stage
 	running   bool
 	refusal   *wirepb.Refused
-	lastWord  atmostonce.ExchangeAction
+	endAction atmostonce.ExchangeAction
 	gaveUp    bool
 	// last is set when there is no other endpoint to move on to.
-	last  bool
-	timer int
+	noAlternative bool
+	timer         int
 	// settled takes the fate that comes after the end.
-	settled func(fate)
+	onSettled func(settlement)
 }
 
 // begin makes the offer.
 func (t *attempt) begin() {
 	e := t.entry
-	e.sent[t.candidate.Endpoint]++
+	e.inFlight[t.candidate.Endpoint]++
 	l := e.links[t.candidate.Endpoint]
 	if l == nil || l.conn == nil {
 		t.finish(routing.OutcomeNotSent)
 		return
 	}
-	e.w.offered(e, l.host)
-	t.stream = l.conn.openStream(t.got, t.broke)
+	e.w.checkOffer(e, l.host)
+	t.stream = l.conn.openStream(t.receive, t.streamClosed)
 	offer := &wirepb.Offer{
 		Model: t.target.Model, Adapter: t.target.Adapter, Service: t.target.Service, Class: t.class,
 		TimeLeftMicros: t.deadline.Sub(e.now()).Microseconds(), TwoStep: !t.idempotent, Caller: t.call.caller, Stream: t.streamed,
@@ -81,7 +81,7 @@
 		return
 	}
 	e.logf("%s offers %s to %s", e.name, t.id, t.candidate.Endpoint)
-	t.setPatience()
+	t.setTimeout()
 }
 
 func (t *attempt) write(frame *wirepb.ToAgent) error {
@@ -90,14 +90,14 @@
 }
 
 // setPatience bounds the wait for the next frame.
-func (t *attempt) setPatience() {
+func (t *attempt) setTimeout() {
 	left := t.deadline.Sub(t.entry.now())
 	wait := left + deadlineGrace
 	switch {
-	case t.streamed && (t.firstByte > 0 || t.out.head && t.entry.w.without == guardFirstByte):
+	case t.streamed && (t.firstByte > 0 || t.response.head && t.entry.w.disabledGuard == guardFirstByte):
 		wait = maxAnswer
-	case !t.running && !t.last:
-		wait = min(left, t.patience(left))
+	case !t.running && !t.noAlternative:
+		wait = min(left, t.responseTimeout(left))
 	}
 	t.wait(max(wait, time.Millisecond), func() { t.step(atmostonce.GaveUp) })
 }
@@ -113,40 +113,40 @@
 	})
 }
 
-func (t *attempt) patience(left time.Duration) time.Duration {
+func (t *attempt) responseTimeout(left time.Duration) time.Duration {
 	switch {
 	case !t.cold:
 		return routing.PatienceFor(t.stage, left, t.expected)
 	case t.expected == 0:
 		return left
 	default:
-		return coldPatience * t.expected
+		return coldLoadFactor * t.expected
 	}
 }
 
 // got takes a frame.
-func (t *attempt) got(message any) {
+func (t *attempt) receive(message any) {
 	frame := message.(*wirepb.FromAgent)
 	if frame.RequestId != t.id {
 		t.entry.violated("P4", "a frame of %s on the stream of %s", frame.RequestId, t.id)
 	}
 	switch t.phase {
-	case following:
+	case phaseActive:
 		t.step(t.eventOf(frame))
-	case withdrawing:
-		t.confirm(frame)
-	case ended:
-		t.step(fateEvent(frame))
+	case phaseWithdrawing:
+		t.confirmWithdrawal(frame)
+	case phaseEnded:
+		t.step(settlementEvent(frame))
 	}
 }
 
 // broke takes the end of the stream.
-func (t *attempt) broke() {
-	if c := t.stream.conn; c.planned && t.phase != withdrawing && (t.running || t.exchange.Committed()) {
+func (t *attempt) streamClosed() {
+	if c := t.stream.conn; c.planned && t.phase != phaseWithdrawing && (t.running || t.exchange.Committed()) {
 		t.entry.violated("P8", "the planned stop of %s cuts %s", c.agent.name, t.id)
 	}
 	switch t.phase {
-	case withdrawing:
+	case phaseWithdrawing:
 		t.close()
 	default:
 		t.step(atmostonce.StreamBroke)
@@ -167,16 +167,16 @@
 		return atmostonce.GotRefused
 	case *wirepb.FromAgent_Head:
 		t.running, t.cold = true, t.cold || f.Head.Cold
-		t.out.setHead(f.Head, t.streamed)
+		t.response.setHead(f.Head, t.streamed)
 		return atmostonce.GotHead
 	case *wirepb.FromAgent_Body:
 		if t.firstByte == 0 {
 			t.firstByte = t.entry.now().Sub(t.began)
 		}
-		t.out.add(t.call, f.Body.Data)
+		t.response.add(t.call, f.Body.Data)
 		return atmostonce.GotHead
 	case *wirepb.FromAgent_Trailer:
-		if !t.out.verify(f.Trailer) {
+		if !t.response.verify(f.Trailer) {
 			return atmostonce.StreamBroke
 		}
 		return atmostonce.GotTrailer
@@ -198,7 +198,7 @@
 }
 
 // fateEvent is eventOf without an answer to pass on.
-func fateEvent(frame *wirepb.FromAgent) atmostonce.ExchangeEvent {
+func settlementEvent(frame *wirepb.FromAgent) atmostonce.ExchangeEvent {
 	switch f := frame.Frame.(type) {
 	case *wirepb.FromAgent_Refused:
 		return atmostonce.GotRefused
@@ -222,36 +222,36 @@
 		case atmostonce.SendCancel:
 			_ = t.write(&wirepb.ToAgent{Frame: &wirepb.ToAgent_Cancel{Cancel: &wirepb.Cancel{}}})
 		case atmostonce.SettleServed:
-			t.know(fateServed)
+			t.reportSettlement(settledServed)
 		case atmostonce.SettleNotRun:
-			t.know(fateNotRun)
+			t.reportSettlement(settledNotRun)
 		case atmostonce.SettleUnknown:
-			t.know(fateUnknown)
+			t.reportSettlement(settledUnknown)
 		default:
-			t.followed(action)
+			t.handleEnd(action)
 			return
 		}
 	}
-	if t.phase == following {
-		t.setPatience()
+	if t.phase == phaseActive {
+		t.setTimeout()
 	}
 }
 
 // followed takes the exchange's word on the attempt.
-func (t *attempt) followed(word atmostonce.ExchangeAction) {
-	t.lastWord = word
-	if word != atmostonce.EndUnknown || t.running || t.gone || t.exchange.Open() {
+func (t *attempt) handleEnd(action atmostonce.ExchangeAction) {
+	t.endAction = action
+	if action != atmostonce.EndUnknown || t.running || t.callerGone || t.exchange.Open() {
 		t.close()
 		return
 	}
-	t.phase = withdrawing
-	t.wait(withdrawalPatience, t.close)
+	t.phase = phaseWithdrawing
+	t.wait(withdrawalTimeout, t.close)
 }
 
 // confirm takes the agent's word on a withdrawn request that was not known to run.
-func (t *attempt) confirm(frame *wirepb.FromAgent) {
+func (t *attempt) confirmWithdrawal(frame *wirepb.FromAgent) {
 	if refused := frame.GetRefused(); refused != nil {
-		t.refusal, t.lastWord = refused, atmostonce.EndNotRun
+		t.refusal, t.endAction = refused, atmostonce.EndNotRun
 		t.close()
 	}
 	if frame.GetHead() != nil {
@@ -262,32 +262,32 @@
 // close ends the attempt; the stream is kept while the request's fate may still come.
 func (t *attempt) close() {
 	if !t.exchange.Open() {
-		t.phase = ended
+		t.phase = phaseEnded
 		t.stream.close(atEntry)
 		t.finish(t.outcome())
 		return
 	}
-	t.phase = ended
+	t.phase = phaseEnded
 	t.wait(maxAnswer, func() { t.step(atmostonce.StreamBroke) })
 	t.finish(t.outcome())
 }
 
 // know takes the fate of a request whose attempt has ended.
-func (t *attempt) know(f fate) {
+func (t *attempt) reportSettlement(f settlement) {
 	t.stream.close(atEntry)
-	if t.settled != nil {
-		t.settled(f)
+	if t.onSettled != nil {
+		t.onSettled(f)
 	}
 }
 
 func (t *attempt) outcome() routing.Outcome {
-	switch t.lastWord {
+	switch t.endAction {
 	case atmostonce.EndServed:
 		return routing.OutcomeServed
 	case atmostonce.EndUnknown:
 		return routing.OutcomeBroken
 	case atmostonce.EndCut:
-		if !t.out.begun {
+		if !t.response.begun {
 			return routing.OutcomeBroken
 		}
 		return routing.OutcomeCut
@@ -305,8 +305,8 @@
 // finish reports the attempt.
 func (t *attempt) finish(outcome routing.Outcome) {
 	e := t.entry
-	e.sent[t.candidate.Endpoint]--
-	t.phase = ended
+	e.inFlight[t.candidate.Endpoint]--
+	t.phase = phaseEnded
 	a := routing.Attempt{
 		Endpoint: t.candidate.Endpoint, Outcome: outcome, Reason: t.refusal.GetReason(),
 		RetryAfter: time.Duration(t.refusal.GetRetryAfterMillis()) * time.Millisecond, Committed: t.exchange.Committed(),
@@ -315,5 +315,5 @@
 		Endpoint: t.candidate.Endpoint, Target: t.target.Model + t.target.Service + "/" + t.target.Adapter, Outcome: outcome,
 		Expected: t.candidate.Wait, FirstByte: t.firstByte, Cold: t.cold,
 	})
-	t.attempted(t, a)
+	t.handleAttemptEnd(t, a)
 }
--- a/internal/joined/backend_test.go
+++ b/internal/joined/backend_test.go
@@ -15,7 +15,7 @@
 )
 
 // errAnswerBroke says that the connection to the endpoint broke in the middle.
-var errAnswerBroke = errors.New("joined: the endpoint's answer broke")
+var errAnswerTruncated = errors.New("joined: the endpoint's answer broke")
 
 // streamEnd is the last event of a streamed chat completion.
 const lastEvent = "[DONE]"
@@ -50,7 +50,7 @@
 	})
 }
 
-func (r *run) cut()           { r.fail(errAnswerBroke) }
+func (r *run) truncate()      { r.fail(errAnswerTruncated) }
 func (r *run) fail(err error) { r.emit(func() { r.end(err) }) }
 
 // answer sends a short answer of the endpoint's own.
@@ -65,7 +65,7 @@
 }
 
 // parts are the parts of the answer to a call: only the endpoint that ran it for this call answers so.
-func parts(c *call, streamed bool) []string {
+func answerParts(c *call, streamed bool) []string {
 	list := []string{}
 	for i := range 1 + c.number%4 {
 		list = append(list, fmt.Sprintf("answer %d to %s; ", i, c.token))
@@ -77,7 +77,7 @@
 }
 
 // content is the whole answer to a call.
-func content(c *call, streamed bool) string { return strings.Join(parts(c, streamed), "") }
+func answerContent(c *call, streamed bool) string { return strings.Join(answerParts(c, streamed), "") }
 
 // serve lets the engine run a request.
 func (e *engine) serve(r *run) {
@@ -91,7 +91,7 @@
 			e.begin(r)
 			return
 		}
-		r.cut()
+		r.truncate()
 	})
 }
 
@@ -107,8 +107,8 @@
 		return
 	}
 	e.runs[r] = true
-	r.call.ran(e.host, r.request)
-	e.later(e.between(2*time.Millisecond, 150*time.Millisecond), func() { e.generate(r, parts(r.call, r.streamed), true) })
+	r.call.recordRun(e.host, r.request)
+	e.later(e.between(2*time.Millisecond, 150*time.Millisecond), func() { e.generate(r, answerParts(r.call, r.streamed), true) })
 }
 
 // generate sends an answer part by part. Engines that die politely end an answer as if it were whole, and some answer
@@ -122,7 +122,7 @@
 		return
 	case e.faulty(60):
 		delete(e.runs, r)
-		r.cut()
+		r.truncate()
 		return
 	case first && e.faulty(60):
 		delete(e.runs, r)
@@ -135,8 +135,8 @@
 	}
 	if first {
 		r.emit(func() { r.head(http.StatusOK) })
-		if e.firstTime > 0 {
-			e.later(e.firstTime, func() { e.generate(r, rest, false) })
+		if e.firstByteDelay > 0 {
+			e.later(e.firstByteDelay, func() { e.generate(r, rest, false) })
 			return
 		}
 	}
@@ -168,24 +168,24 @@
 		r.fail(endpoint.ErrUnreachable)
 		return
 	}
-	longest := 200 * time.Millisecond
+	maxTime := 200 * time.Millisecond
 	if s.slow {
-		longest = 4 * time.Second
+		maxTime = 4 * time.Second
 	}
-	begin, end := s.between(100*time.Microsecond, longest/2), s.between(0, longest/2)
+	begin, end := s.between(100*time.Microsecond, maxTime/2), s.between(0, maxTime/2)
 	incarnation := s.incarnation
 	s.after(begin, func() {
 		if !s.up || s.incarnation != incarnation || s.faulty(60) {
-			r.cut()
+			r.truncate()
 			return
 		}
-		r.call.ran(s.host, r.request)
+		r.call.recordRun(s.host, r.request)
 		s.after(end, func() {
 			if !s.up || s.incarnation != incarnation || s.faulty(30) {
-				r.cut()
+				r.truncate()
 				return
 			}
-			r.answer(http.StatusOK, content(r.call, false))
+			r.answer(http.StatusOK, answerContent(r.call, false))
 		})
 	})
 }
--- a/internal/joined/calls_test.go
+++ b/internal/joined/calls_test.go
@@ -8,20 +8,20 @@
 )
 
 // told is what a caller gets as the final answer.
-type told string
+type callResult string
 
 const (
-	toldWhole    told = "whole"
-	toldReplayed told = "replayed"
-	toldNotRun   told = "not run"
-	toldUnknown  told = "unknown"
+	resultWhole    callResult = "whole"
+	resultReplayed callResult = "replayed"
+	resultNotRun   callResult = "not run"
+	resultUnknown  callResult = "unknown"
 	// toldCut: the connection broke in the middle, so that the caller knows that the answer is not whole.
-	toldCut told = "cut"
+	resultCut callResult = "cut"
 )
 
 // answerBound is how long after its deadline a request may still get its final answer: the agent's word on a request that
 // was withdrawn at the deadline has to come.
-const answerBound = 200 * time.Millisecond
+const answerGrace = 200 * time.Millisecond
 
 // call is one call of a caller.
 type call struct {
@@ -34,22 +34,22 @@
 	idempotent bool
 	class      wirepb.Class
 	caller     string
-	left       time.Duration
+	timeout    time.Duration
 	// leaves is when the caller goes away; 0 when it stays.
-	leaves   time.Duration
-	streamed bool
+	disconnectAfter time.Duration
+	streamed        bool
 	// patient callers repeat a call with a key until it is told to have run.
 	repeats int
 
 	// at is when the entry took the call up, which is when its deadline begins to count.
-	at       time.Duration
-	entry    *entry
-	received string
-	words    []told
-	gone     bool
-	runs     int
+	at           time.Duration
+	entry        *entry
+	received     string
+	results      []callResult
+	disconnected bool
+	runs         int
 	// answered, when set, is told of the final answer.
-	answered func(told)
+	onResult func(callResult)
 }
 
 // newCall returns a call that has not been made yet.
@@ -60,13 +60,13 @@
 }
 
 // make sends the call to an entry.
-func (c *call) make(e *entry) {
+func (c *call) send(e *entry) {
 	c.entry = e
 	c.w.counts["calls"]++
 	e.later(c.w.net.latency(), func() {
-		c.at = c.w.at
-		c.w.after(c.left+answerBound, c.checkTold)
-		e.take(c)
+		c.at = c.w.elapsed
+		c.w.after(c.timeout+answerGrace, c.checkAnswered)
+		e.handleCall(c)
 	})
 }
 
@@ -81,30 +81,30 @@
 func (c *call) receive(data []byte) { c.received += string(data) }
 
 // tell takes the final answer.
-func (c *call) tell(_ *entry, word told, body string) {
+func (c *call) deliver(_ *entry, result callResult, body string) {
 	w := c.w
-	c.words = append(c.words, word)
-	w.counts["told "+string(word)]++
-	w.logf("%s is told %q after %v", c.token, word, w.at-c.at)
-	if len(c.words) > 1 {
-		w.violated("P3", "%s is told %v", c.token, c.words)
+	c.results = append(c.results, result)
+	w.counts["told "+string(result)]++
+	w.logf("%s is told %q after %v", c.token, result, w.elapsed-c.at)
+	if len(c.results) > 1 {
+		w.violated("P3", "%s is told %v", c.token, c.results)
 	}
-	switch word {
-	case toldWhole:
-		if c.received != content(c, c.streamed) {
+	switch result {
+	case resultWhole:
+		if c.received != answerContent(c, c.streamed) {
 			w.violated("P4", "%s gets %q", c.token, c.received)
 		}
-	case toldReplayed:
+	case resultReplayed:
 		c.checkReplay(body)
-	case toldNotRun:
+	case resultNotRun:
 		if c.runs > 0 {
 			w.violated("P5", "%s is told that it did not run, and did", c.token)
 		}
 	}
-	if c.answered != nil {
-		c.answered(word)
+	if c.onResult != nil {
+		c.onResult(result)
 	}
-	if c.key != "" && c.repeats > 0 && word != toldWhole && word != toldReplayed && !w.calm {
+	if c.key != "" && c.repeats > 0 && result != resultWhole && result != resultReplayed && !w.healthy {
 		w.after(w.between(10*time.Millisecond, 2*time.Second), c.repeat)
 	}
 }
@@ -112,7 +112,7 @@
 // checkReplay checks that a recorded answer belongs to the call under the same key that ran.
 func (c *call) checkReplay(body string) {
 	for _, other := range c.w.calls {
-		if other.key == c.key && other.runs > 0 && body == content(other, false) {
+		if other.key == c.key && other.runs > 0 && body == answerContent(other, false) {
 			return
 		}
 	}
@@ -125,17 +125,17 @@
 	if len(entries) == 0 {
 		return
 	}
-	again := c.w.newCall()
-	again.service, again.key, again.left, again.repeats = c.service, c.key, c.left, c.repeats-1
-	again.make(pick(c.w.sim, entries))
+	next := c.w.newCall()
+	next.service, next.key, next.timeout, next.repeats = c.service, c.key, c.timeout, c.repeats-1
+	next.send(pick(c.w.sim, entries))
 }
 
 // ran takes in that an endpoint runs the call.
-func (c *call) ran(h *host, request string) {
+func (c *call) recordRun(h *host, request string) {
 	w := c.w
 	c.runs++
 	w.logf("%s runs %s for %s", h.endpoint, request, c.token)
-	if len(c.words) > 0 && c.words[0] == toldNotRun {
+	if len(c.results) > 0 && c.results[0] == resultNotRun {
 		w.violated("P5", "%s was told that it did not run, and runs", c.token)
 	}
 	if c.service == "" || c.idempotent {
@@ -154,20 +154,20 @@
 
 // checkTold checks that the caller got its final answer by the deadline and a bound, or that a streamed one had begun. A
 // frozen entry has the same time once it goes on.
-func (c *call) checkTold() {
+func (c *call) checkAnswered() {
 	w := c.w
 	switch {
-	case len(c.words) > 0 || !c.entry.alive || c.gone:
+	case len(c.results) > 0 || !c.entry.alive || c.disconnected:
 		return
 	case c.entry.frozen:
-		w.after(answerBound, c.checkTold)
+		w.after(answerGrace, c.checkAnswered)
 		return
-	case w.at-c.entry.thawedAt < answerBound:
-		w.after(answerBound, c.checkTold)
+	case w.elapsed-c.entry.thawedAt < answerGrace:
+		w.after(answerGrace, c.checkAnswered)
 		return
-	case c.streamed && c.received != "" && w.at < c.at+c.left+maxAnswer:
-		w.after(time.Second, c.checkTold)
+	case c.streamed && c.received != "" && w.elapsed < c.at+c.timeout+maxAnswer:
+		w.after(time.Second, c.checkAnswered)
 		return
 	}
-	w.violated("P3", "%s has no final answer %v after its deadline", c.token, w.at-c.at-c.left)
+	w.violated("P3", "%s has no final answer %v after its deadline", c.token, w.elapsed-c.at-c.timeout)
 }
--- a/internal/joined/control_test.go
+++ b/internal/joined/control_test.go
@@ -20,11 +20,11 @@
 	stream  *stream
 	pending *wirepb.ControlUp
 	// last is the status that was last told, with its replicas, and sentAt when.
-	last   *wirepb.Status
-	told   map[string]*wirepb.Replica
-	sentAt time.Time
+	lastStatus   *wirepb.Status
+	lastReplicas map[string]*wirepb.Replica
+	sentAt       time.Time
 	// woken is set while changes are gathered, waiting while news of load wait for more of their kind.
-	woken, waiting bool
+	writeScheduled, loadWritePending bool
 }
 
 // accept takes up a stream by its first message.
@@ -33,13 +33,13 @@
 	switch header := first.(type) {
 	case *wirepb.StreamHeader:
 		c := &controlStream{agent: a, entry: header.Entry, stream: s, pending: &wirepb.ControlUp{}}
-		if a.w.without == guardStreams {
+		if a.w.disabledGuard == guardAllStreams {
 			a.streams = slices.DeleteFunc(a.streams, func(s *controlStream) bool { return s.entry == c.entry })
 		}
 		a.streams = append(a.streams, c)
-		end.got = func(m any) { a.applyDown(c, m.(*wirepb.ControlDown)) }
-		end.lost = func() { a.streams = slices.DeleteFunc(a.streams, func(s *controlStream) bool { return s == c }) }
-		c.stir()
+		end.onMessage = func(m any) { a.applyDown(c, m.(*wirepb.ControlDown)) }
+		end.onClose = func() { a.streams = slices.DeleteFunc(a.streams, func(s *controlStream) bool { return s == c }) }
+		c.scheduleWrite()
 		c.heartbeat()
 	case *wirepb.ToAgent:
 		a.inflight++
@@ -59,22 +59,22 @@
 const loadReportInterval = 250 * time.Millisecond
 
 // stir sends a batch after the time in which changes are gathered, if there is news.
-func (c *controlStream) stir() {
-	if c.woken {
+func (c *controlStream) scheduleWrite() {
+	if c.writeScheduled {
 		return
 	}
-	c.woken = true
+	c.writeScheduled = true
 	c.agent.later(batchDelay, func() {
-		c.woken = false
-		found := c.compare(c.agent.status())
+		c.writeScheduled = false
+		change := c.compare(c.agent.status())
 		wait := loadReportInterval - c.agent.now().Sub(c.sentAt)
 		switch {
-		case found == newsState || c.hasQueued() || found == newsLoad && wait <= 0:
+		case change == changeState || c.hasQueued() || change == changeLoad && wait <= 0:
 			c.write()
-		case found == newsLoad && !c.waiting:
-			c.waiting = true
+		case change == changeLoad && !c.loadWritePending:
+			c.loadWritePending = true
 			c.agent.later(wait, func() {
-				if c.waiting {
+				if c.loadWritePending {
 					c.write()
 				}
 			})
@@ -89,64 +89,64 @@
 }
 
 func (c *controlStream) write() {
-	c.waiting = false
+	c.loadWritePending = false
 	up := c.pending
 	c.pending = &wirepb.ControlUp{}
-	up.Status = c.change(c.agent.status())
+	up.Status = c.diff(c.agent.status())
 	c.sentAt = c.agent.now()
 	_ = c.stream.write(atAgent, up)
 }
 
 // news is how a status differs from what an entry was last told.
-type news int
+type statusChange int
 
 const (
-	newsNone news = iota
-	newsLoad
-	newsState
+	changeNone statusChange = iota
+	changeLoad
+	changeState
 )
 
-func (c *controlStream) compare(s *wirepb.Status) news {
-	last := c.last
-	if last == nil || !c.sameFixed(s) || last.Leaving != s.Leaving || last.Ready != s.Ready ||
+func (c *controlStream) compare(s *wirepb.Status) statusChange {
+	last := c.lastStatus
+	if last == nil || !c.sameStaticFields(s) || last.Leaving != s.Leaving || last.Ready != s.Ready ||
 		last.MemoryReservedBytes != s.MemoryReservedBytes || last.DeclarationsRevision != s.DeclarationsRevision ||
-		last.LoadsInFlight != s.LoadsInFlight || last.AdaptersInFlight != s.AdaptersInFlight || len(s.Replicas) != len(c.told) {
-		return newsState
+		last.LoadsInFlight != s.LoadsInFlight || last.AdaptersInFlight != s.AdaptersInFlight || len(s.Replicas) != len(c.lastReplicas) {
+		return changeState
 	}
-	found := newsNone
+	change := changeNone
 	if l, n := last.Load, s.Load; l.Running != n.Running || l.Queued != n.Queued || l.WaitMicros != n.WaitMicros {
-		found = newsLoad
+		change = changeLoad
 	}
 	for _, r := range s.Replicas {
-		found = max(found, replicaNews(c.told[r.Model], r))
+		change = max(change, replicaChange(c.lastReplicas[r.Model], r))
 	}
-	return found
+	return change
 }
 
-func (c *controlStream) sameFixed(s *wirepb.Status) bool {
-	return c.last.MemoryBytes == s.MemoryBytes && slices.Equal(c.last.Cached, s.Cached)
+func (c *controlStream) sameStaticFields(s *wirepb.Status) bool {
+	return c.lastStatus.MemoryBytes == s.MemoryBytes && slices.Equal(c.lastStatus.Cached, s.Cached)
 }
 
-func replicaNews(told, now *wirepb.Replica) news {
+func replicaChange(old, current *wirepb.Replica) statusChange {
 	switch {
-	case told == nil, told.State != now.State, told.Revision != now.Revision, !slices.Equal(told.Adapters, now.Adapters):
-		return newsState
-	case told.Running != now.Running, told.Queued != now.Queued, (told.IdleMillis == 0) != (now.IdleMillis == 0):
-		return newsLoad
+	case old == nil, old.State != current.State, old.Revision != current.Revision, !slices.Equal(old.Adapters, current.Adapters):
+		return changeState
+	case old.Running != current.Running, old.Queued != current.Queued, (old.IdleMillis == 0) != (current.IdleMillis == 0):
+		return changeLoad
 	default:
-		return newsNone
+		return changeNone
 	}
 }
 
 // change leaves out of a status what is fixed and the replicas that were told as they are.
-func (c *controlStream) change(status *wirepb.Status) *wirepb.Status {
-	before := c.told
-	whole := c.last == nil || !c.sameFixed(status)
-	c.last, c.told = status, map[string]*wirepb.Replica{}
+func (c *controlStream) diff(status *wirepb.Status) *wirepb.Status {
+	before := c.lastReplicas
+	full := c.lastStatus == nil || !c.sameStaticFields(status)
+	c.lastStatus, c.lastReplicas = status, map[string]*wirepb.Replica{}
 	for _, r := range status.Replicas {
-		c.told[r.Model] = r
+		c.lastReplicas[r.Model] = r
 	}
-	if whole {
+	if full {
 		status.Full = true
 		return status
 	}
@@ -156,12 +156,12 @@
 		LoadsInFlight: status.LoadsInFlight, AdaptersInFlight: status.AdaptersInFlight,
 	}
 	for _, r := range status.Replicas {
-		if replicaNews(before[r.Model], r) != newsNone {
+		if replicaChange(before[r.Model], r) != changeNone {
 			changed.Replicas = append(changed.Replicas, r)
 		}
 	}
 	for _, model := range slices.Sorted(maps.Keys(before)) {
-		if c.told[model] == nil {
+		if c.lastReplicas[model] == nil {
 			changed.Replicas = append(changed.Replicas, &wirepb.Replica{Model: model})
 		}
 	}
@@ -169,16 +169,16 @@
 }
 
 // stir wakes the control streams' writers.
-func (a *agent) stir() {
+func (a *agent) scheduleWrites() {
 	for _, c := range a.streams {
-		c.stir()
+		c.scheduleWrite()
 	}
 }
 
 func (a *agent) broadcast(add func(*wirepb.ControlUp)) {
 	for _, c := range a.streams {
 		add(c.pending)
-		c.stir()
+		c.scheduleWrite()
 	}
 }
 
@@ -200,7 +200,7 @@
 	}
 	if down.WantState {
 		c.pending.Snapshot = a.receiver.Snapshot()
-		c.stir()
+		c.scheduleWrite()
 	}
 }
 
@@ -212,7 +212,7 @@
 	for _, d := range down.Deltas {
 		if _, gap := a.receiver.ApplyDelta(d); gap {
 			c.pending.WantSnapshot = true
-			c.stir()
+			c.scheduleWrite()
 		}
 	}
 	revision := a.receiver.Revision()
@@ -220,7 +220,7 @@
 		a.violated("P9", "%s goes back from revision %d to %d", a.name, before, revision)
 	}
 	if revision != before {
-		a.declaredAt = a.at
+		a.declaredAt = a.elapsed
 		a.core.declare(a.receiver.Current())
 	}
 }
@@ -228,7 +228,7 @@
 func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // issuer returns the entry that all agents with the same connections ask for permits, or nil.
-func (a *agent) issuer() *controlStream {
+func (a *agent) permitIssuer() *controlStream {
 	if len(a.streams) == 0 {
 		return nil
 	}
@@ -238,15 +238,15 @@
 }
 
 // askPermit asks the issuer for a permit.
-func (a *agent) askPermit(action loading.AskPermit) {
-	c := a.issuer()
+func (a *agent) requestPermit(action loading.AskPermit) {
+	c := a.permitIssuer()
 	if c == nil {
 		return
 	}
 	c.pending.PermitRequests = append(c.pending.PermitRequests, &wirepb.PermitRequest{
 		Id: action.ID, Kind: action.Kind, Model: action.Model, SlackMicros: action.Deadline.Sub(a.now()).Microseconds(),
 	})
-	c.stir()
+	c.scheduleWrite()
 }
 
 // status is the agent's whole state.
@@ -265,7 +265,7 @@
 	status.LoadsInFlight, status.AdaptersInFlight = int32(s.LoadsInFlight), int32(s.AdaptersInFlight)
 	for _, r := range s.Replicas {
 		queued := 0
-		for _, w := range c.waiting {
+		for _, w := range c.queued {
 			if w.request.Target.Model == r.Model {
 				queued++
 			}
--- a/internal/joined/coordinator_test.go
+++ b/internal/joined/coordinator_test.go
@@ -17,40 +17,40 @@
 
 // connectedTo begins a new connection to an agent with the grants and what is known of its host. The declarations follow its
 // first report.
-func (e *entry) connectedTo(endpoint string) {
-	delete(e.told, endpoint)
+func (e *entry) handleConnected(endpoint string) {
+	delete(e.sentRevision, endpoint)
 	e.send(endpoint, &wirepb.ControlDown{
 		Rows: e.grants.RowsOf(endpoint), HostState: e.hostState(endpoint), WantState: !e.store.Ready(),
 	})
 }
 
 // reported takes an agent's batch.
-func (e *entry) reported(l *entryLink, up *wirepb.ControlUp) {
+func (e *entry) handleReport(l *entryLink, up *wirepb.ControlUp) {
 	now, name := e.now(), l.name
 	e.view.Reported(now, name, up.Status)
 	ep := e.endpoint(name)
 	for _, r := range up.Releases {
 		if ep != nil {
 			e.grants.Released(replicas.Release{Engine: name, Host: ep.HostID, Model: r.Model, Revision: r.Revision})
-			e.wakeGrants(grantSettle)
+			e.scheduleGrantRound(grantSettle)
 		}
 	}
 	for _, w := range up.Wanted {
 		e.grants.Wanted(name, w.Model, w.Reason, int(w.Demand))
-		e.wakeGrants(grantSettle)
+		e.scheduleGrantRound(grantSettle)
 	}
 	if up.Snapshot != nil {
 		_ = e.store.Learn(up.Snapshot, nil)
-		e.declarationsRead()
+		e.pushRevision()
 	}
 	if up.WantSnapshot {
 		e.send(name, &wirepb.ControlDown{Snapshot: e.store.Current().Snapshot()})
 	}
 	if ep != nil && ep.Connected {
-		e.told[name] = max(e.told[name], up.Status.DeclarationsRevision)
-		e.pushTo(name)
+		e.sentRevision[name] = max(e.sentRevision[name], up.Status.DeclarationsRevision)
+		e.pushDeclarations(name)
 	}
-	e.catchUp(name, up.Status)
+	e.checkBehind(name, up.Status)
 	for _, id := range up.PermitsDone {
 		e.permits.Done(now, name, id)
 	}
@@ -59,21 +59,21 @@
 		e.permits.Request(now, name, r)
 	}
 	if len(up.PermitRequests)+len(up.PermitsDone) > 0 {
-		e.givePermits()
+		e.grantPermits()
 	}
-	e.noteReachability(name)
-	e.announce()
+	e.updateReachability(name)
+	e.wakeRequests()
 }
 
 // lost takes the end of a connection.
-func (e *entry) lost(l *entryLink) {
+func (e *entry) handleConnectionLost(l *entryLink) {
 	if e.links[l.name] == l {
 		e.view.Lost(l.name)
 	}
 	e.permits.AgentGone(e.now(), l.name)
-	delete(e.told, l.name)
-	e.noteReachability(l.name)
-	e.announce()
+	delete(e.sentRevision, l.name)
+	e.updateReachability(l.name)
+	e.wakeRequests()
 }
 
 // hostsChanged takes a new host list.
@@ -88,18 +88,18 @@
 			e.send(name, &wirepb.ControlDown{HostState: wirepb.HostState_HOST_LEAVING})
 		}
 	}
-	e.wakeGrants(grantSettle)
-	e.announce()
+	e.scheduleGrantRound(grantSettle)
+	e.wakeRequests()
 }
 
 // noteReachability keeps since when an endpoint answers or not, and what else of its report the grants are decided from.
-func (e *entry) noteReachability(endpoint string) {
+func (e *entry) updateReachability(endpoint string) {
 	next := reachability{since: e.now()}
 	if ep := e.endpoint(endpoint); ep != nil {
 		next.reachable, next.leaving = ep.Connected && ep.Status.GetReady(), ep.Leaving
 		next.memory, next.kind, next.labels = ep.Status.GetMemoryBytes(), ep.Status.GetKind(), ep.Status.GetLabels()
 	}
-	old, known := e.since[endpoint]
+	old, known := e.reachabilityOf[endpoint]
 	same := old.reachable == next.reachable && old.leaving == next.leaving && old.memory == next.memory &&
 		old.kind == next.kind && maps.Equal(old.labels, next.labels)
 	if known && same {
@@ -108,21 +108,21 @@
 	if known && old.reachable == next.reachable {
 		next.since = old.since
 	}
-	e.since[endpoint] = next
+	e.reachabilityOf[endpoint] = next
 	e.version++
-	e.wakeGrants(grantSettle)
+	e.scheduleGrantRound(grantSettle)
 }
 
 // pushTo sends an agent the deltas since what it was last sent or said that it holds, or a snapshot.
-func (e *entry) pushTo(endpoint string) {
+func (e *entry) pushDeclarations(endpoint string) {
 	set := e.store.Current()
-	told, known := e.told[endpoint]
-	if !known || told >= set.Revision() {
+	sent, known := e.sentRevision[endpoint]
+	if !known || sent >= set.Revision() {
 		return
 	}
-	e.told[endpoint] = set.Revision()
-	deltas, ok := e.store.DeltasSince(told)
-	if !ok || told == 0 {
+	e.sentRevision[endpoint] = set.Revision()
+	deltas, ok := e.store.DeltasSince(sent)
+	if !ok || sent == 0 {
 		e.send(endpoint, &wirepb.ControlDown{Snapshot: set.Snapshot()})
 		return
 	}
@@ -130,12 +130,12 @@
 }
 
 const (
-	behindPatience = time.Second
-	behindAgain    = time.Second
+	behindTimeout        = time.Second
+	stateRequestInterval = time.Second
 )
 
 // catchUp asks an agent for the declarations when it holds higher ones and the table does not show them.
-func (e *entry) catchUp(endpoint string, status *wirepb.Status) {
+func (e *entry) checkBehind(endpoint string, status *wirepb.Status) {
 	now := e.now()
 	if status.DeclarationsRevision <= e.store.Current().Revision() {
 		return
@@ -143,22 +143,22 @@
 	if e.behindSince.IsZero() {
 		e.behindSince = now
 	}
-	if now.Sub(e.behindSince) >= behindPatience && now.Sub(e.behindAsked) >= behindAgain {
-		e.behindAsked = now
+	if now.Sub(e.behindSince) >= behindTimeout && now.Sub(e.stateRequestedAt) >= stateRequestInterval {
+		e.stateRequestedAt = now
 		e.send(endpoint, &wirepb.ControlDown{WantState: true})
 	}
 }
 
 // pushRows sends changed rows to the agents that they name or have named.
 func (e *entry) pushRows() {
-	rows, deleted, next := e.grants.Changed(e.point)
-	e.point = next
+	rows, deleted, next := e.grants.Changed(e.rowsCursor)
+	e.rowsCursor = next
 	for _, row := range rows {
-		before, now := e.named[row.Model], map[string]bool{}
+		before, now := e.rowEngines[row.Model], map[string]bool{}
 		for _, s := range row.Slots {
 			now[s.Engine] = true
 		}
-		e.named[row.Model] = now
+		e.rowEngines[row.Model] = now
 		down := &wirepb.ControlDown{Rows: []*replicaspb.Row{row}}
 		for _, name := range e.endpoints() {
 			if now[name] || before[name] {
@@ -167,23 +167,23 @@
 		}
 	}
 	for _, model := range deleted {
-		delete(e.named, model)
+		delete(e.rowEngines, model)
 	}
 	if len(rows) > 0 {
-		e.announce()
+		e.wakeRequests()
 	}
 }
 
 // pushPermits answers the agents' asking for permits as time passes.
 func (e *entry) pushPermits() {
 	wait := time.Second
-	if next := e.givePermits(); !next.IsZero() {
+	if next := e.grantPermits(); !next.IsZero() {
 		wait = min(wait, max(10*time.Millisecond, next.Sub(e.now())))
 	}
 	e.later(wait, e.pushPermits)
 }
 
-func (e *entry) givePermits() time.Time {
+func (e *entry) grantPermits() time.Time {
 	for _, g := range e.permits.Decide(e.now()) {
 		e.send(g.Agent, &wirepb.ControlDown{Permits: []*wirepb.Permit{g.Permit}})
 	}
@@ -191,7 +191,7 @@
 }
 
 // announce wakes the requests that wait for an endpoint.
-func (e *entry) announce() {
+func (e *entry) wakeRequests() {
 	for _, r := range sortedRequests(e.picking) {
 		e.soon(r.repick())
 	}
@@ -231,7 +231,7 @@
 		}
 		views = append(views, replicas.EngineView{
 			Name: name, FailureDomain: ep.FailureDomain, Host: ep.HostID, Labels: e.labels(ep),
-			MemoryBytes: ep.Status.GetMemoryBytes(), Reachable: e.since[name].reachable, Since: e.since[name].since,
+			MemoryBytes: ep.Status.GetMemoryBytes(), Reachable: e.reachabilityOf[name].reachable, Since: e.reachabilityOf[name].since,
 			Leaving: ep.Leaving, Drain: e.drained(name),
 		})
 	}
@@ -333,7 +333,7 @@
 func (e *entry) candidate(ep *membership.Endpoint, t admission.Target, index int) routing.Candidate {
 	c := routing.Candidate{
 		Endpoint: ep.Name, FailureDomain: ep.FailureDomain, SlotIndex: index, HasAdapter: t.Adapter == "",
-		ReportedAt: ep.ReportedAt, Sent: e.sent[ep.Name], Leaving: ep.Leaving || e.drained(ep.Name),
+		ReportedAt: ep.ReportedAt, Sent: e.inFlight[ep.Name], Leaving: ep.Leaving || e.drained(ep.Name),
 		Reachable: ep.Connected && ep.Status.GetReady(), Wait: micros(ep.Status.GetLoad().GetWaitMicros()),
 		Cached: slices.Contains(ep.Status.GetCached(), t.Model),
 	}
--- a/internal/joined/core_test.go
+++ b/internal/joined/core_test.go
@@ -16,41 +16,41 @@
 type decision struct{ refusal *admission.Refusal }
 
 // waiting is a request in an agent's queue.
-type waiting struct {
+type queuedRequest struct {
 	request admission.Request
 	decided bool
 	// decide takes the first decision.
 	decide func(decision)
 	cold   bool
-	wakeAt time.Time
+	loadAt time.Time
 }
 
 // core joins the queue of waiting requests with the loading machine, as the agent's core does.
 type core struct {
 	*agent
-	queue   *admission.Queue
-	times   *admission.ServiceTimes
-	machine *loading.Machine
-	policy  *idle.Policy
-	limits  map[string]int
-	waiting map[string]*waiting
-	held    map[string]*waiting
-	running map[string]admission.Target
-	busy    map[admission.Target]int
-	usable  map[admission.Target]bool
-	leaving bool
-	up      bool
+	queue        *admission.Queue
+	times        *admission.ServiceTimes
+	machine      *loading.Machine
+	policy       *idle.Policy
+	limits       map[string]int
+	queued       map[string]*queuedRequest
+	heldBatch    map[string]*queuedRequest
+	running      map[string]admission.Target
+	runningCount map[admission.Target]int
+	usable       map[admission.Target]bool
+	leaving      bool
+	up           bool
 }
 
 func newCore(a *agent, queue *admission.Queue, machine *loading.Machine, policy *idle.Policy) *core {
 	return &core{
 		agent: a, queue: queue, times: admission.NewServiceTimes(), machine: machine, policy: policy,
-		limits: map[string]int{}, waiting: map[string]*waiting{}, held: map[string]*waiting{},
-		running: map[string]admission.Target{}, busy: map[admission.Target]int{}, usable: map[admission.Target]bool{},
+		limits: map[string]int{}, queued: map[string]*queuedRequest{}, heldBatch: map[string]*queuedRequest{},
+		running: map[string]admission.Target{}, runningCount: map[admission.Target]int{}, usable: map[admission.Target]bool{},
 	}
 }
 
-func (w *waiting) settle(d decision) {
+func (w *queuedRequest) resolve(d decision) {
 	if !w.decided {
 		w.decided = true
 		w.decide(d)
@@ -58,37 +58,37 @@
 }
 
 // offer takes a request into the queue or refuses it at once.
-func (c *core) offer(w *waiting) *admission.Refusal {
-	refusal, actions := c.offerTo(w)
+func (c *core) offer(w *queuedRequest) *admission.Refusal {
+	refusal, actions := c.enqueue(w)
 	c.perform(actions)
-	c.stir()
+	c.scheduleWrites()
 	return refusal
 }
 
-func (c *core) offerTo(w *waiting) (*admission.Refusal, []loading.Action) {
+func (c *core) enqueue(w *queuedRequest) (*admission.Refusal, []loading.Action) {
 	now, r := c.now(), w.request
 	if refusal := c.unavailable(r); refusal != nil {
 		return refusal, nil
 	}
 	displaced, refusal := c.queue.Offer(now, r, c.estimate(r.Target))
 	actions := c.refuseAll(displaced)
-	if c.w.without == guardDisplaced {
+	if c.w.disabledGuard == guardDisplacedActions {
 		actions = nil
 	}
 	if refusal != nil {
-		c.doubt(r.Target, refusal)
+		c.fadeEstimate(r.Target, refusal)
 		return refusal, actions
 	}
 	w.cold = !c.isUsable(r.Target)
-	c.waiting[r.ID] = w
-	return nil, append(actions, c.demand(now, w)...)
+	c.queued[r.ID] = w
+	return nil, append(actions, c.enqueueDemand(now, w)...)
 }
 
 // doubt lets the estimate of a target fade by which a request is refused although nothing is before it: a single slow one
 // would else have all later ones refused, and no shorter time would ever be seen.
-func (c *core) doubt(t admission.Target, refusal *admission.Refusal) {
+func (c *core) fadeEstimate(t admission.Target, refusal *admission.Refusal) {
 	alone := c.runningOf(t) == 0 && c.queue.Waiting(t) == 0
-	if alone && refusal.Reason == wirepb.RefusalReason_DEADLINE && c.w.without != guardFade {
+	if alone && refusal.Reason == wirepb.RefusalReason_DEADLINE && c.w.disabledGuard != guardEstimateFade {
 		c.times.Fade(t)
 	}
 }
@@ -107,14 +107,14 @@
 
 // cancel takes a waiting request away.
 func (c *core) cancel(id string) {
-	if c.waiting[id] != nil {
+	if c.queued[id] != nil {
 		c.perform(c.remove(id))
 	}
 }
 
 func (c *core) remove(id string) []loading.Action {
-	delete(c.waiting, id)
-	delete(c.held, id)
+	delete(c.queued, id)
+	delete(c.heldBatch, id)
 	c.queue.Remove(id)
 	if c.machine == nil {
 		return nil
@@ -128,7 +128,7 @@
 		return
 	}
 	c.perform(c.stepMachine(c.now(), e))
-	c.stir()
+	c.scheduleWrites()
 }
 
 func (c *core) stepMachine(now time.Time, e loading.Event) []loading.Action {
@@ -149,7 +149,7 @@
 	switch a := a.(type) {
 	case loading.Usable:
 		c.usable[admission.Target{Model: a.Model, Adapter: a.Adapter}] = true
-		return c.pump(now)
+		return c.startReady(now)
 	case loading.Unusable:
 		maps.DeleteFunc(c.usable, func(t admission.Target, _ bool) bool {
 			return t.Model == a.Model && (a.Adapter == "" || t.Adapter == a.Adapter)
@@ -161,19 +161,19 @@
 }
 
 func (c *core) refuseDemand(a loading.RefuseDemand) {
-	for _, id := range slices.Sorted(maps.Keys(c.waiting)) {
-		w := c.waiting[id]
-		if !concerns(a, w.request) {
+	for _, id := range slices.Sorted(maps.Keys(c.queued)) {
+		w := c.queued[id]
+		if !refusalMatches(a, w.request) {
 			continue
 		}
-		delete(c.waiting, id)
-		delete(c.held, id)
+		delete(c.queued, id)
+		delete(c.heldBatch, id)
 		c.queue.Remove(id)
-		w.settle(decision{refusal: &admission.Refusal{ID: id, Reason: a.Reason, RetryAfter: a.RetryAfter, Detail: a.Detail}})
+		w.resolve(decision{refusal: &admission.Refusal{ID: id, Reason: a.Reason, RetryAfter: a.RetryAfter, Detail: a.Detail}})
 	}
 }
 
-func concerns(a loading.RefuseDemand, r admission.Request) bool {
+func refusalMatches(a loading.RefuseDemand, r admission.Request) bool {
 	if a.Request != "" {
 		return a.Request == r.ID
 	}
@@ -183,11 +183,11 @@
 func (c *core) refuseAll(refusals []admission.Refusal) []loading.Action {
 	var actions []loading.Action
 	for _, r := range refusals {
-		w := c.waiting[r.ID]
+		w := c.queued[r.ID]
 		if w == nil {
 			continue
 		}
-		w.settle(decision{refusal: &r})
+		w.resolve(decision{refusal: &r})
 		actions = append(actions, c.remove(r.ID)...)
 	}
 	return actions
@@ -199,7 +199,7 @@
 	actions := c.refuseAll(c.queue.Expire(now, c.estimate))
 	next := c.queue.Wake()
 	if c.machine != nil {
-		woken, wakeNext := c.wakeDue(now)
+		woken, wakeNext := c.releaseDue(now)
 		actions = append(actions, woken...)
 		actions = append(actions, c.stepMachine(now, loading.Tick{})...)
 		next = earlier(earlier(next, wakeNext), c.machine.NextDeadline())
@@ -227,7 +227,7 @@
 		actions = append(actions, c.stepMachine(c.now(), loading.Leaving{})...)
 	}
 	c.perform(actions)
-	c.stir()
+	c.scheduleWrites()
 }
 
 // declare takes in new declarations.
@@ -255,38 +255,38 @@
 	if c.machine != nil {
 		actions = c.stepMachine(c.now(), specs)
 	}
-	c.perform(append(actions, c.pump(c.now())...))
-	c.stir()
+	c.perform(append(actions, c.startReady(c.now())...))
+	c.scheduleWrites()
 }
 
 // finish ends a running request.
-func (c *core) finish(id string, took spent) {
+func (c *core) finish(id string, d durations) {
 	now := c.now()
 	target, ok := c.running[id]
 	if !ok {
 		return
 	}
 	delete(c.running, id)
-	c.busy[target]--
-	if took.first > 0 {
-		c.times.ObserveFirst(target, took.first)
+	c.runningCount[target]--
+	if d.firstByte > 0 {
+		c.times.ObserveFirst(target, d.firstByte)
 	}
-	if took.whole > 0 {
-		c.times.Observe(target, took.whole)
+	if d.whole > 0 {
+		c.times.Observe(target, d.whole)
 	}
 	var actions []loading.Action
 	if c.machine != nil {
 		actions = c.stepMachine(now, loading.Finished{Request: id})
 	}
-	c.perform(append(actions, c.pump(now)...))
-	c.stir()
+	c.perform(append(actions, c.startReady(now)...))
+	c.scheduleWrites()
 }
 
 // spent is how long a request ran: to its first answer bytes and to its end, 0 where it did not get there.
-type spent struct{ first, whole time.Duration }
+type durations struct{ firstByte, whole time.Duration }
 
 // pump starts waiting requests while their targets can run and have room.
-func (c *core) pump(now time.Time) []loading.Action {
+func (c *core) startReady(now time.Time) []loading.Action {
 	var actions []loading.Action
 	for {
 		r, expired, ok := c.queue.NextAny(now, c.startable)
@@ -306,16 +306,16 @@
 }
 
 func (c *core) startRequest(now time.Time, r admission.Request) []loading.Action {
-	w := c.waiting[r.ID]
-	delete(c.waiting, r.ID)
-	delete(c.held, r.ID)
+	w := c.queued[r.ID]
+	delete(c.queued, r.ID)
+	delete(c.heldBatch, r.ID)
 	c.running[r.ID] = r.Target
-	c.busy[r.Target]++
+	c.runningCount[r.Target]++
 	var actions []loading.Action
 	if c.machine != nil {
 		actions = c.stepMachine(now, loading.Started{Request: r.ID, Model: r.Target.Model, Adapter: r.Target.Adapter})
 	}
-	w.settle(decision{})
+	w.resolve(decision{})
 	return actions
 }
 
@@ -335,7 +335,7 @@
 
 func (c *core) runningOf(t admission.Target) int {
 	n := 0
-	for other, count := range c.busy {
+	for other, count := range c.runningCount {
 		if other.Model == t.Model && other.Service == t.Service {
 			n += count
 		}
--- a/internal/joined/engine_test.go
+++ b/internal/joined/engine_test.go
@@ -27,8 +27,8 @@
 	// orderTimeout is when an agent gives an order up.
 	orderTimeout = 12 * time.Second
 	// lateOrder is the longest delay of an order, and longestAdapterLoad leaves it time to end within its life.
-	lateOrder          = 5 * time.Second
-	longestAdapterLoad = 2 * time.Second
+	maxOrderDelay  = 5 * time.Second
+	maxAdapterLoad = 2 * time.Second
 )
 
 // engineModel is a model version in an engine's memory.
@@ -39,8 +39,8 @@
 	adapters map[string]*engineAdapter
 	// waiting are orders that want the model loaded, leaving those that wait for its unload, and next those that wait for
 	// the memory to be free.
-	waiting, leaving []*engineOrder
-	next             []*engineOrder
+	loadOrders, unloadOrders []*engineOrder
+	nextLoads                []*engineOrder
 }
 
 type engineAdapter struct {
@@ -56,7 +56,7 @@
 	agent       *agent
 	arrived     bool
 	// left is set when the sender stopped by plan although it had no answer yet.
-	left bool
+	senderStopped bool
 	// reply takes the answer; nil once the sender has given up or died.
 	reply func(error)
 }
@@ -64,24 +64,24 @@
 // engine is a model engine. Its orders may come late and their answers get lost.
 type engine struct {
 	*world
-	host        *host
-	fencing     fencing
-	limit, base int64
-	up          bool
-	incarnation int
-	highest     uint64
+	host         *host
+	fencing      fencing
+	limit, base  int64
+	up           bool
+	incarnation  int
+	highestFence uint64
 	// newest is the number of the newest agent of which an order was taken.
-	newest int
-	models map[string]*engineModel
-	orders map[*engineOrder]bool
-	runs   map[*run]bool
+	newestAgent int
+	models      map[string]*engineModel
+	orders      map[*engineOrder]bool
+	runs        map[*run]bool
 	// cached lists the model versions whose checkpoint is on the host; loads of others read the weight store.
 	cached map[string]string
 	// script, when set, says how late an order comes, and whether its answer is lost at once.
-	script func(endpoint.Order) (late time.Duration, lost bool)
+	orderHook func(endpoint.Order) (late time.Duration, lost bool)
 	// readTime, when set, is how long a read of the state takes, and firstTime the time from an answer's head to its first
 	// bytes.
-	readTime, firstTime time.Duration
+	readDelay, firstByteDelay time.Duration
 }
 
 func newEngine(h *host, f fencing) *engine {
@@ -108,7 +108,7 @@
 		Incarnation: strconv.Itoa(e.incarnation), MemoryBytes: e.limit, UsedBytes: e.used(), Cached: maps.Clone(e.cached),
 	}
 	if e.fencing != fencingIgnored {
-		s.HighestFence = e.highest
+		s.HighestFence = e.highestFence
 	}
 	for _, name := range slices.Sorted(maps.Keys(e.models)) {
 		m := e.models[name]
@@ -135,10 +135,10 @@
 
 // checkSender checks that an engine which checks fencing numbers takes no order of a former agent after one of a later.
 func (e *engine) checkSender(o *engineOrder) {
-	if e.fencing != fencingIgnored && o.agent.number < e.newest {
+	if e.fencing != fencingIgnored && o.agent.number < e.newestAgent {
 		e.violated("fencing", "%s takes order %s of %s, which is gone", e.host.endpoint, o.ID, o.agent.name)
 	}
-	e.newest = max(e.newest, o.agent.number)
+	e.newestAgent = max(e.newestAgent, o.agent.number)
 }
 
 // checkMemory checks that what an order loads fits.
@@ -150,16 +150,16 @@
 
 // cut ends running requests in the middle. An order that does so is a fault, unless its sender crashed: requests may run on
 // what is loaded before all orders of a crashed agent are over.
-func (e *engine) cut(which func(*run) bool, by *engineOrder) {
+func (e *engine) abortRuns(match func(*run) bool, by *engineOrder) {
 	for _, r := range sortedRuns(e.runs) {
-		if !which(r) {
+		if !match(r) {
 			continue
 		}
-		if by != nil && !r.cancelled && (by.agent == e.host.agent || by.left) {
+		if by != nil && !r.cancelled && (by.agent == e.host.agent || by.senderStopped) {
 			e.violated("P8", "order %s to %s cuts request %s of %s %s", by.ID, e.host.endpoint, r.request, r.model, r.adapter)
 		}
 		delete(e.runs, r)
-		r.cut()
+		r.truncate()
 	}
 }
 
@@ -170,9 +170,9 @@
 	e.up = true
 	e.incarnation++
 	if e.fencing == fencingVolatile {
-		e.highest = 0
+		e.highestFence = 0
 	}
-	if e.chance(2) {
+	if e.oneIn(2) {
 		clear(e.cached)
 	}
 }
@@ -185,7 +185,7 @@
 			e.answer(o, endpoint.ErrOutcomeUnknown)
 		}
 	}
-	e.cut(func(*run) bool { return true }, nil)
+	e.abortRuns(func(*run) bool { return true }, nil)
 	e.dirty = true
 }
 
--- a/internal/joined/entry_test.go
+++ b/internal/joined/entry_test.go
@@ -20,54 +20,54 @@
 )
 
 const (
-	listInterval  = time.Second
-	redialDelay   = 300 * time.Millisecond
-	pollInterval  = 500 * time.Millisecond
-	mostBackoff   = 2 * time.Second
-	grantSettle   = 20 * time.Millisecond
-	readinessTime = 500 * time.Millisecond
+	listInterval   = time.Second
+	redialDelay    = 300 * time.Millisecond
+	pollInterval   = 500 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	grantSettle    = 20 * time.Millisecond
+	readinessDelay = 500 * time.Millisecond
 )
 
 // entry is the process on an entry host: the machines of package entry, joined as its shell joins them.
 type entry struct {
 	*process
-	w        *world
-	table    *tableClient
-	view     *membership.View
-	store    *declarations.Store
-	skipping *skippingClock
-	grants   *replicas.Manager
-	rounds   *roundClock
-	claims   *atmostonce.Claims
-	router   *routing.Router
-	budget   *routing.RetryBudget
-	limiter  *admission.Limiter
-	permits  *permits.Budget
+	w         *world
+	table     *tableClient
+	view      *membership.View
+	store     *declarations.Store
+	skipClock *skippingClock
+	grants    *replicas.Manager
+	rounds    *roundClock
+	claims    *atmostonce.Claims
+	router    *routing.Router
+	budget    *routing.RetryBudget
+	limiter   *admission.Limiter
+	permits   *permits.Budget
 
 	links map[string]*entryLink
 	// told is the declarations' revision that each connected agent was last sent, since since when endpoints answer or not.
-	told    map[string]uint64
-	since   map[string]reachability
-	version uint64
+	sentRevision   map[string]uint64
+	reachabilityOf map[string]reachability
+	version        uint64
 	// views are the engines as of viewsVersion.
 	views        []replicas.EngineView
 	viewsVersion uint64
 	// behindSince is when an agent was first heard to hold a higher revision, behindAsked when one was last asked for it.
-	behindSince, behindAsked time.Time
-	named                    map[string]map[string]bool
-	point                    uint64
-	sent                     map[string]int
-	picking                  map[*request]bool
+	behindSince, stateRequestedAt time.Time
+	rowEngines                    map[string]map[string]bool
+	rowsCursor                    uint64
+	inFlight                      map[string]int
+	picking                       map[*request]bool
 	// requests are those in flight, committed those whose fate is awaited in the background.
-	requests map[*request]bool
-	sequence int
-	roundAt  time.Duration
-	failures int
-	revision uint64
-	listed   bool
-	draining bool
+	requests    map[*request]bool
+	sequence    int
+	roundAt     time.Duration
+	failures    int
+	revision    uint64
+	hostsListed bool
+	draining    bool
 	// tableFreed is when the way to the table was last freed.
-	tableFreed time.Duration
+	tableReachableAt time.Duration
 }
 
 // reachability is whether an endpoint answers and since when, and what else of its report the grants are decided from.
@@ -95,21 +95,21 @@
 		budget:  routing.NewRetryBudget(routing.BudgetOptions{}),
 		limiter: admission.NewLimiter(admission.LimiterOptions{MaxInFlight: 40, MaxBatch: 20, Seed: w.random.Uint64()}),
 		permits: permits.NewBudget(permits.Options{LoadsPerSecond: 4, LoadsAtOnce: 2, Lease: 4 * time.Second, MaxRetry: time.Second / 2}),
-		links:   map[string]*entryLink{}, told: map[string]uint64{}, since: map[string]reachability{},
-		named: map[string]map[string]bool{}, sent: map[string]int{}, picking: map[*request]bool{}, requests: map[*request]bool{},
+		links:   map[string]*entryLink{}, sentRevision: map[string]uint64{}, reachabilityOf: map[string]reachability{},
+		rowEngines: map[string]map[string]bool{}, inFlight: map[string]int{}, picking: map[*request]bool{}, requests: map[*request]bool{},
 	}
 	e.start()
-	e.skipping = &skippingClock{}
+	e.skipClock = &skippingClock{}
 	e.store = declarations.NewStore(declarations.Options{LogKeep: 16, EditTimeout: 3 * time.Second, Seed: w.random.Uint64()},
-		e.table, e.skipping, noLog, noMetrics{})
-	e.claims = atmostonce.NewClaims(e.table, atmostonce.ClaimsOptions{Patience: claimPatience, Seed: w.random.Uint64()})
+		e.table, e.skipClock, discardLogger, discardRegisterer{})
+	e.claims = atmostonce.NewClaims(e.table, atmostonce.ClaimsOptions{Patience: claimTimeout, Seed: w.random.Uint64()})
 	e.rounds = &roundClock{process: e.process, started: e.now()}
 	options := replicas.DefaultOptions()
 	options.Policy, options.Incarnation, options.Seed = grantPolicy(), w.random.Uint64(), w.random.Uint64()
 	options.FullInterval = 5 * time.Second
 	options.WritesPerSecond, options.ParallelWrites = float64(rate.Inf), 1
 	inputs := replicas.Inputs{Declarations: e, Engines: e, Peers: e, Usage: e}
-	e.grants = replicas.NewManager(options, e.table, inputs, e.rounds, noLog, noMetrics{}, nil)
+	e.grants = replicas.NewManager(options, e.table, inputs, e.rounds, discardLogger, discardRegisterer{}, nil)
 	return e
 }
 
@@ -118,9 +118,9 @@
 	e.logf("%s starts", e.name)
 	e.poll()
 	e.readHosts()
-	e.wakeGrants(0)
+	e.scheduleGrantRound(0)
 	e.pushPermits()
-	e.keepClaims()
+	e.maintainClaims()
 }
 
 // poll reads the declarations from the table.
@@ -128,17 +128,17 @@
 	wait := pollInterval
 	if _, _, err := e.store.Operation(context.Background(), "none", 0); err != nil {
 		e.failures = min(e.failures+1, 2)
-		wait = min(wait<<e.failures, mostBackoff)
+		wait = min(wait<<e.failures, maxBackoff)
 	} else {
 		e.failures = 0
 	}
-	e.skipping.skipped = 0
-	e.declarationsRead()
+	e.skipClock.skipped = 0
+	e.pushRevision()
 	e.later(e.jitter(wait), e.poll)
 }
 
 // declarationsRead pushes a new revision to the agents.
-func (e *entry) declarationsRead() {
+func (e *entry) pushRevision() {
 	revision := e.store.Current().Revision()
 	if revision < e.revision {
 		e.violated("P9", "%s goes back from revision %d to %d", e.name, e.revision, revision)
@@ -151,26 +151,26 @@
 	e.soon(func() {
 		for _, name := range e.endpoints() {
 			if e.endpoint(name).Connected {
-				e.pushTo(name)
+				e.pushDeclarations(name)
 			}
 		}
-		e.wakeGrants(grantSettle)
-		e.announce()
+		e.scheduleGrantRound(grantSettle)
+		e.wakeRequests()
 	})
 }
 
 // keepClaims lets the claims that were given up be freed in the background.
-func (e *entry) keepClaims() {
-	if !e.w.table.down && !e.table.cut && e.w.table.lossy == 0 {
-		e.w.freeClaims(e.claims)
+func (e *entry) maintainClaims() {
+	if !e.w.table.down && !e.table.cut && e.w.table.failOneIn == 0 {
+		e.w.runClaims(e.claims)
 	}
-	e.later(e.jitter(2*time.Second), e.keepClaims)
+	e.later(e.jitter(2*time.Second), e.maintainClaims)
 }
 
 // wakeGrants lets the manager of the grants do a round within a time.
-func (e *entry) wakeGrants(d time.Duration) {
-	at := e.at + d
-	if e.roundAt > e.at && e.roundAt <= at {
+func (e *entry) scheduleGrantRound(d time.Duration) {
+	at := e.elapsed + d
+	if e.roundAt > e.elapsed && e.roundAt <= at {
 		return
 	}
 	e.roundAt = at
@@ -181,7 +181,7 @@
 		e.roundAt = 0
 		next := e.rounds.round(e.grants)
 		e.pushRows()
-		e.wakeGrants(next)
+		e.scheduleGrantRound(next)
 	})
 }
 
@@ -194,7 +194,7 @@
 			e.adjustLinks()
 			e.hostsChanged()
 		}
-		e.listed = true
+		e.hostsListed = true
 	})
 	e.later(e.jitter(listInterval), e.readHosts)
 }
@@ -257,16 +257,16 @@
 func (l *entryLink) connected(c *conn) {
 	l.conn, l.pending = c, nil
 	l.control = c.openStream(
-		func(m any) { l.e.reported(l, m.(*wirepb.ControlUp)) },
+		func(m any) { l.e.handleReport(l, m.(*wirepb.ControlUp)) },
 		func() { c.fail(atEntry) },
 	)
 	_ = l.control.write(atEntry, &wirepb.StreamHeader{Kind: wirepb.StreamKind_CONTROL, Entry: l.e.name})
-	c.closed = func() {
+	c.onClose = func() {
 		l.conn, l.control = nil, nil
-		l.e.lost(l)
+		l.e.handleConnectionLost(l)
 		l.redial()
 	}
-	l.e.connectedTo(l.name)
+	l.e.handleConnected(l.name)
 	l.heartbeat(c)
 }
 
@@ -340,7 +340,7 @@
 
 func (e *entry) finish() {
 	e.end()
-	e.w.net.exited(e.process, false)
+	e.w.net.closeProcessConns(e.process, false)
 }
 
 // stop is the planned stop: the balancer sends callers elsewhere, what is in flight is finished, then the process ends.
@@ -350,12 +350,12 @@
 	}
 	e.logf("%s stops by plan", e.name)
 	e.draining = true
-	e.later(readinessTime, e.awaitEnd)
+	e.later(readinessDelay, e.awaitIdle)
 }
 
-func (e *entry) awaitEnd() {
+func (e *entry) awaitIdle() {
 	if len(e.requests) > 0 {
-		e.later(10*time.Millisecond, e.awaitEnd)
+		e.later(10*time.Millisecond, e.awaitIdle)
 		return
 	}
 	e.logf("%s has stopped", e.name)
@@ -364,11 +364,11 @@
 
 // ready reports whether callers may be sent here.
 func (e *entry) ready() bool {
-	return e.alive && !e.draining && e.listed && (e.store.Ready() || e.learned())
+	return e.alive && !e.draining && e.hostsListed && (e.store.Ready() || e.caughtUp())
 }
 
 // learned reports whether an entry that cannot read the table holds the highest revision that the agents it reaches hold.
-func (e *entry) learned() bool {
+func (e *entry) caughtUp() bool {
 	revision := e.store.Current().Revision()
 	for _, name := range e.endpoints() {
 		if ep := e.endpoint(name); ep.Connected && ep.Status.GetDeclarationsRevision() > revision {
--- a/internal/joined/execution_test.go
+++ b/internal/joined/execution_test.go
@@ -24,19 +24,19 @@
 	target    admission.Target
 	deadline  time.Time
 	execution *atmostonce.Execution
-	waiting   *waiting
+	waiting   *queuedRequest
 	refusal   *admission.Refusal
 	cold      bool
 	run       *run
 	began     time.Time
-	took      spent
+	durations durations
 	length    uint64
 	checksum  *xxhash.Digest
 	tail      string
 	status    int
 	// watched is set while the call is given up at the deadline.
-	watched bool
-	served  bool
+	deadlineArmed bool
+	closed        bool
 }
 
 func newExchange(a *agent, s *stream, first *wirepb.ToAgent) *exchange {
@@ -53,7 +53,7 @@
 
 // serve queues the request and follows it to its end.
 func (x *exchange) serve() {
-	x.waiting = &waiting{
+	x.waiting = &queuedRequest{
 		request: admission.Request{
 			ID: x.key, Target: x.target, Class: x.offer.Class, Caller: x.offer.Caller, Arrived: x.now(), Deadline: x.deadline,
 			Stream: x.offer.Stream,
@@ -63,23 +63,23 @@
 	if refusal := x.core.offer(x.waiting); refusal != nil {
 		x.refusal = refusal
 		x.sendRefused()
-		x.leaveStream()
+		x.closeStream()
 		return
 	}
-	x.w.offerAccepted(x)
+	x.w.checkAccepted(x)
 	load := x.core.load(x.target)
 	load.WaitMicros = max(load.WaitMicros, x.core.readyIn(x.waiting).Microseconds())
 	x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Accepted{Accepted: &wirepb.Accepted{Load: load, Cold: x.waiting.cold}}})
 	end := &x.stream.ends[atAgent]
-	end.got = x.frame
-	end.lost = func() { x.step(atmostonce.EntryLost) }
+	end.onMessage = x.handleFrame
+	end.onClose = func() { x.step(atmostonce.EntryLost) }
 	if end.closed {
 		x.step(atmostonce.EntryLost)
 	}
 }
 
 // frame takes a further frame of the entry.
-func (x *exchange) frame(message any) {
+func (x *exchange) handleFrame(message any) {
 	switch message.(*wirepb.ToAgent).Frame.(type) {
 	case *wirepb.ToAgent_Commit:
 		x.step(atmostonce.GotCommit)
@@ -89,7 +89,7 @@
 }
 
 // noticedWait is the wait from which on the entry is told that a request which needs no commit starts now.
-const noticedWait = 50 * time.Millisecond
+const readyNoticeDelay = 50 * time.Millisecond
 
 // decide takes the queue's decision.
 func (x *exchange) decide(d decision) {
@@ -99,7 +99,7 @@
 		return
 	}
 	x.cold = x.waiting.cold
-	if !x.offer.TwoStep && x.now().Sub(x.waiting.request.Arrived) >= noticedWait {
+	if !x.offer.TwoStep && x.now().Sub(x.waiting.request.Arrived) >= readyNoticeDelay {
 		x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Ready{Ready: &wirepb.Ready{}}})
 	}
 	x.step(atmostonce.TurnCame)
@@ -107,24 +107,24 @@
 
 func (x *exchange) step(e atmostonce.ExecutionEvent) {
 	for _, action := range x.execution.Step(e) {
-		x.act(action)
+		x.execute(action)
 	}
 	if x.execution.Ended() {
-		x.leaveStream()
+		x.closeStream()
 	}
 }
 
 // leaveStream ends the serving of the stream.
-func (x *exchange) leaveStream() {
-	if x.served {
+func (x *exchange) closeStream() {
+	if x.closed {
 		return
 	}
-	x.served = true
+	x.closed = true
 	x.inflight--
 	x.stream.close(atAgent)
 }
 
-func (x *exchange) act(action atmostonce.ExecutionAction) {
+func (x *exchange) execute(action atmostonce.ExecutionAction) {
 	switch action {
 	case atmostonce.SendReady:
 		x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Ready{Ready: &wirepb.Ready{}}})
@@ -136,11 +136,11 @@
 	case atmostonce.StartCall:
 		x.startCall()
 	case atmostonce.StopCall:
-		x.soon(func() { x.stopCall(errWithdrawn) })
+		x.soon(func() { x.stopCall(errCallCancelled) })
 	case atmostonce.LeaveQueue:
 		x.core.cancel(x.key)
 	case atmostonce.GiveBackTurn:
-		x.core.finish(x.key, x.took)
+		x.core.finish(x.key, x.durations)
 	case atmostonce.SendRefused:
 		x.sendRefused()
 	case atmostonce.SendTrailer:
@@ -171,7 +171,7 @@
 }
 
 // errWithdrawn says that the agent gave the call up.
-var errWithdrawn = errors.New("joined: call given up")
+var errCallCancelled = errors.New("joined: call given up")
 
 // startCall passes the request to the endpoint.
 func (x *exchange) startCall() {
@@ -181,13 +181,13 @@
 		world: x.w, number: x.w.runs, agent: x.agent, call: x.w.callOf[x.id], request: x.id, model: x.target.Model,
 		adapter: x.target.Adapter, streamed: x.offer.Stream, head: x.head, chunk: x.chunk, end: x.callEnded,
 	}
-	x.watched = true
+	x.deadlineArmed = true
 	x.later(max(0, x.deadline.Sub(x.now())), func() {
-		if x.watched {
-			x.stopCall(errWithdrawn)
+		if x.deadlineArmed {
+			x.stopCall(errCallCancelled)
 		}
 	})
-	x.later(maxAnswer, func() { x.stopCall(errWithdrawn) })
+	x.later(maxAnswer, func() { x.stopCall(errCallCancelled) })
 	run := x.run
 	x.soon(func() {
 		switch {
@@ -208,7 +208,7 @@
 }
 
 func (x *exchange) head(status int) {
-	busy := status == http.StatusServiceUnavailable || status == http.StatusNotFound && x.w.without != guardNotLoaded
+	busy := status == http.StatusServiceUnavailable || status == http.StatusNotFound && x.w.disabledGuard != guardNotLoaded
 	if busy && x.target.Model != "" {
 		x.status = status
 		x.callEnded(errEngineRefused)
@@ -226,9 +226,9 @@
 var errEngineRefused = errors.New("joined: the engine refused")
 
 func (x *exchange) chunk(data []byte) {
-	if x.took.first == 0 {
-		x.took.first = x.now().Sub(x.began)
-		x.watched = x.watched && !x.offer.Stream
+	if x.durations.firstByte == 0 {
+		x.durations.firstByte = x.now().Sub(x.began)
+		x.deadlineArmed = x.deadlineArmed && !x.offer.Stream
 	}
 	x.length += uint64(len(data))
 	_, _ = x.checksum.Write(data)
@@ -238,14 +238,14 @@
 
 // callEnded takes the end of the call. An engine that dies politely ends a stream without its last event.
 func (x *exchange) callEnded(err error) {
-	x.run.cancelled, x.watched = true, false
+	x.run.cancelled, x.deadlineArmed = true, false
 	if err == nil && x.offer.Stream && !strings.HasSuffix(x.tail, lastEvent) {
-		err = errAnswerBroke
+		err = errAnswerTruncated
 	}
 	x.soon(func() {
 		switch {
 		case err == nil:
-			x.took.whole = x.now().Sub(x.began)
+			x.durations.whole = x.now().Sub(x.began)
 			x.step(atmostonce.CallAnswered)
 		case errors.Is(err, endpoint.ErrUnreachable), errors.Is(err, errEngineRefused):
 			x.step(atmostonce.CallFailedClean)
--- a/internal/joined/faults_test.go
+++ b/internal/joined/faults_test.go
@@ -10,35 +10,35 @@
 type fault struct {
 	name   string
 	weight int
-	happen func(*world)
+	inject func(*world)
 }
 
 var faults = []fault{
-	{"entry crashes", 4, func(w *world) { w.crashEntry(w.someEntry()) }},
-	{"entry stops", 2, func(w *world) { w.stopEntry(w.someEntry()) }},
-	{"agent crashes", 6, func(w *world) { w.crashAgent(w.someHost()) }},
-	{"agent stops", 3, func(w *world) { w.stopAgent(w.someHost()) }},
-	{"endpoint restarts", 5, func(w *world) { w.restartEndpoint(w.someHost()) }},
-	{"entry freezes", 4, func(w *world) { w.freeze(w.someEntry().process) }},
-	{"agent freezes", 6, func(w *world) { w.freeze(w.someHost().agent.process) }},
-	{"link cut", 6, func(w *world) { w.cutLink(w.someEntry(), w.someHost(), true) }},
-	{"link half open", 6, func(w *world) { w.cutLink(w.someEntry(), w.someHost(), false) }},
-	{"agent cut off", 3, func(w *world) { w.cutOff(w.someHost()) }},
+	{"entry crashes", 4, func(w *world) { w.crashEntry(w.randomEntry()) }},
+	{"entry stops", 2, func(w *world) { w.stopEntry(w.randomEntry()) }},
+	{"agent crashes", 6, func(w *world) { w.crashAgent(w.randomHost()) }},
+	{"agent stops", 3, func(w *world) { w.stopAgent(w.randomHost()) }},
+	{"endpoint restarts", 5, func(w *world) { w.restartEndpoint(w.randomHost()) }},
+	{"entry freezes", 4, func(w *world) { w.freeze(w.randomEntry().process) }},
+	{"agent freezes", 6, func(w *world) { w.freeze(w.randomHost().agent.process) }},
+	{"link cut", 6, func(w *world) { w.cutLink(w.randomEntry(), w.randomHost(), true) }},
+	{"link half open", 6, func(w *world) { w.cutLink(w.randomEntry(), w.randomHost(), false) }},
+	{"agent cut off", 3, func(w *world) { w.cutOff(w.randomHost()) }},
 	{"connection reset", 4, func(w *world) { w.resetConn() }},
 	{"table down", 3, func(w *world) { w.tableDown() }},
 	{"table loses answers", 5, func(w *world) { w.tableLossy() }},
 	{"way to the table cut", 4, func(w *world) { w.cutFromTable() }},
-	{"host leaves", 4, func(w *world) { w.hostLeaves(w.someHost()) }},
-	{"host vanishes", 2, func(w *world) { w.hostVanishes(w.someHost()) }},
+	{"host leaves", 4, func(w *world) { w.hostLeaves(w.randomHost()) }},
+	{"host vanishes", 2, func(w *world) { w.hostVanishes(w.randomHost()) }},
 	{"failure domain vanishes", 1, (*world).domainVanishes},
 	{"all entries crash", 1, (*world).crashEntries},
 	{"store slow", 2, func(w *world) { w.setSlowStore() }},
-	{"service slow", 2, func(w *world) { w.setSlowService(w.someHost()) }},
+	{"service slow", 2, func(w *world) { w.setSlowService(w.randomHost()) }},
 }
 
 // keepFailing lets faults happen one after the other, at times several at once.
-func (w *world) keepFailing() {
-	if w.calm {
+func (w *world) injectFaults() {
+	if w.healthy {
 		return
 	}
 	total := 0
@@ -50,20 +50,20 @@
 		if at -= f.weight; at < 0 {
 			w.logf("fault: %s", f.name)
 			w.counts[f.name]++
-			f.happen(w)
+			f.inject(w)
 			break
 		}
 	}
-	longest := 9 * time.Second / time.Duration(max(1, w.intense*w.intense))
-	if w.chance(3) {
-		longest = 50 * time.Millisecond
+	maxInterval := 9 * time.Second / time.Duration(max(1, w.severity*w.severity))
+	if w.oneIn(3) {
+		maxInterval = 50 * time.Millisecond
 	}
-	w.after(w.between(0, longest), w.keepFailing)
+	w.after(w.between(0, maxInterval), w.injectFaults)
 }
 
-func (w *world) someEntry() *entry { return w.entries[pick(w.sim, w.entryNames)] }
+func (w *world) randomEntry() *entry { return w.entries[pick(w.sim, w.entryNames)] }
 
-func (w *world) someHost() *host {
+func (w *world) randomHost() *host {
 	names := []string{}
 	for _, h := range w.allHosts {
 		if w.current[h.endpoint] == h {
@@ -74,7 +74,7 @@
 }
 
 // until lets something happen after a time, or at once when the faults end.
-func (w *world) until(d time.Duration, run func()) {
+func (w *world) recoverAfter(d time.Duration, run func()) {
 	done := false
 	once := func() {
 		if !done {
@@ -82,16 +82,16 @@
 			run()
 		}
 	}
-	w.mends = append(w.mends, once)
+	w.recoveries = append(w.recoveries, once)
 	w.after(d, once)
 }
 
 // mend ends all faults.
-func (w *world) mend() {
-	w.calm = true
-	mends := w.mends
-	w.mends = nil
-	for _, run := range mends {
+func (w *world) endFaults() {
+	w.healthy = true
+	recoveries := w.recoveries
+	w.recoveries = nil
+	for _, run := range recoveries {
 		run()
 	}
 }
@@ -99,7 +99,7 @@
 func (w *world) crashEntry(e *entry) {
 	if e.alive {
 		e.crash()
-		w.until(w.between(100*time.Millisecond, 4*time.Second), func() { w.startEntry(e.name) })
+		w.recoverAfter(w.between(100*time.Millisecond, 4*time.Second), func() { w.startEntry(e.name) })
 	}
 }
 
@@ -124,13 +124,13 @@
 func (w *world) crashAgent(h *host) {
 	if h.listening() {
 		h.crashAgent()
-		w.until(w.between(0, 5*time.Second), h.startAgent)
+		w.recoverAfter(w.between(0, 5*time.Second), h.startAgent)
 	}
 }
 
 func (w *world) stopAgent(h *host) {
 	if h.listening() && !h.agent.frozen && h.leavingAt == 0 {
-		h.leavingAt = w.at
+		h.leavingAt = w.elapsed
 		h.agent.stop()
 		w.restartAgentWhenEnded(h)
 	}
@@ -153,7 +153,7 @@
 		h.engine.restart()
 	default:
 		h.service.stop()
-		w.until(w.between(0, 2*time.Second), func() { h.service.up = h.up })
+		w.recoverAfter(w.between(0, 2*time.Second), func() { h.service.up = h.up })
 	}
 }
 
@@ -162,17 +162,17 @@
 		return
 	}
 	p.freeze()
-	w.net.notice()
-	w.until(w.between(200*time.Millisecond, 14*time.Second), func() { w.thaw(p) })
+	w.net.checkConns()
+	w.recoverAfter(w.between(200*time.Millisecond, 14*time.Second), func() { w.thaw(p) })
 }
 
 func (w *world) thaw(p *process) {
 	if !p.frozen {
 		return
 	}
-	frozen := w.at - p.frozenAt
+	frozen := w.elapsed - p.frozenAt
 	p.thaw()
-	w.net.thawed(p, frozen)
+	w.net.handleThaw(p, frozen)
 }
 
 // cutLink cuts the way between two hosts, or only one direction of it.
@@ -183,7 +183,7 @@
 	if both {
 		w.net.block(l, to.other(), true)
 	}
-	w.until(w.between(100*time.Millisecond, 8*time.Second), func() {
+	w.recoverAfter(w.between(100*time.Millisecond, 8*time.Second), func() {
 		w.net.block(l, atEntry, false)
 		w.net.block(l, atAgent, false)
 	})
@@ -205,24 +205,24 @@
 
 func (w *world) tableDown() {
 	w.table.down = true
-	w.until(w.between(300*time.Millisecond, 8*time.Second), func() { w.table.down = false })
+	w.recoverAfter(w.between(300*time.Millisecond, 8*time.Second), func() { w.table.down = false })
 }
 
 func (w *world) tableLossy() {
-	w.table.lossy = 2 + w.random.IntN(6)
-	w.until(w.between(500*time.Millisecond, 6*time.Second), func() { w.table.lossy = 0 })
+	w.table.failOneIn = 2 + w.random.IntN(6)
+	w.recoverAfter(w.between(500*time.Millisecond, 6*time.Second), func() { w.table.failOneIn = 0 })
 }
 
 func (w *world) cutFromTable() {
-	if w.chance(2) {
-		e := w.someEntry()
+	if w.oneIn(2) {
+		e := w.randomEntry()
 		e.table.cut = true
-		w.until(w.between(300*time.Millisecond, 8*time.Second), func() { e.table.cut, e.tableFreed = false, w.at })
+		w.recoverAfter(w.between(300*time.Millisecond, 8*time.Second), func() { e.table.cut, e.tableReachableAt = false, w.elapsed })
 		return
 	}
-	a := w.someHost().agent
+	a := w.randomHost().agent
 	a.table.cut = true
-	w.until(w.between(300*time.Millisecond, 8*time.Second), func() { a.table.cut = false })
+	w.recoverAfter(w.between(300*time.Millisecond, 8*time.Second), func() { a.table.cut = false })
 }
 
 // hostLeaves lets the platform take a host away and put another one in its place.
@@ -230,24 +230,24 @@
 	if h.state != backing.HostLive || !h.up {
 		return
 	}
-	h.state, h.listedLeavingAt = backing.HostLeaving, w.at
+	h.state, h.listedLeavingAt = backing.HostLeaving, w.elapsed
 	if h.leavingAt == 0 {
-		h.leavingAt = w.at
+		h.leavingAt = w.elapsed
 	}
 	w.publishHosts()
-	w.until(w.between(2*time.Second, 9*time.Second), func() { w.takeAway(h) })
+	w.recoverAfter(w.between(2*time.Second, 9*time.Second), func() { w.terminateHost(h) })
 }
 
 // hostVanishes terminates a host without a warning.
 func (w *world) hostVanishes(h *host) {
 	if h.up {
-		w.takeAway(h)
+		w.terminateHost(h)
 	}
 }
 
 // domainVanishes terminates all hosts of a failure domain.
 func (w *world) domainVanishes() {
-	domain := w.someHost().domain
+	domain := w.randomHost().domain
 	for _, h := range w.allHosts {
 		if h.domain == domain {
 			w.hostVanishes(h)
@@ -261,16 +261,16 @@
 	}
 }
 
-func (w *world) takeAway(h *host) {
+func (w *world) terminateHost(h *host) {
 	if !h.up {
 		return
 	}
 	h.terminate()
-	w.until(w.between(0, 3*time.Second), func() {
+	w.recoverAfter(w.between(0, 3*time.Second), func() {
 		h.state = backing.HostGone
 		w.publishHosts()
 	})
-	w.until(w.between(0, 5*time.Second), func() {
+	w.recoverAfter(w.between(0, 5*time.Second), func() {
 		f := fencingIgnored
 		if h.engine != nil {
 			f = h.engine.fencing
@@ -286,12 +286,12 @@
 
 func (w *world) setSlowStore() {
 	w.slowStore = true
-	w.until(w.between(time.Second, 10*time.Second), func() { w.slowStore = false })
+	w.recoverAfter(w.between(time.Second, 10*time.Second), func() { w.slowStore = false })
 }
 
 func (w *world) setSlowService(h *host) {
 	if h.service != nil {
 		h.service.slow = true
-		w.until(w.between(time.Second, 5*time.Second), func() { h.service.slow = false })
+		w.recoverAfter(w.between(time.Second, 5*time.Second), func() { h.service.slow = false })
 	}
 }
--- a/internal/joined/hold_test.go
+++ b/internal/joined/hold_test.go
@@ -12,9 +12,9 @@
 )
 
 // demand tells the machine of a waiting request and starts what can run.
-func (c *core) demand(now time.Time, w *waiting) []loading.Action {
+func (c *core) enqueueDemand(now time.Time, w *queuedRequest) []loading.Action {
 	if c.machine == nil {
-		return c.pump(now)
+		return c.startReady(now)
 	}
 	if w.request.Class == wirepb.Class_BATCH && c.hold(now, w) {
 		return nil
@@ -22,56 +22,56 @@
 	if w.request.Class != wirepb.Class_BATCH {
 		c.policy.Observe(w.request.Target.Model, now)
 	}
-	return append(c.wake(now, w), c.pump(now)...)
+	return append(c.demandLoad(now, w), c.startReady(now)...)
 }
 
 // longestHold bounds how long a batch request waits for others before it wakes a model.
-const longestHold = 3 * time.Second
+const maxHold = 3 * time.Second
 
-func (c *core) hold(now time.Time, w *waiting) bool {
+func (c *core) hold(now time.Time, w *queuedRequest) bool {
 	t := w.request.Target
 	if c.isUsable(t) {
 		return false
 	}
-	options := idle.HoldOptions{Longest: longestHold, Margin: 2 * time.Second}
-	w.wakeAt = idle.HoldUntil(t.Model, now, w.request.Deadline, c.readyIn(w), options)
-	if !w.wakeAt.After(now) {
+	options := idle.HoldOptions{Longest: maxHold, Margin: 2 * time.Second}
+	w.loadAt = idle.HoldUntil(t.Model, now, w.request.Deadline, c.readyIn(w), options)
+	if !w.loadAt.After(now) {
 		return false
 	}
-	c.held[w.request.ID] = w
+	c.heldBatch[w.request.ID] = w
 	return true
 }
 
-func (c *core) wake(now time.Time, w *waiting) []loading.Action {
-	delete(c.held, w.request.ID)
+func (c *core) demandLoad(now time.Time, w *queuedRequest) []loading.Action {
+	delete(c.heldBatch, w.request.ID)
 	t := w.request.Target
 	return c.stepMachine(now, loading.Demanded{
 		Request: w.request.ID, Model: t.Model, Adapter: t.Adapter, Deadline: w.request.Deadline, Class: w.request.Class,
 	})
 }
 
-func (c *core) wakeDue(now time.Time) ([]loading.Action, time.Time) {
+func (c *core) releaseDue(now time.Time) ([]loading.Action, time.Time) {
 	due := map[string]bool{}
-	for _, w := range c.held {
-		due[w.request.Target.Model] = due[w.request.Target.Model] || !w.wakeAt.After(now)
+	for _, w := range c.heldBatch {
+		due[w.request.Target.Model] = due[w.request.Target.Model] || !w.loadAt.After(now)
 	}
 	var actions []loading.Action
 	var next time.Time
-	for _, id := range slices.Sorted(maps.Keys(c.held)) {
-		w := c.held[id]
+	for _, id := range slices.Sorted(maps.Keys(c.heldBatch)) {
+		w := c.heldBatch[id]
 		switch {
 		case w == nil:
 		case due[w.request.Target.Model]:
-			actions = append(actions, c.wake(now, w)...)
+			actions = append(actions, c.demandLoad(now, w)...)
 		default:
-			next = earlier(next, w.wakeAt)
+			next = earlier(next, w.loadAt)
 		}
 	}
 	return actions, next
 }
 
 // readyIn is the expected time until a request's target can run, 0 when it can now or nothing is known.
-func (c *core) readyIn(w *waiting) time.Duration {
+func (c *core) readyIn(w *queuedRequest) time.Duration {
 	if !w.cold || c.machine == nil {
 		return 0
 	}
--- a/internal/joined/hosts_test.go
+++ b/internal/joined/hosts_test.go
@@ -53,9 +53,9 @@
 func (h *host) endAgent(planned bool) {
 	a := h.agent
 	a.end()
-	h.net.exited(a.process, planned)
+	h.net.closeProcessConns(a.process, planned)
 	if h.engine != nil {
-		h.engine.agentGone(planned)
+		h.engine.handleAgentExit(planned)
 	}
 }
 
@@ -70,7 +70,7 @@
 	if h.service != nil {
 		h.service.stop()
 	}
-	h.net.notice()
+	h.net.checkConns()
 }
 
 // hostList is the platform's list of hosts, which lags.
@@ -78,7 +78,7 @@
 	*sim
 	versions []hostListVersion
 	// old is set when the last read was answered by a replica that lags far.
-	old bool
+	lastReadStale bool
 }
 
 type hostListVersion struct {
@@ -95,14 +95,14 @@
 
 // publish makes a new version of the list.
 func (l *hostList) publish(hosts []backing.Host) {
-	l.versions = append(l.versions, hostListVersion{at: l.at, hosts: hosts})
+	l.versions = append(l.versions, hostListVersion{at: l.elapsed, hosts: hosts})
 }
 
 // Hosts implements backing.HostList. Two reads may be answered by replicas that lag differently.
 func (l *hostList) Hosts(context.Context) ([]backing.Host, uint64, error) {
-	oldest := l.at - l.between(0, hostListLag)
-	if l.old = !l.old && l.chance(12); l.old {
-		oldest = l.at - l.between(0, rareHostListLag)
+	oldest := l.elapsed - l.between(0, hostListLag)
+	if l.lastReadStale = !l.lastReadStale && l.oneIn(12); l.lastReadStale {
+		oldest = l.elapsed - l.between(0, rareHostListLag)
 	}
 	i := len(l.versions) - 1
 	for i > 0 && l.versions[i].at > oldest {
--- a/internal/joined/network_test.go
+++ b/internal/joined/network_test.go
@@ -23,8 +23,8 @@
 const (
 	dialTimeout = time.Second
 	// leastKeepAlive and mostKeepAlive bound the time until a connection to a frozen or cut-off peer is given up.
-	leastKeepAlive = 2 * time.Second
-	mostKeepAlive  = 3500 * time.Millisecond
+	minKeepAliveTimeout = 2 * time.Second
+	maxKeepAliveTimeout = 3500 * time.Millisecond
 )
 
 // network joins entry hosts with endpoint hosts.
@@ -39,9 +39,9 @@
 // link is the way between two hosts. What is sent towards a blocked side waits until the way is free again.
 type link struct {
 	blocked [2]bool
-	parked  [2][]func()
+	waiting [2][]func()
 	// freed is when the way was last freed.
-	freed time.Duration
+	unblockedAt time.Duration
 }
 
 func (n *network) link(entry, host string) *link {
@@ -54,7 +54,7 @@
 
 // latency is usually short, and at times long enough for one stream to overtake another.
 func (n *network) latency() time.Duration {
-	if n.chance(20) {
+	if n.oneIn(20) {
 		return n.between(time.Millisecond, 80*time.Millisecond)
 	}
 	return n.between(100*time.Microsecond, 2*time.Millisecond)
@@ -64,14 +64,14 @@
 func (n *network) block(l *link, to side, blocked bool) {
 	l.blocked[to] = blocked
 	if !blocked {
-		l.freed = n.at
-		parked := l.parked[to]
-		l.parked[to] = nil
+		l.unblockedAt = n.elapsed
+		parked := l.waiting[to]
+		l.waiting[to] = nil
 		for _, run := range parked {
 			n.after(n.latency(), run)
 		}
 	}
-	n.notice()
+	n.checkConns()
 }
 
 // dial makes a connection; done gets nil when it fails. A frozen process takes it: its kernel does.
@@ -94,7 +94,7 @@
 		}
 		done(c)
 	})
-	n.notice()
+	n.checkConns()
 }
 
 // conn is one connection between an entry and an agent, with its streams.
@@ -107,16 +107,16 @@
 	open      [2]bool
 	streams   []*stream
 	// closed is called when the connection has ended at the entry.
-	closed func()
+	onClose func()
 	// troubled is set while the connection does not work and an end does not know; trouble counts how often.
-	troubled bool
-	trouble  int
+	unhealthy bool
+	outages   int
 	// planned is set when a planned stop of the agent ended the connection.
 	planned bool
 }
 
 // works reports whether the connection passes messages and answers.
-func (c *conn) works() bool {
+func (c *conn) healthy() bool {
 	for _, p := range c.processes {
 		if !p.alive || p.frozen {
 			return false
@@ -126,54 +126,54 @@
 }
 
 // notice starts the ends' patience with connections that stopped working.
-func (n *network) notice() {
+func (n *network) checkConns() {
 	n.conns = slices.DeleteFunc(n.conns, func(c *conn) bool { return c.open == [2]bool{} })
 	for _, c := range n.conns {
-		if troubled := !c.works(); troubled != c.troubled {
-			c.troubled = troubled
-			c.trouble++
-			if troubled {
-				c.watch(atEntry)
-				c.watch(atAgent)
+		if unhealthy := !c.healthy(); unhealthy != c.unhealthy {
+			c.unhealthy = unhealthy
+			c.outages++
+			if unhealthy {
+				c.startKeepAliveTimeout(atEntry)
+				c.startKeepAliveTimeout(atAgent)
 			}
 		}
 	}
 }
 
 // watch gives the connection up at one end if it does not work again in time.
-func (c *conn) watch(at side) {
-	trouble := c.trouble
-	c.processes[at].later(c.between(leastKeepAlive, mostKeepAlive), func() {
-		if c.troubled && c.trouble == trouble {
+func (c *conn) startKeepAliveTimeout(at side) {
+	outages := c.outages
+	c.processes[at].later(c.between(minKeepAliveTimeout, maxKeepAliveTimeout), func() {
+		if c.unhealthy && c.outages == outages {
 			c.fail(at)
 		}
 	})
 }
 
 // thawed lets a process that was frozen for long find some of its connections timed out.
-func (n *network) thawed(p *process, frozen time.Duration) {
+func (n *network) handleThaw(p *process, frozen time.Duration) {
 	for _, c := range n.conns {
 		for _, at := range []side{atEntry, atAgent} {
-			if c.processes[at] == p && frozen > leastKeepAlive && n.chance(2) {
+			if c.processes[at] == p && frozen > minKeepAliveTimeout && n.oneIn(2) {
 				p.soon(func() { c.fail(at) })
 			}
 		}
 	}
-	n.notice()
+	n.checkConns()
 }
 
 // exited ends the connections of a process that has ended; its kernel tells the peers.
-func (n *network) exited(p *process, planned bool) {
+func (n *network) closeProcessConns(p *process, planned bool) {
 	for _, c := range n.conns {
 		for _, at := range []side{atEntry, atAgent} {
 			if c.processes[at] == p && c.open[at] {
 				c.open[at] = false
-				c.planned = planned && c.trouble == 0
+				c.planned = planned && c.outages == 0
 				c.reset(at.other())
 			}
 		}
 	}
-	n.notice()
+	n.checkConns()
 }
 
 // fail ends the connection at one end, and tells the other one.
@@ -184,13 +184,13 @@
 	c.open[at] = false
 	for _, s := range c.streams {
 		s.pipes[at].queue = nil
-		s.lose(at)
+		s.closeEnd(at)
 	}
-	if at == atEntry && c.closed != nil {
-		c.closed()
+	if at == atEntry && c.onClose != nil {
+		c.onClose()
 	}
 	c.reset(at.other())
-	c.notice()
+	c.checkConns()
 }
 
 // reset tells an end that the other one has gone. What is on its way may be lost.
@@ -200,7 +200,7 @@
 	}
 	c.after(c.latency(), func() {
 		if c.link.blocked[at] {
-			c.link.parked[at] = append(c.link.parked[at], func() { c.reset(at) })
+			c.link.waiting[at] = append(c.link.waiting[at], func() { c.reset(at) })
 			return
 		}
 		p := c.processes[at]
@@ -217,9 +217,9 @@
 
 // streamEnd is what an end does with what comes.
 type streamEnd struct {
-	got    func(message any)
-	lost   func()
-	closed bool
+	onMessage func(message any)
+	onClose   func()
+	closed    bool
 }
 
 // pipe is what is on its way towards an end.
@@ -229,11 +229,11 @@
 type endOfStream struct{}
 
 // openStream opens a stream at the entry. The agent takes it up with the first message.
-func (c *conn) openStream(got func(any), lost func()) *stream {
+func (c *conn) openStream(onMessage func(any), onClose func()) *stream {
 	s := &stream{conn: c}
-	s.ends[atEntry] = streamEnd{got: got, lost: lost}
+	s.ends[atEntry] = streamEnd{onMessage: onMessage, onClose: onClose}
 	s.ends[atAgent] = streamEnd{}
-	s.ends[atAgent].got = func(first any) { c.agent.accept(s, first) }
+	s.ends[atAgent].onMessage = func(first any) { c.agent.accept(s, first) }
 	c.streams = slices.DeleteFunc(c.streams, func(s *stream) bool { return s.ends[atEntry].closed && s.ends[atAgent].closed })
 	c.streams = append(c.streams, s)
 	return s
@@ -258,7 +258,7 @@
 		return
 	}
 	if c.link.blocked[to] {
-		c.link.parked[to] = append(c.link.parked[to], func() { s.arrive(to) })
+		c.link.waiting[to] = append(c.link.waiting[to], func() { s.arrive(to) })
 		return
 	}
 	p := c.processes[to]
@@ -273,21 +273,21 @@
 	message := queue[0]
 	s.pipes[to].queue = queue[1:]
 	if _, ended := message.(endOfStream); ended {
-		s.lose(to)
+		s.closeEnd(to)
 		return
 	}
-	s.ends[to].got(message)
+	s.ends[to].onMessage(message)
 }
 
 // lose tells an end that nothing more comes.
-func (s *stream) lose(at side) {
+func (s *stream) closeEnd(at side) {
 	end := &s.ends[at]
 	if end.closed {
 		return
 	}
 	end.closed = true
-	if end.lost != nil {
-		end.lost()
+	if end.onClose != nil {
+		end.onClose()
 	}
 }
 
--- a/internal/joined/orders_test.go
+++ b/internal/joined/orders_test.go
@@ -9,29 +9,29 @@
 )
 
 // give takes an order from the agent; reply gets the answer.
-func (e *engine) give(a *agent, order endpoint.Order, reply func(error)) {
+func (e *engine) submit(a *agent, order endpoint.Order, reply func(error)) {
 	o := &engineOrder{Order: order, incarnation: e.incarnation, agent: a, reply: reply}
 	e.orders[o] = true
 	delay := e.between(200*time.Microsecond, 2*time.Millisecond)
 	if e.faulty(10) {
-		delay = e.between(0, lateOrder)
+		delay = e.between(0, maxOrderDelay)
 	}
 	if e.faulty(10) {
-		e.after(e.between(0, 3*time.Second), func() { e.lose(o) })
+		e.after(e.between(0, 3*time.Second), func() { e.loseAnswer(o) })
 	}
-	if e.script != nil {
-		late, lost := e.script(order)
+	if e.orderHook != nil {
+		late, lost := e.orderHook(order)
 		delay += late
 		if lost {
-			e.after(time.Millisecond, func() { e.lose(o) })
+			e.after(time.Millisecond, func() { e.loseAnswer(o) })
 		}
 	}
 	e.after(delay, func() { e.arrive(o) })
-	e.after(orderTimeout, func() { e.lose(o) })
+	e.after(orderTimeout, func() { e.loseAnswer(o) })
 }
 
 // lose breaks the connection of an order: its answer is lost, and it may still take effect.
-func (e *engine) lose(o *engineOrder) {
+func (e *engine) loseAnswer(o *engineOrder) {
 	if o.reply != nil {
 		e.answer(o, endpoint.ErrOutcomeUnknown)
 	}
@@ -55,12 +55,12 @@
 }
 
 // agentGone lets the engine forget who waits for its answers, and give up the requests of the agent.
-func (e *engine) agentGone(planned bool) {
+func (e *engine) handleAgentExit(planned bool) {
 	for r := range e.runs {
 		r.cancelled = true
 	}
 	for o := range e.orders {
-		o.left = planned && o.reply != nil
+		o.senderStopped = planned && o.reply != nil
 		o.reply = nil
 	}
 	clear(e.orders)
@@ -73,12 +73,12 @@
 	case !e.up || e.fencing == fencingVolatile && o.incarnation != e.incarnation:
 		e.answer(o, endpoint.ErrOutcomeUnknown)
 		return
-	case e.fencing != fencingIgnored && o.Fence < e.highest:
+	case e.fencing != fencingIgnored && o.Fence < e.highestFence:
 		e.logf("%s fences %v %s off", e.host.endpoint, o.Kind, o.ID)
 		e.answer(o, endpoint.ErrFenced)
 		return
 	}
-	e.highest = max(e.highest, o.Fence)
+	e.highestFence = max(e.highestFence, o.Fence)
 	e.checkSender(o)
 	if e.faulty(20) {
 		e.answer(o, endpoint.ErrUnavailable)
@@ -104,15 +104,15 @@
 	case m == nil:
 		m = &engineModel{name: o.Model, bytes: o.MemoryBytes, state: endpoint.EngineLoading, adapters: map[string]*engineAdapter{}}
 		e.models[o.Model] = m
-		m.waiting = append(m.waiting, o)
+		m.loadOrders = append(m.loadOrders, o)
 		e.checkMemory(o)
 		e.later(e.loadTime(o.Model), func() { e.loaded(m) })
 	case m.state == endpoint.EngineLoaded:
 		e.answer(o, nil)
 	case m.state == endpoint.EngineLoading:
-		m.waiting = append(m.waiting, o)
+		m.loadOrders = append(m.loadOrders, o)
 	default:
-		m.next = append(m.next, o)
+		m.nextLoads = append(m.nextLoads, o)
 	}
 }
 
@@ -132,8 +132,8 @@
 	if e.models[m.name] != m || m.state != endpoint.EngineLoading {
 		return
 	}
-	waiting := m.waiting
-	m.waiting = nil
+	waiting := m.loadOrders
+	m.loadOrders = nil
 	if e.faulty(8) {
 		delete(e.models, m.name)
 		e.answerAll(waiting, endpoint.ErrLoadFailed)
@@ -150,24 +150,24 @@
 		e.answer(o, nil)
 		return
 	}
-	m.leaving = append(m.leaving, o)
+	m.unloadOrders = append(m.unloadOrders, o)
 	if m.state == endpoint.EngineUnloading {
 		return
 	}
 	m.state = endpoint.EngineUnloading
-	e.cut(func(r *run) bool { return r.model == m.name }, o)
+	e.abortRuns(func(r *run) bool { return r.model == m.name }, o)
 	e.later(e.between(time.Millisecond, 300*time.Millisecond), func() { e.unloaded(m) })
 }
 
 // unloaded ends an unload, and lets the loads go on that waited for it.
 func (e *engine) unloaded(m *engineModel) {
 	delete(e.models, m.name)
-	e.answerAll(m.leaving, nil)
-	e.answerAll(m.waiting, endpoint.ErrLoadFailed)
+	e.answerAll(m.unloadOrders, nil)
+	e.answerAll(m.loadOrders, endpoint.ErrLoadFailed)
 	for _, name := range slices.Sorted(maps.Keys(m.adapters)) {
 		e.answerAll(m.adapters[name].waiting, endpoint.ErrLoadFailed)
 	}
-	for _, o := range m.next {
+	for _, o := range m.nextLoads {
 		e.load(o)
 	}
 	e.dirty = true
@@ -185,7 +185,7 @@
 		a = &engineAdapter{bytes: o.MemoryBytes, waiting: []*engineOrder{o}}
 		m.adapters[o.Adapter] = a
 		e.checkMemory(o)
-		e.later(e.between(10*time.Millisecond, longestAdapterLoad), func() { e.adapterLoaded(m, o.Adapter, a) })
+		e.later(e.between(10*time.Millisecond, maxAdapterLoad), func() { e.adapterLoaded(m, o.Adapter, a) })
 	case a.loaded:
 		e.answer(o, nil)
 	default:
@@ -219,6 +219,6 @@
 		return
 	}
 	delete(m.adapters, o.Adapter)
-	e.cut(func(r *run) bool { return r.model == m.name && r.adapter == o.Adapter }, o)
+	e.abortRuns(func(r *run) bool { return r.model == m.name && r.adapter == o.Adapter }, o)
 	e.answer(o, nil)
 }
--- a/internal/joined/property_test.go
+++ b/internal/joined/property_test.go
@@ -21,44 +21,44 @@
 )
 
 const (
-	faultyTime = 35 * time.Second
+	faultTime = 35 * time.Second
 	// calmTime and lastTime bound the times until the system has settled, and until the last calls are served.
-	calmTime = 60 * time.Second
-	lastTime = 60 * time.Second
+	calmTime       = 60 * time.Second
+	finalCallsTime = 60 * time.Second
 )
 
 // shapeOf is the shape of a seed's world.
-func shapeOf(seed uint64) shape {
-	shapes := []shape{
-		{entries: 2, engines: 3, services: 1, fencing: []fencing{fencingIgnored}, intense: 1},
-		{entries: 2, engines: 3, services: 2, fencing: []fencing{fencingDurable}, intense: 2},
-		{entries: 3, engines: 4, services: 2, fencing: []fencing{fencingIgnored, fencingDurable, fencingVolatile}, intense: 2},
-		{entries: 2, engines: 3, services: 1, fencing: []fencing{fencingVolatile}, intense: 3},
-		{entries: 3, engines: 3, services: 2, fencing: []fencing{fencingIgnored}, intense: 3},
+func topologyOf(seed uint64) topology {
+	shapes := []topology{
+		{entries: 2, engines: 3, services: 1, fencing: []fencing{fencingIgnored}, severity: 1},
+		{entries: 2, engines: 3, services: 2, fencing: []fencing{fencingDurable}, severity: 2},
+		{entries: 3, engines: 4, services: 2, fencing: []fencing{fencingIgnored, fencingDurable, fencingVolatile}, severity: 2},
+		{entries: 2, engines: 3, services: 1, fencing: []fencing{fencingVolatile}, severity: 3},
+		{entries: 3, engines: 3, services: 2, fencing: []fencing{fencingIgnored}, severity: 3},
 	}
 	return shapes[seed%uint64(len(shapes))]
 }
 
 // play runs one seed: faults for a while, then none, then a last call for each target.
-func play(t *testing.T, seed uint64, without guard, tracing bool) *world {
+func runSeed(t *testing.T, seed uint64, disabled guard, tracing bool) *world {
 	var w *world
 	synctest.Test(t, func(*testing.T) {
-		w = newWorld(seed, shapeOf(seed))
-		w.without, w.tracing = without, tracing
-		w.begin()
+		w = newWorld(seed, topologyOf(seed))
+		w.disabledGuard, w.tracing = disabled, tracing
+		w.startAll()
 		w.apply(w.entries[w.entryNames[0]], w.firstDeclarations())
-		w.keepChecking()
-		w.after(2*time.Second, w.keepFailing)
-		w.after(time.Second, w.keepCalling)
-		w.after(3*time.Second, w.keepEditing)
-		w.runUntil(faultyTime, w.check)
-		w.mend()
+		w.scheduleChecks()
+		w.after(2*time.Second, w.injectFaults)
+		w.after(time.Second, w.scheduleCalls)
+		w.after(3*time.Second, w.scheduleEdits)
+		w.runUntil(faultTime, w.check)
+		w.endFaults()
 		for _, name := range modelNames {
-			w.apply(w.liveEntries()[0], w.someModel(name))
+			w.apply(w.liveEntries()[0], w.randomModel(name))
 		}
 		w.runFor(calmTime, w.unsettled)
-		w.lastCalls()
-		w.runFor(lastTime, w.unserved)
+		w.makeFinalCalls()
+		w.runFor(finalCallsTime, w.unserved)
 	})
 	return w
 }
@@ -66,12 +66,12 @@
 // runFor goes on until nothing is missing any more, for a time at most.
 func (w *world) runFor(d time.Duration, missing func() string) {
 	const step = 2 * time.Second
-	end := w.at + d
-	for w.broken == "" && missing() != "" {
-		if w.at >= end {
+	end := w.elapsed + d
+	for w.violation == "" && missing() != "" {
+		if w.elapsed >= end {
 			w.violated("settled", "%s", missing())
 		}
-		w.runUntil(w.at+step, w.check)
+		w.runUntil(w.elapsed+step, w.check)
 	}
 }
 
@@ -81,10 +81,10 @@
 func TestNinePropertiesHoldJoined(t *testing.T) {
 	total := newTally()
 	runSeeds(t, func(t *testing.T, seed uint64) {
-		w := play(t, seed, guardNone, false)
+		w := runSeed(t, seed, guardNone, false)
 		total.add(w)
-		if w.broken != "" {
-			report(t, seed, w)
+		if w.violation != "" {
+			reportFailure(t, seed, w)
 		}
 	})
 	t.Cleanup(func() { total.print(t) })
@@ -104,9 +104,9 @@
 }
 
 // report plays a seed again and prints the end of its trace.
-func report(t *testing.T, seed uint64, w *world) {
-	t.Errorf("seed %d: %s", seed, w.broken)
-	trace := play(t, seed, w.without, true).trace
+func reportFailure(t *testing.T, seed uint64, w *world) {
+	t.Errorf("seed %d: %s", seed, w.violation)
+	trace := runSeed(t, seed, w.disabledGuard, true).trace
 	t.Log(strings.Join(trace[max(0, len(trace)-*traceFlag):], "\n"))
 }
 
--- a/internal/joined/request_test.go
+++ b/internal/joined/request_test.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	candidatePatience = time.Second
-	claimPatience     = time.Second
-	maxAttempts       = 4
+	candidateTimeout = time.Second
+	claimTimeout     = time.Second
+	maxAttempts      = 4
 )
 
 // answer is an answer on its way to the caller. Of one that is not streamed nothing is sent before it is whole.
-type answer struct {
+type responseBuffer struct {
 	head, begun, streamed bool
 	status                int
-	held                  []byte
+	buffered              []byte
 	length                uint64
 	checksum              *xxhash.Digest
 }
 
-func newAnswer() *answer { return &answer{checksum: xxhash.New()} }
+func newResponseBuffer() *responseBuffer { return &responseBuffer{checksum: xxhash.New()} }
 
-func (a *answer) setHead(head *wirepb.Head, streamed bool) {
+func (a *responseBuffer) setHead(head *wirepb.Head, streamed bool) {
 	a.head, a.streamed, a.status = true, streamed, int(head.Status)
 }
 
-func (a *answer) add(c *call, data []byte) {
+func (a *responseBuffer) add(c *call, data []byte) {
 	a.length += uint64(len(data))
 	_, _ = a.checksum.Write(data)
 	if a.streamed {
@@ -45,10 +45,10 @@
 		c.receive(data)
 		return
 	}
-	a.held = append(a.held, data...)
+	a.buffered = append(a.buffered, data...)
 }
 
-func (a *answer) verify(t *wirepb.Trailer) bool {
+func (a *responseBuffer) verify(t *wirepb.Trailer) bool {
 	return a.head && a.length == t.Length && a.checksum.Sum64() == t.Checksum
 }
 
@@ -65,16 +65,16 @@
 	idempotent bool
 	state      *routing.RequestState
 	tried      []string
-	out        *answer
+	response   *responseBuffer
 	current    *attempt
 	held       atmostonce.Held
 	claimed    bool
 	// until is how long the request waits for an endpoint; asked is set once a slot was asked for.
-	until time.Time
-	asked bool
+	pickDeadline  time.Time
+	slotRequested bool
 	// gone is set when the caller went away.
-	gone bool
-	done bool
+	callerGone bool
+	done       bool
 }
 
 func sortedRequests(set map[*request]bool) []*request {
@@ -82,35 +82,35 @@
 }
 
 // take takes a caller's request.
-func (e *entry) take(c *call) {
+func (e *entry) handleCall(c *call) {
 	e.sequence++
 	r := &request{
-		entry: e, call: c, number: e.sequence, id: e.w.newRequestID(e, c), class: c.class, deadline: e.now().Add(c.left),
-		streamed: c.streamed, idempotent: c.service == "" || c.idempotent, out: newAnswer(),
+		entry: e, call: c, number: e.sequence, id: e.w.newRequestID(e, c), class: c.class, deadline: e.now().Add(c.timeout),
+		streamed: c.streamed, idempotent: c.service == "" || c.idempotent, response: newResponseBuffer(),
 	}
 	set := e.store.Current()
 	if c.service == "" {
 		resolved, err := set.Resolve(c.model)
 		if !e.ready() && !e.draining || err != nil {
-			c.tell(e, toldNotRun, "")
+			c.deliver(e, resultNotRun, "")
 			return
 		}
 		r.target = admission.Target{Model: resolved.Model, Adapter: resolved.Adapter}
 	} else {
 		if _, ok := set.Service(c.service); !ok {
-			c.tell(e, toldNotRun, "")
+			c.deliver(e, resultNotRun, "")
 			return
 		}
 		r.target = admission.Target{Service: c.service}
 	}
 	if e.limiter.Acquire(e.now(), r.class) != nil {
-		c.tell(e, toldNotRun, "")
+		c.deliver(e, resultNotRun, "")
 		return
 	}
 	e.requests[r] = true
 	e.logf("%s takes %s for %v as %s", e.name, c.token, r.target, r.id)
-	if c.leaves > 0 {
-		e.later(c.leaves, r.callerLeaves)
+	if c.disconnectAfter > 0 {
+		e.later(c.disconnectAfter, r.handleCallerGone)
 	}
 	if r.idempotent || c.key == "" {
 		r.forward()
@@ -120,15 +120,15 @@
 }
 
 // callerLeaves withdraws a request whose caller went away.
-func (r *request) callerLeaves() {
+func (r *request) handleCallerGone() {
 	if r.done {
 		return
 	}
-	r.gone, r.call.gone = true, true
+	r.callerGone, r.call.disconnected = true, true
 	switch {
 	case r.entry.picking[r]:
 		r.repick()()
-	case r.current != nil && r.current.phase == following:
+	case r.current != nil && r.current.phase == phaseActive:
 		r.current.step(atmostonce.GaveUp)
 	}
 }
@@ -145,14 +145,14 @@
 	e.later(took, func() {
 		switch {
 		case err != nil:
-			r.conclude(toldNotRun, "")
+			r.conclude(resultNotRun, "")
 		case outcome == atmostonce.ClaimGranted:
 			r.held, r.claimed = held, true
 			r.forward()
 		case outcome == atmostonce.ClaimAnswered:
-			r.conclude(toldReplayed, string(held.Claim.Body))
+			r.conclude(resultReplayed, string(held.Claim.Body))
 		default:
-			r.conclude(toldUnknown, "")
+			r.conclude(resultUnknown, "")
 		}
 	})
 }
@@ -168,8 +168,8 @@
 // pick chooses an endpoint, waiting for one while none can be used.
 func (r *request) pick() {
 	now := r.entry.now()
-	r.until = now.Add(min(candidatePatience, r.deadline.Sub(now)))
-	r.asked = false
+	r.pickDeadline = now.Add(min(candidateTimeout, r.deadline.Sub(now)))
+	r.slotRequested = false
 	r.tryPick()
 }
 
@@ -181,17 +181,17 @@
 		return
 	}
 	if len(r.tried) > 0 && len(list) > 0 {
-		r.noneLeft()
+		r.endUnrouted()
 		return
 	}
-	if !r.asked && r.target.Model != "" {
-		r.asked = true
+	if !r.slotRequested && r.target.Model != "" {
+		r.slotRequested = true
 		e.grants.Wanted("", r.target.Model, wirepb.RefusalReason_NOT_GRANTED, 1)
-		e.wakeGrants(grantSettle)
+		e.scheduleGrantRound(grantSettle)
 	}
-	left := r.until.Sub(e.now())
-	if left <= 0 || r.gone {
-		r.noneLeft()
+	left := r.pickDeadline.Sub(e.now())
+	if left <= 0 || r.callerGone {
+		r.endUnrouted()
 		return
 	}
 	e.picking[r] = true
@@ -209,50 +209,50 @@
 }
 
 // noneLeft ends a request for which no endpoint is left: "not run" only when no earlier attempt may have run.
-func (r *request) noneLeft() {
+func (r *request) endUnrouted() {
 	if r.state.MayHaveRun {
-		r.end(toldUnknown, fateUnknown, nil)
+		r.end(resultUnknown, settledUnknown, nil)
 		return
 	}
-	r.end(toldNotRun, fateNotRun, nil)
+	r.end(resultNotRun, settledNotRun, nil)
 }
 
 func (r *request) attempt(c routing.Candidate) {
 	r.tried = append(r.tried, c.Endpoint)
 	r.current = &attempt{
 		request: r, candidate: c, exchange: atmostonce.NewExchange(!r.idempotent), began: r.entry.now(),
-		lastWord: atmostonce.EndNotRun, last: !r.untried(),
+		endAction: atmostonce.EndNotRun, noAlternative: !r.hasUntried(),
 	}
 	r.current.begin()
 }
 
-func (r *request) untried() bool {
+func (r *request) hasUntried() bool {
 	return slices.ContainsFunc(r.entry.candidates(r.target), func(c routing.Candidate) bool {
 		return c.Reachable && !c.Leaving && !slices.Contains(r.tried, c.Endpoint)
 	})
 }
 
 // attempted takes the end of an attempt.
-func (r *request) attempted(t *attempt, a routing.Attempt) {
+func (r *request) handleAttemptEnd(t *attempt, a routing.Attempt) {
 	e := r.entry
-	r.state.AnswerBegun, r.state.Untried = r.out.begun, r.untried()
+	r.state.AnswerBegun, r.state.Untried = r.response.begun, r.hasUntried()
 	verdict := routing.Decide(e.now(), a, r.state)
 	e.logf("%s: attempt of %s at %s ended %d, verdict %d %v wait %v", e.name, r.id, a.Endpoint, a.Outcome, verdict.Kind, a.Reason, verdict.Wait)
 	if verdict.Kind == routing.VerdictDone {
 		e.budget.Success()
 	}
-	if r.gone {
-		r.end(toldCut, fateOf(r.state, a), t)
+	if r.callerGone {
+		r.end(resultCut, settlementOf(r.state, a), t)
 		return
 	}
 	switch verdict.Kind {
 	case routing.VerdictDone:
-		r.end(toldWhole, fateServed, nil)
+		r.end(resultWhole, settledServed, nil)
 	case routing.VerdictRetry:
-		r.out = newAnswer()
+		r.response = newResponseBuffer()
 		e.later(verdict.Wait, func() {
-			if r.gone {
-				r.end(toldCut, fateOf(r.state, a), nil)
+			if r.callerGone {
+				r.end(resultCut, settlementOf(r.state, a), nil)
 				return
 			}
 			if verdict.Wait > 0 {
@@ -261,50 +261,50 @@
 			r.pick()
 		})
 	case routing.VerdictRefuse:
-		r.end(toldNotRun, fateNotRun, nil)
+		r.end(resultNotRun, settledNotRun, nil)
 	case routing.VerdictUnknown:
-		r.end(toldUnknown, fateUnknown, t)
+		r.end(resultUnknown, settledUnknown, t)
 	case routing.VerdictAbort:
-		r.end(toldCut, fateUnknown, t)
+		r.end(resultCut, settledUnknown, t)
 	}
 }
 
-func fateOf(state *routing.RequestState, a routing.Attempt) fate {
+func settlementOf(state *routing.RequestState, a routing.Attempt) settlement {
 	switch {
 	case a.Outcome == routing.OutcomeServed:
-		return fateServed
+		return settledServed
 	case state.MayHaveRun:
-		return fateUnknown
+		return settledUnknown
 	default:
-		return fateNotRun
+		return settledNotRun
 	}
 }
 
 // end ends the forwarding of a request, and its claim with it.
-func (r *request) end(word told, f fate, last *attempt) {
-	body := string(r.out.held)
+func (r *request) end(result callResult, f settlement, last *attempt) {
+	body := string(r.response.buffered)
 	switch {
 	case !r.claimed:
 	case last != nil && last.exchange.Open():
-		last.settled = func(f fate) { r.settle(f, false, "") }
-	case r.entry.w.without == guardAnswerFirst:
-		took := r.settle(f, true, body)
-		r.entry.later(took, func() { r.conclude(word, body) })
+		last.onSettled = func(f settlement) { r.settleClaim(f, false, "") }
+	case r.entry.w.disabledGuard == guardAnswerBeforeRecord:
+		took := r.settleClaim(f, true, body)
+		r.entry.later(took, func() { r.conclude(result, body) })
 		return
 	default:
-		r.settle(f, true, body)
+		r.settleClaim(f, true, body)
 	}
-	r.conclude(word, body)
+	r.conclude(result, body)
 }
 
 // settle records the end of the claim and returns how long that took.
-func (r *request) settle(f fate, kept bool, body string) time.Duration {
+func (r *request) settleClaim(f settlement, kept bool, body string) time.Duration {
 	began, ctx := time.Now(), context.Background()
 	var err error
 	switch {
-	case f == fateNotRun:
+	case f == settledNotRun:
 		err = r.entry.claims.Free(ctx, r.held)
-	case f == fateServed && kept:
+	case f == settledServed && kept:
 		err = r.entry.claims.Finish(ctx, r.held, atmostonce.ClaimDone, atmostonce.Answer{Status: 200, Body: []byte(body)})
 	default:
 		err = r.entry.claims.Finish(ctx, r.held, atmostonce.ClaimUnknown, atmostonce.Answer{})
@@ -314,7 +314,7 @@
 }
 
 // conclude gives the caller the final answer.
-func (r *request) conclude(word told, body string) {
+func (r *request) conclude(result callResult, body string) {
 	e := r.entry
 	if r.done {
 		e.violated("P3", "%s is answered twice", r.id)
@@ -322,8 +322,8 @@
 	r.done = true
 	delete(e.requests, r)
 	e.limiter.Release(e.now(), r.class)
-	if word == toldWhole && !r.out.begun {
+	if result == resultWhole && !r.response.begun {
 		r.call.receive([]byte(body))
 	}
-	r.call.tell(e, word, body)
+	r.call.deliver(e, result, body)
 }
--- a/internal/joined/same_test.go
+++ b/internal/joined/same_test.go
@@ -6,7 +6,7 @@
 func TestSeedsPlayTheSame(t *testing.T) {
 	const seeds = 10
 	for seed := range uint64(seeds) {
-		a, b := play(t, seed, guardNone, true).trace, play(t, seed, guardNone, true).trace
+		a, b := runSeed(t, seed, guardNone, true).trace, runSeed(t, seed, guardNone, true).trace
 		for i := range min(len(a), len(b)) {
 			if a[i] != b[i] {
 				t.Fatalf("seed %d differs in line %d:\n%s\n%s", seed, i, a[i], b[i])
--- a/internal/joined/seam_test.go
+++ b/internal/joined/seam_test.go
@@ -12,19 +12,19 @@
 )
 
 // seam is a story of which one guard of the joining decides the end.
-type seam struct {
-	guard  guard
-	size   shape
-	file   string
-	script func(*story)
+type guardTest struct {
+	guard    guard
+	topology topology
+	file     string
+	script   func(*scenario)
 }
 
 // run tells the story with its guard, which must hold, and without it, which must be seen.
-func (m seam) run(t *testing.T) {
+func (m guardTest) run(t *testing.T) {
 	t.Helper()
 
-	tell(t, guardNone, m.size, m.file, m.script)
-	broken := tell(t, m.guard, m.size, m.file, m.script)
+	runScenario(t, guardNone, m.topology, m.file, m.script)
+	broken := runScenario(t, m.guard, m.topology, m.file, m.script)
 	if broken == "" {
 		t.Errorf("not seen without the guard %q", m.guard)
 	}
@@ -34,28 +34,28 @@
 // A streamed answer's head has come, and the way back is cut before the first token. The caller must hear at its deadline
 // that the outcome is not known, not when somebody notices that the connection is dead.
 func TestHeadWithoutFirstToken(t *testing.T) {
-	seam{
-		guard: guardFirstByte,
-		size:  shape{entries: 1, engines: 1, services: 0, fencing: []fencing{fencingIgnored}},
-		file:  modelOf("a", "", 1),
-		script: func(s *story) {
+	guardTest{
+		guard:    guardFirstByte,
+		topology: topology{entries: 1, engines: 1, services: 0, fencing: []fencing{fencingIgnored}},
+		file:     modelFile("a", "", 1),
+		script: func(s *scenario) {
 			h, e := s.current["e0"], s.entry(0)
-			s.served(s.chat(e, "a", 15*time.Second))
-			h.engine.firstTime = 100 * time.Millisecond
+			s.awaitServed(s.chat(e, "a", 15*time.Second))
+			h.engine.firstByteDelay = 100 * time.Millisecond
 			c := s.newCall()
-			c.model, c.left, c.streamed = "a", time.Second, true
-			c.make(e)
-			s.await("the head", time.Second, func() bool { return headCame(e) })
+			c.model, c.timeout, c.streamed = "a", time.Second, true
+			c.send(e)
+			s.await("the head", time.Second, func() bool { return headReceived(e) })
 			s.net.block(s.net.link(e.name, h.id), atEntry, true)
-			s.pass(2 * time.Second)
-			s.want(c.told() == toldUnknown, "told %q", c.told())
+			s.advance(2 * time.Second)
+			s.require(c.result() == resultUnknown, "told %q", c.result())
 		},
 	}.run(t)
 }
 
-func headCame(e *entry) bool {
+func headReceived(e *entry) bool {
 	for r := range e.requests {
-		if r.out.head {
+		if r.response.head {
 			return true
 		}
 	}
@@ -66,19 +66,19 @@
 // control streams in any order, and the old ones end. Confirmations of releases must still reach every entry, or the only
 // replica of a model that the operator moves is never given free.
 func TestControlStreamsAfterALongFreeze(t *testing.T) {
-	seam{
-		guard: guardStreams,
-		size:  shape{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}},
-		file:  modelOf("a", "endpoint = e0", 1),
-		script: func(s *story) {
+	guardTest{
+		guard:    guardAllStreams,
+		topology: topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}},
+		file:     modelFile("a", "endpoint = e0", 1),
+		script: func(s *scenario) {
 			h := s.current["e0"]
-			s.served(s.chat(s.entry(0), "a", 15*time.Second))
+			s.awaitServed(s.chat(s.entry(0), "a", 15*time.Second))
 			h.agent.freeze()
-			s.net.notice()
-			s.pass(9 * time.Second)
+			s.net.checkConns()
+			s.advance(9 * time.Second)
 			s.thaw(h.agent.process)
-			s.pass(3 * time.Second)
-			s.apply(s.entry(0), modelOf("a", "endpoint = e1", 1))
+			s.advance(3 * time.Second)
+			s.apply(s.entry(0), modelFile("a", "endpoint = e1", 1))
 			s.await("the slot moves", 15*time.Second, func() bool { return s.slot("a@1", "e1") == replicaspb.SlotState_GRANTED })
 		},
 	}.run(t)
@@ -88,42 +88,42 @@
 // model, so that now there is room for another model's load. If that order is lost, the second model counts as being
 // loaded until the agent restarts, and its callers wait in vain.
 func TestOrderGivenWhenARequestIsDisplaced(t *testing.T) {
-	seam{
-		guard: guardDisplaced,
-		size:  shape{entries: 2, engines: 1, services: 0, fencing: []fencing{fencingDurable}},
-		file: modelOf("a", "", 1) + modelOf("c", "", 1) +
-			strings.Replace(modelOf("b", "", 1), "memory = 50B", "memory = 20B", 1),
-		script: func(s *story) {
+	guardTest{
+		guard:    guardDisplacedActions,
+		topology: topology{entries: 2, engines: 1, services: 0, fencing: []fencing{fencingDurable}},
+		file: modelFile("a", "", 1) + modelFile("c", "", 1) +
+			strings.Replace(modelFile("b", "", 1), "memory = 50B", "memory = 20B", 1),
+		script: func(s *scenario) {
 			h := s.current["e0"]
 			h.engine.cached["c@1"] = "disk"
-			s.pass(6 * time.Second)
+			s.advance(6 * time.Second)
 			issuer, e := s.entry(0), s.entry(1)
-			if h.agent.issuer().entry == e.name {
+			if h.agent.permitIssuer().entry == e.name {
 				issuer, e = e, issuer
 			}
-			s.served(s.chat(e, "a", 10*time.Second))
+			s.awaitServed(s.chat(e, "a", 10*time.Second))
 			s.net.block(s.net.link(issuer.name, h.id), atEntry, true)
 			batch := []*call{s.newCall(), s.newCall()}
 			for _, c := range batch {
-				c.model, c.left, c.class = "b", 2100*time.Millisecond, wirepb.Class_BATCH
-				c.make(e)
+				c.model, c.timeout, c.class = "b", 2100*time.Millisecond, wirepb.Class_BATCH
+				c.send(e)
 			}
-			s.pass(10 * time.Millisecond)
-			h.late(endpoint.OrderUnload, "a@1", time.Second, false)
+			s.advance(10 * time.Millisecond)
+			h.delayOrder(endpoint.OrderUnload, "a@1", time.Second, false)
 			var waiting []*call
 			for i := range 4 {
 				c := s.chat(e, "c", 10*time.Second)
 				c.caller = fmt.Sprint("caller", i)
 				waiting = append(waiting, c)
 			}
-			s.pass(100 * time.Millisecond)
+			s.advance(100 * time.Millisecond)
 			for i := range 2 {
 				s.chat(e, "a", 10*time.Second).caller = fmt.Sprint("other", i)
 			}
-			s.pass(100 * time.Millisecond)
-			s.want(batch[0].told() != "" && batch[1].told() != "", "the batch requests are not displaced")
+			s.advance(100 * time.Millisecond)
+			s.require(batch[0].result() != "" && batch[1].result() != "", "the batch requests are not displaced")
 			for _, c := range waiting {
-				s.served(c)
+				s.awaitServed(c)
 			}
 		},
 	}.run(t)
@@ -133,31 +133,31 @@
 // reads twice. A model is loaded while the second read is under way, which began before; if its answer passes for that
 // of a later question, the model counts as absent, and its memory is given to the next one.
 func TestReadThatNobodyWaitsFor(t *testing.T) {
-	seam{
-		guard: guardReadID,
-		size:  shape{entries: 2, engines: 1, services: 0, fencing: []fencing{fencingDurable}},
-		file: kept(modelOf("a", "", 1)) +
-			strings.Replace(modelOf("b", "", 1), "memory = 50B", "memory = 45B", 1) + modelOf("c", "", 1) + "\n[adapter \"a-x\"]\nmodel = a\nmemory = 1B\n",
-		script: func(s *story) {
+	guardTest{
+		guard:    guardReadID,
+		topology: topology{entries: 2, engines: 1, services: 0, fencing: []fencing{fencingDurable}},
+		file: keepWarm(modelFile("a", "", 1)) +
+			strings.Replace(modelFile("b", "", 1), "memory = 50B", "memory = 45B", 1) + modelFile("c", "", 1) + "\n[adapter \"a-x\"]\nmodel = a\nmemory = 1B\n",
+		script: func(s *scenario) {
 			h, e := s.current["e0"], s.entry(0)
 			h.engine.cached["c@1"] = "disk"
-			s.pass(6 * time.Second)
-			h.engine.readTime = 5 * time.Second
+			s.advance(6 * time.Second)
+			h.engine.readDelay = 5 * time.Second
 			s.await("a read", 10*time.Second, func() bool { return h.agent.reading })
 			h.agent.freeze()
-			s.net.notice()
-			s.pass(31 * time.Second)
+			s.net.checkConns()
+			s.advance(31 * time.Second)
 			s.thaw(h.agent.process)
-			s.pass(1500 * time.Millisecond)
-			h.engine.firstTime = 6 * time.Second
+			s.advance(1500 * time.Millisecond)
+			h.engine.firstByteDelay = 6 * time.Second
 			s.chat(e, "c", 12*time.Second)
-			s.await("the load of c", 3*time.Second, func() bool { return h.holds("c@1") })
-			s.pass(500 * time.Millisecond)
-			h.late(endpoint.OrderLoadAdapter, "a@1", 0, true)
+			s.await("the load of c", 3*time.Second, func() bool { return h.hasModel("c@1") })
+			s.advance(500 * time.Millisecond)
+			h.delayOrder(endpoint.OrderLoadAdapter, "a@1", 0, true)
 			s.chat(e, "a-x", 12*time.Second)
-			s.pass(3500 * time.Millisecond)
+			s.advance(3500 * time.Millisecond)
 			s.chat(e, "b", 12*time.Second)
-			s.pass(8 * time.Second)
+			s.advance(8 * time.Second)
 		},
 	}.run(t)
 }
@@ -165,18 +165,18 @@
 // An engine restarts and has lost its model; its agent will learn it from the next read of the state. A caller must not get
 // the engine's word that it does not know the model as the answer to the request.
 func TestEngineRestartsBehindItsAgent(t *testing.T) {
-	seam{
-		guard: guardNotLoaded,
-		size:  shape{entries: 1, engines: 1, services: 0, fencing: []fencing{fencingIgnored}},
-		file:  kept(modelOf("a", "", 1)),
-		script: func(s *story) {
-			s.served(s.chat(s.entry(0), "a", 15*time.Second))
+	guardTest{
+		guard:    guardNotLoaded,
+		topology: topology{entries: 1, engines: 1, services: 0, fencing: []fencing{fencingIgnored}},
+		file:     keepWarm(modelFile("a", "", 1)),
+		script: func(s *scenario) {
+			s.awaitServed(s.chat(s.entry(0), "a", 15*time.Second))
 			s.current["e0"].engine.restart()
 			c := s.chat(s.entry(0), "a", 2*time.Second)
-			s.pass(3 * time.Second)
-			s.want(c.told() == toldNotRun, "told %q", c.told())
-			s.pass(8 * time.Second)
-			s.served(s.chat(s.entry(0), "a", 15*time.Second))
+			s.advance(3 * time.Second)
+			s.require(c.result() == resultNotRun, "told %q", c.result())
+			s.advance(8 * time.Second)
+			s.awaitServed(s.chat(s.entry(0), "a", 15*time.Second))
 		},
 	}.run(t)
 }
@@ -184,17 +184,17 @@
 // A penalty notice is claimed and goes out, and the table goes down before the claim can be recorded. The caller must get
 // the answer by its deadline all the same.
 func TestTableGoesDownBeforeTheClaimIsRecorded(t *testing.T) {
-	seam{
-		guard: guardAnswerFirst,
-		size:  shape{entries: 1, engines: 0, services: 1, fencing: []fencing{fencingIgnored}},
-		file:  ledgerService,
-		script: func(s *story) {
+	guardTest{
+		guard:    guardAnswerBeforeRecord,
+		topology: topology{entries: 1, engines: 0, services: 1, fencing: []fencing{fencingIgnored}},
+		file:     ledgerService,
+		script: func(s *scenario) {
 			e := s.entry(0)
 			c := s.post(e, "notice", 500*time.Millisecond)
 			s.await("the commit", time.Second, func() bool { return committed(e) })
 			s.table.down = true
-			s.pass(3 * time.Second)
-			s.want(c.told() == toldWhole, "told %q", c.told())
+			s.advance(3 * time.Second)
+			s.require(c.result() == resultWhole, "told %q", c.result())
 		},
 	}.run(t)
 }
@@ -202,24 +202,24 @@
 // A request takes ten seconds because its engine hangs for that long. Later requests with deadlines of a few seconds are
 // refused by what was learnt from it, but not for ever: after some tries one must run and show that the engine is well.
 func TestOneSlowRequest(t *testing.T) {
-	seam{
-		guard: guardFade,
-		size:  shape{entries: 1, engines: 1, services: 0, fencing: []fencing{fencingIgnored}},
-		file:  kept(modelOf("a", "", 1)),
-		script: func(s *story) {
+	guardTest{
+		guard:    guardEstimateFade,
+		topology: topology{entries: 1, engines: 1, services: 0, fencing: []fencing{fencingIgnored}},
+		file:     keepWarm(modelFile("a", "", 1)),
+		script: func(s *scenario) {
 			h, e := s.current["e0"], s.entry(0)
-			h.engine.firstTime = 10 * time.Second
-			s.served(s.chat(e, "a", 14*time.Second))
-			h.engine.firstTime = 0
+			h.engine.firstByteDelay = 10 * time.Second
+			s.awaitServed(s.chat(e, "a", 14*time.Second))
+			h.engine.firstByteDelay = 0
 			var c *call
 			for range 15 {
 				c = s.chat(e, "a", 4*time.Second)
-				s.pass(time.Second)
-				if c.told() == toldWhole {
+				s.advance(time.Second)
+				if c.result() == resultWhole {
 					return
 				}
 			}
-			s.want(false, "the last of many tries is told %q", c.told())
+			s.require(false, "the last of many tries is told %q", c.result())
 		},
 	}.run(t)
 }
@@ -228,25 +228,25 @@
 // agent is stopped by plan. The next one finds the model loaded and serves it. The unload must not come then and cut its
 // requests: the planned stop has to see it through.
 func TestPlannedStopDuringAnUnload(t *testing.T) {
-	seam{
-		guard: guardUnloads,
-		size:  shape{entries: 1, engines: 1, services: 0, fencing: []fencing{fencingIgnored}},
-		file:  modelOf("a", "", 1),
-		script: func(s *story) {
+	guardTest{
+		guard:    guardUnloadsAtStop,
+		topology: topology{entries: 1, engines: 1, services: 0, fencing: []fencing{fencingIgnored}},
+		file:     modelFile("a", "", 1),
+		script: func(s *scenario) {
 			h, e := s.current["e0"], s.entry(0)
-			s.served(s.chat(e, "a", 15*time.Second))
-			h.late(endpoint.OrderUnload, "a@1", 4*time.Second, false)
-			s.await("the unload", 20*time.Second, func() bool { return h.engine.script == nil })
+			s.awaitServed(s.chat(e, "a", 15*time.Second))
+			h.delayOrder(endpoint.OrderUnload, "a@1", 4*time.Second, false)
+			s.await("the unload", 20*time.Second, func() bool { return h.engine.orderHook == nil })
 			// The entry would take the slot back at once.
 			e.table.cut = true
 			s.stopAgent(h)
 			s.await("the next agent", 10*time.Second, func() bool { return h.listening() && !h.agent.draining })
-			h.engine.firstTime = 3 * time.Second
+			h.engine.firstByteDelay = 3 * time.Second
 			for range 4 {
 				s.chat(e, "a", 14*time.Second)
-				s.pass(time.Second)
+				s.advance(time.Second)
 			}
-			s.pass(10 * time.Second)
+			s.advance(10 * time.Second)
 		},
 	}.run(t)
 }
--- a/internal/joined/shells_test.go
+++ b/internal/joined/shells_test.go
@@ -12,13 +12,13 @@
 )
 
 // noMetrics takes metrics and drops them.
-type noMetrics struct{}
+type discardRegisterer struct{}
 
-func (noMetrics) Register(prometheus.Collector) error  { return nil }
-func (noMetrics) MustRegister(...prometheus.Collector) {}
-func (noMetrics) Unregister(prometheus.Collector) bool { return true }
+func (discardRegisterer) Register(prometheus.Collector) error  { return nil }
+func (discardRegisterer) MustRegister(...prometheus.Collector) {}
+func (discardRegisterer) Unregister(prometheus.Collector) bool { return true }
 
-var noLog = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
 // firedTimer has fired.
 type firedTimer struct{ c chan time.Time }
--- a/internal/joined/sim_test.go
+++ b/internal/joined/sim_test.go
@@ -10,16 +10,16 @@
 
 // sim is virtual time: events happen one after the other, in the order of their times.
 type sim struct {
-	random *rand.Rand
-	at     time.Duration
-	events eventQueue
-	count  uint64
-	steps  int
+	random  *rand.Rand
+	elapsed time.Duration
+	events  eventQueue
+	count   uint64
+	steps   int
 	// tracing keeps a trace of what happens.
 	tracing bool
 	trace   []string
 	// broken is the first thing that must not happen.
-	broken string
+	violation string
 }
 
 // epoch is when virtual time begins.
@@ -50,38 +50,38 @@
 // after lets something happen after a time.
 func (s *sim) after(d time.Duration, run func()) {
 	s.count++
-	heap.Push(&s.events, event{at: s.at + max(0, d), order: s.count, run: run})
+	heap.Push(&s.events, event{at: s.elapsed + max(0, d), order: s.count, run: run})
 }
 
 // runUntil lets everything happen that is due before a time, or until something went wrong.
 func (s *sim) runUntil(end time.Duration, check func()) {
-	for len(s.events) > 0 && s.events[0].at <= end && s.broken == "" {
+	for len(s.events) > 0 && s.events[0].at <= end && s.violation == "" {
 		e := heap.Pop(&s.events).(event)
-		s.at = e.at
+		s.elapsed = e.at
 		s.steps++
 		e.run()
 		check()
 	}
-	s.at = max(s.at, end)
+	s.elapsed = max(s.elapsed, end)
 }
 
 func (s *sim) logf(format string, args ...any) {
 	if s.tracing {
-		s.trace = append(s.trace, fmt.Sprintf("%9.4f ", s.at.Seconds())+fmt.Sprintf(format, args...))
+		s.trace = append(s.trace, fmt.Sprintf("%9.4f ", s.elapsed.Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
 // violated notes the first violation of a property.
 func (s *sim) violated(property, format string, args ...any) {
-	if s.broken != "" {
+	if s.violation != "" {
 		return
 	}
-	s.broken = property + ": " + fmt.Sprintf(format, args...)
-	s.logf("VIOLATED %s", s.broken)
+	s.violation = property + ": " + fmt.Sprintf(format, args...)
+	s.logf("VIOLATED %s", s.violation)
 }
 
 // chance is true once in so many times.
-func (s *sim) chance(in int) bool { return s.random.IntN(in) == 0 }
+func (s *sim) oneIn(in int) bool { return s.random.IntN(in) == 0 }
 
 // between returns a time between two bounds.
 func (s *sim) between(low, high time.Duration) time.Duration {
@@ -103,7 +103,7 @@
 	generation int
 	alive      bool
 	frozen     bool
-	held       []func()
+	deferred   []func()
 	// skew is how far the host's clock is off.
 	skew time.Duration
 	// started, frozenAt and thawedAt are when the process last did so.
@@ -111,20 +111,20 @@
 }
 
 // now is the time of the process's clock.
-func (p *process) now() time.Time { return epoch.Add(p.at + p.skew) }
+func (p *process) now() time.Time { return epoch.Add(p.elapsed + p.skew) }
 
 // start begins a new life of the process.
 func (p *process) start() {
 	p.generation++
-	p.alive, p.frozen, p.held = true, false, nil
-	p.started = p.at
+	p.alive, p.frozen, p.deferred = true, false, nil
+	p.started = p.elapsed
 	p.skew = p.between(-time.Hour, time.Hour)
 }
 
 // end ends the process: nothing that it was about to do happens.
 func (p *process) end() {
 	p.generation++
-	p.alive, p.frozen, p.held = false, false, nil
+	p.alive, p.frozen, p.deferred = false, false, nil
 }
 
 // later does something after a time, unless the process has ended by then.
@@ -143,7 +143,7 @@
 	switch {
 	case p.generation != generation:
 	case p.frozen:
-		p.held = append(p.held, run)
+		p.deferred = append(p.deferred, run)
 	default:
 		run()
 	}
@@ -152,7 +152,7 @@
 // freeze stops the process as SIGSTOP does.
 func (p *process) freeze() {
 	if p.alive && !p.frozen {
-		p.frozen, p.frozenAt = true, p.at
+		p.frozen, p.frozenAt = true, p.elapsed
 		p.logf("%s is frozen", p.name)
 	}
 }
@@ -163,11 +163,11 @@
 	if !p.frozen {
 		return
 	}
-	p.logf("%s goes on after %v", p.name, p.at-p.frozenAt)
-	held := slices.Clone(p.held)
-	p.frozen, p.held, p.thawedAt = false, nil, p.at
-	p.random.Shuffle(len(held), func(i, j int) { held[i], held[j] = held[j], held[i] })
-	for _, run := range held {
+	p.logf("%s goes on after %v", p.name, p.elapsed-p.frozenAt)
+	events := slices.Clone(p.deferred)
+	p.frozen, p.deferred, p.thawedAt = false, nil, p.elapsed
+	p.random.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
+	for _, run := range events {
 		p.soon(run)
 	}
 }
--- a/internal/joined/story_test.go
+++ b/internal/joined/story_test.go
@@ -19,21 +19,21 @@
 func TestLateLoadOfACrashedAgent(t *testing.T) {
 	for _, f := range []fencing{fencingIgnored, fencingDurable, fencingVolatile} {
 		t.Run(fmt.Sprint("fencing ", f), func(t *testing.T) {
-			size := shape{entries: 2, engines: 1, services: 0, fencing: []fencing{f}}
-			file := modelOf("a", "endpoint = e0", 1) + modelOf("b", "endpoint = e0", 1) + modelOf("c", "endpoint = e0", 1)
-			tell(t, guardNone, size, file, func(s *story) {
+			size := topology{entries: 2, engines: 1, services: 0, fencing: []fencing{f}}
+			file := modelFile("a", "endpoint = e0", 1) + modelFile("b", "endpoint = e0", 1) + modelFile("c", "endpoint = e0", 1)
+			runScenario(t, guardNone, size, file, func(s *scenario) {
 				h := s.current["e0"]
-				h.late(endpoint.OrderLoad, "a@1", 4*time.Second, true)
+				h.delayOrder(endpoint.OrderLoad, "a@1", 4*time.Second, true)
 				s.chat(s.entry(0), "a", 15*time.Second)
-				s.await("the order", 5*time.Second, func() bool { return h.engine.script == nil })
+				s.await("the order", 5*time.Second, func() bool { return h.engine.orderHook == nil })
 				h.crashAgent()
-				s.pass(100 * time.Millisecond)
+				s.advance(100 * time.Millisecond)
 				h.startAgent()
-				s.pass(time.Second)
+				s.advance(time.Second)
 				b, c := s.chat(s.entry(1), "b", 18*time.Second), s.chat(s.entry(1), "c", 18*time.Second)
-				s.pass(19 * time.Second)
-				s.want(b.told() != "" && c.told() != "", "told %q and %q", b.told(), c.told())
-				s.served(s.chat(s.entry(0), "b", 15*time.Second))
+				s.advance(19 * time.Second)
+				s.require(b.result() != "" && c.result() != "", "told %q and %q", b.result(), c.result())
+				s.awaitServed(s.chat(s.entry(0), "b", 15*time.Second))
 			})
 		})
 	}
@@ -45,28 +45,28 @@
 func TestFencingNumbersRiseFromAgentToAgent(t *testing.T) {
 	for _, f := range []fencing{fencingDurable, fencingVolatile} {
 		t.Run(fmt.Sprint("fencing ", f), func(t *testing.T) {
-			size := shape{entries: 2, engines: 1, services: 0, fencing: []fencing{f}}
-			file := modelOf("a", "", 1) + modelOf("b", "", 1) + modelOf("c", "", 1)
-			tell(t, guardNone, size, file, func(s *story) {
+			size := topology{entries: 2, engines: 1, services: 0, fencing: []fencing{f}}
+			file := modelFile("a", "", 1) + modelFile("b", "", 1) + modelFile("c", "", 1)
+			runScenario(t, guardNone, size, file, func(s *scenario) {
 				h := s.current["e0"]
 				for _, model := range modelNames {
 					h.engine.cached[model+"@1"] = "disk"
 				}
-				s.pass(6 * time.Second)
-				h.engine.script = func(endpoint.Order) (time.Duration, bool) { return 4 * time.Second, true }
+				s.advance(6 * time.Second)
+				h.engine.orderHook = func(endpoint.Order) (time.Duration, bool) { return 4 * time.Second, true }
 				for _, model := range []string{"a", "c", "b"} {
 					s.chat(s.entry(0), model, 15*time.Second)
-					s.pass(100 * time.Millisecond)
+					s.advance(100 * time.Millisecond)
 				}
-				h.engine.script = nil
-				h.engine.firstTime = 6 * time.Second
+				h.engine.orderHook = nil
+				h.engine.firstByteDelay = 6 * time.Second
 				h.crashAgent()
-				s.pass(100 * time.Millisecond)
+				s.advance(100 * time.Millisecond)
 				h.startAgent()
-				s.pass(time.Second)
+				s.advance(time.Second)
 				s.chat(s.entry(0), "a", 12*time.Second)
 				s.chat(s.entry(1), "c", 12*time.Second)
-				s.pass(10 * time.Second)
+				s.advance(10 * time.Second)
 			})
 		})
 	}
@@ -76,24 +76,24 @@
 // reach the table, and an entry that does not reach it either tells it of the slot that its predecessor had. Under that
 // row it must load nothing, however its callers ask.
 func TestNewAgentIsToldOfAnOldSlot(t *testing.T) {
-	size := shape{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
-	tell(t, guardNone, size, kept(modelOf("a", "endpoint = e0", 1)), func(s *story) {
+	size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
+	runScenario(t, guardNone, size, keepWarm(modelFile("a", "endpoint = e0", 1)), func(s *scenario) {
 		h, behind := s.current["e0"], s.entry(1)
-		s.served(s.chat(behind, "a", 15*time.Second))
+		s.awaitServed(s.chat(behind, "a", 15*time.Second))
 		behind.table.cut = true
-		s.apply(s.entry(0), kept(modelOf("a", "endpoint = e1", 1)))
+		s.apply(s.entry(0), keepWarm(modelFile("a", "endpoint = e1", 1)))
 		s.await("the slot moves", 15*time.Second, func() bool { return s.slot("a@1", "e1") == replicaspb.SlotState_GRANTED })
-		s.served(s.chat(s.entry(0), "a", 15*time.Second))
+		s.awaitServed(s.chat(s.entry(0), "a", 15*time.Second))
 		h.crashAgent()
 		h.startAgent()
 		h.agent.table.cut = true
 		for range 8 {
 			s.chat(behind, "a", 3*time.Second)
-			s.pass(1500 * time.Millisecond)
+			s.advance(1500 * time.Millisecond)
 		}
-		behind.table.cut, behind.tableFreed, h.agent.table.cut = false, s.at, false
-		s.pass(8 * time.Second)
-		s.served(s.chat(behind, "a", 12*time.Second))
+		behind.table.cut, behind.tableReachableAt, h.agent.table.cut = false, s.elapsed, false
+		s.advance(8 * time.Second)
+		s.awaitServed(s.chat(behind, "a", 12*time.Second))
 	})
 }
 
@@ -103,29 +103,29 @@
 func TestOnlyReplicaMovesWhileItsAgentIsFrozen(t *testing.T) {
 	cases := []struct {
 		name string
-		end  func(s *story, h *host)
+		end  func(s *scenario, h *host)
 	}{
-		{"the agent goes on", func(s *story, h *host) { s.thaw(h.agent.process) }},
-		{"the host is gone", func(s *story, h *host) { s.takeAway(h) }},
+		{"the agent goes on", func(s *scenario, h *host) { s.thaw(h.agent.process) }},
+		{"the host is gone", func(s *scenario, h *host) { s.terminateHost(h) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			size := shape{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
-			tell(t, guardNone, size, modelOf("a", "endpoint = e0", 1), func(s *story) {
-				old, next := s.current["e0"], s.current["e1"]
-				s.served(s.chat(s.entry(0), "a", 15*time.Second))
-				old.agent.freeze()
-				s.net.notice()
-				s.apply(s.entry(1), modelOf("a", "endpoint = e1", 1))
-				s.pass(15 * time.Second)
-				s.want(!next.holds("a@1") && s.slot("a@1", "e1") == 0, "the second engine has a slot")
+			size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
+			runScenario(t, guardNone, size, modelFile("a", "endpoint = e0", 1), func(s *scenario) {
+				from, to := s.current["e0"], s.current["e1"]
+				s.awaitServed(s.chat(s.entry(0), "a", 15*time.Second))
+				from.agent.freeze()
+				s.net.checkConns()
+				s.apply(s.entry(1), modelFile("a", "endpoint = e1", 1))
+				s.advance(15 * time.Second)
+				s.require(!to.hasModel("a@1") && s.slot("a@1", "e1") == 0, "the second engine has a slot")
 				refused := s.chat(s.entry(0), "a", 2*time.Second)
-				s.pass(4 * time.Second)
-				s.want(refused.told() == toldNotRun || refused.told() == toldUnknown, "told %q", refused.told())
-				c.end(s, old)
+				s.advance(4 * time.Second)
+				s.require(refused.result() == resultNotRun || refused.result() == resultUnknown, "told %q", refused.result())
+				c.end(s, from)
 				s.await("the slot moves", 25*time.Second, func() bool { return s.slot("a@1", "e1") == replicaspb.SlotState_GRANTED })
-				s.served(s.chat(s.entry(0), "a", 15*time.Second))
-				s.want(!old.up || !old.holds("a@1"), "the first engine still holds the model")
+				s.awaitServed(s.chat(s.entry(0), "a", 15*time.Second))
+				s.require(!from.up || !from.hasModel("a@1"), "the first engine still holds the model")
 			})
 		})
 	}
@@ -149,8 +149,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			size := shape{entries: 2, engines: 0, services: 1, fencing: []fencing{fencingIgnored}}
-			tell(t, guardNone, size, ledgerService, func(s *story) {
+			size := topology{entries: 2, engines: 0, services: 1, fencing: []fencing{fencingIgnored}}
+			runScenario(t, guardNone, size, ledgerService, func(s *scenario) {
 				h, e := s.current["s0"], s.entry(0)
 				first := s.post(e, "notice", 3*time.Second)
 				s.await("the commit", time.Second, func() bool { return committed(e) })
@@ -158,15 +158,15 @@
 				for _, to := range c.cut {
 					s.net.block(l, to, true)
 				}
-				s.pass(c.mend)
+				s.advance(c.mend)
 				s.net.block(l, atAgent, false)
 				s.net.block(l, atEntry, false)
-				s.pass(8 * time.Second)
-				s.want(first.told() != "", "the caller is told nothing")
+				s.advance(8 * time.Second)
+				s.require(first.result() != "", "the caller is told nothing")
 				again := s.post(s.entry(1), "notice", 3*time.Second)
-				s.pass(4 * time.Second)
-				s.want(again.told() != "", "the second caller is told nothing")
-				s.want(first.runs+again.runs <= 1, "%d runs", first.runs+again.runs)
+				s.advance(4 * time.Second)
+				s.require(again.result() != "", "the second caller is told nothing")
+				s.require(first.runs+again.runs <= 1, "%d runs", first.runs+again.runs)
 			})
 		})
 	}
@@ -186,70 +186,70 @@
 // another entry under the same key, while the first run still goes on and when it has ended. It must be told that the
 // outcome is not known, and the confirmation must not be sent again.
 func TestEntryCrashesAfterTheCommit(t *testing.T) {
-	size := shape{entries: 2, engines: 0, services: 2, fencing: []fencing{fencingIgnored}}
-	tell(t, guardNone, size, ledgerService, func(s *story) {
+	size := topology{entries: 2, engines: 0, services: 2, fencing: []fencing{fencingIgnored}}
+	runScenario(t, guardNone, size, ledgerService, func(s *scenario) {
 		e := s.entry(0)
 		first := s.post(e, "pad 4", 3*time.Second)
 		s.await("the commit", time.Second, func() bool { return committed(e) })
 		e.crash()
 		for range 3 {
 			again := s.post(s.entry(1), "pad 4", 2*time.Second)
-			s.pass(3 * time.Second)
-			s.want(again.told() == toldUnknown && again.runs == 0, "told %q, runs %d", again.told(), again.runs)
+			s.advance(3 * time.Second)
+			s.require(again.result() == resultUnknown && again.runs == 0, "told %q, runs %d", again.result(), again.runs)
 		}
-		s.want(first.runs <= 1, "runs %d", first.runs)
+		s.require(first.runs <= 1, "runs %d", first.runs)
 	})
 }
 
 // Two operators lower and raise a model's maximum at two entries while the table loses answers. No grant that was decided
 // under the higher maximum may be written after the lower one was accepted.
 func TestGrantsKeepToTheMaximumInForce(t *testing.T) {
-	size := shape{entries: 3, engines: 4, services: 0, fencing: []fencing{fencingDurable}}
-	tell(t, guardNone, size, modelOf("a", "", 1), func(s *story) {
-		s.table.lossy = 3
+	size := topology{entries: 3, engines: 4, services: 0, fencing: []fencing{fencingDurable}}
+	runScenario(t, guardNone, size, modelFile("a", "", 1), func(s *scenario) {
+		s.table.failOneIn = 3
 		for i := range 12 {
-			s.apply(s.entry(i%3), modelOf("a", "", 1+(i*5)%3))
-			s.pass(s.between(10*time.Millisecond, 800*time.Millisecond))
+			s.apply(s.entry(i%3), modelFile("a", "", 1+(i*5)%3))
+			s.advance(s.between(10*time.Millisecond, 800*time.Millisecond))
 		}
-		s.table.lossy = 0
-		s.pass(15 * time.Second)
+		s.table.failOneIn = 0
+		s.advance(15 * time.Second)
 	})
 }
 
 // A host is replaced by one that runs an engine of the same name, while the slot of the old one is on its way out. The new
 // engine must not take the old host's slot for its own: it may be removed at any moment.
 func TestReplacementDoesNotUseTheOldHostsSlot(t *testing.T) {
-	size := shape{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
-	tell(t, guardNone, size, modelOf("a", "endpoint = e0", 1), func(s *story) {
+	size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
+	runScenario(t, guardNone, size, modelFile("a", "endpoint = e0", 1), func(s *scenario) {
 		old := s.current["e0"]
-		s.served(s.chat(s.entry(0), "a", 15*time.Second))
+		s.awaitServed(s.chat(s.entry(0), "a", 15*time.Second))
 		old.terminate()
 		s.addHost("e0", kindEngine, old.domain, fencingIgnored).startAgent()
 		s.publishHosts()
 		s.chat(s.entry(1), "a", 6*time.Second)
-		s.pass(4 * time.Second)
+		s.advance(4 * time.Second)
 		old.state = backing.HostGone
 		s.publishHosts()
 		s.await("a slot", 20*time.Second, func() bool { return s.slot("a@1", "e0") == replicaspb.SlotState_GRANTED })
-		s.served(s.chat(s.entry(0), "a", 15*time.Second))
+		s.awaitServed(s.chat(s.entry(0), "a", 15*time.Second))
 	})
 }
 
 // An operator drains an engine while one entry is frozen. When that entry goes on it still believes the engine to be
 // there for work. Its requests must be served elsewhere, and the drained engine gets none after some seconds.
 func TestDrainMeetsAFrozenEntry(t *testing.T) {
-	size := shape{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
-	tell(t, guardNone, size, modelOf("a", "", 2), func(s *story) {
-		s.served(s.chat(s.entry(1), "a", 15*time.Second))
+	size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
+	runScenario(t, guardNone, size, modelFile("a", "", 2), func(s *scenario) {
+		s.awaitServed(s.chat(s.entry(1), "a", 15*time.Second))
 		s.entry(1).freeze()
-		s.net.notice()
+		s.net.checkConns()
 		s.edit(s.entry(0), declarations.SetDrain("e0", true))
-		s.pass(14 * time.Second)
+		s.advance(14 * time.Second)
 		s.thaw(s.entry(1).process)
 		for range 8 {
-			s.served(s.chat(s.entry(1), "a", 12*time.Second))
+			s.awaitServed(s.chat(s.entry(1), "a", 12*time.Second))
 		}
-		s.want(s.slot("a@1", "e0") == 0 && !s.current["e0"].holds("a@1"), "the drained engine still has a replica")
+		s.require(s.slot("a@1", "e0") == 0 && !s.current["e0"].hasModel("a@1"), "the drained engine still has a replica")
 	})
 }
 
@@ -262,16 +262,16 @@
 // An engine's labels change to and fro while its agent is cut off from one entry and then from the other. Confirmations
 // of an earlier release must not free the slot of a later one.
 func TestConfirmationsOfEarlierReleases(t *testing.T) {
-	size := shape{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
-	tell(t, guardNone, size, modelOf("a", "pool = x", 1), func(s *story) {
+	size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
+	runScenario(t, guardNone, size, modelFile("a", "pool = x", 1), func(s *scenario) {
 		for i := range 6 {
 			s.edit(s.entry(i%2), engineLabel("e0", []string{"x", "y"}[i%2]))
 			s.edit(s.entry(i%2), engineLabel("e1", []string{"y", "x"}[i%2]))
 			s.chat(s.entry(i%2), "a", 5*time.Second)
 			s.cutLink(s.entry(i%2), s.current["e0"], true)
-			s.pass(s.between(500*time.Millisecond, 6*time.Second))
+			s.advance(s.between(500*time.Millisecond, 6*time.Second))
 		}
-		s.pass(15 * time.Second)
-		s.served(s.chat(s.entry(0), "a", 12*time.Second))
+		s.advance(15 * time.Second)
+		s.awaitServed(s.chat(s.entry(0), "a", 12*time.Second))
 	})
 }
--- a/internal/joined/table_test.go
+++ b/internal/joined/table_test.go
@@ -16,8 +16,8 @@
 	revision uint64
 	rows     map[string]backing.Row
 	// down is set in an outage; lossy is one in how many calls goes wrong, 0 for none.
-	down  bool
-	lossy int
+	down      bool
+	failOneIn int
 	// late are the commits that are on their way although their senders have given up on them.
 	late []*lateCommit
 	// changed is told of each row that a commit changes.
@@ -42,11 +42,11 @@
 }
 
 // unreachable decides whether a call goes wrong. Between the calls of a process those of others take effect.
-func (c *tableClient) unreachable() bool {
-	if c.lossy > 0 && c.chance(c.lossy) {
+func (c *tableClient) callFails() bool {
+	if c.failOneIn > 0 && c.oneIn(c.failOneIn) {
 		c.runLate()
 	}
-	if c.down || c.cut || c.lossy > 0 && c.chance(c.lossy) {
+	if c.down || c.cut || c.failOneIn > 0 && c.oneIn(c.failOneIn) {
 		c.faults++
 		return true
 	}
@@ -55,7 +55,7 @@
 
 // Get implements backing.Table.
 func (c *tableClient) Get(_ context.Context, key string) (backing.Row, error) {
-	if c.unreachable() {
+	if c.callFails() {
 		return backing.Row{}, backing.ErrUnavailable
 	}
 	row, ok := c.rows[key]
@@ -67,7 +67,7 @@
 
 // List implements backing.Table.
 func (c *tableClient) List(_ context.Context, prefix string, after uint64) (backing.Listing, error) {
-	if c.unreachable() {
+	if c.callFails() {
 		return backing.Listing{}, backing.ErrUnavailable
 	}
 	listing := backing.Listing{Revision: c.revision}
@@ -83,7 +83,7 @@
 // Commit implements backing.Table. A commit that goes wrong is refused, lost before it took effect, after it, or still to
 // take effect.
 func (c *tableClient) Commit(_ context.Context, txn backing.Txn) (uint64, error) {
-	if !c.unreachable() {
+	if !c.callFails() {
 		return c.commit(txn)
 	}
 	switch c.random.IntN(5) {
@@ -97,7 +97,7 @@
 	case 2:
 		late := &lateCommit{txn: txn}
 		c.memoryTable.late = append(c.memoryTable.late, late)
-		c.after(c.between(0, 8*time.Second), func() { c.take(late) })
+		c.after(c.between(0, 8*time.Second), func() { c.applyLate(late) })
 		return 0, backing.ErrOutcomeUnknown
 	case 3:
 		return 0, backing.ErrOutcomeUnknown
@@ -109,11 +109,11 @@
 // runLate lets one late commit take effect.
 func (t *memoryTable) runLate() {
 	if len(t.late) > 0 {
-		t.take(pick(t.sim, t.late))
+		t.applyLate(pick(t.sim, t.late))
 	}
 }
 
-func (t *memoryTable) take(l *lateCommit) {
+func (t *memoryTable) applyLate(l *lateCommit) {
 	if l.done {
 		return
 	}
--- a/internal/joined/workload_test.go
+++ b/internal/joined/workload_test.go
@@ -16,15 +16,15 @@
 var modelMemory = map[string]int64{"a": 40, "b": 50, "c": 30}
 
 var (
-	modelNames = []string{"a", "b", "c"}
-	selectors  = []string{"pool = a", "pool = b", "pool in (a, b)", ""}
-	requested  = []string{"a", "a", "a-x", "a-y", "b", "b-x", "c"}
+	modelNames      = []string{"a", "b", "c"}
+	selectors       = []string{"pool = a", "pool = b", "pool in (a, b)", ""}
+	requestedModels = []string{"a", "a", "a-x", "a-y", "b", "b-x", "c"}
 )
 
 // someModel declares a model with new numbers.
-func (w *world) someModel(name string) string {
-	most, warm := 1+w.random.IntN(3), w.random.IntN(4)/3
-	if w.calm {
+func (w *world) randomModel(name string) string {
+	maxReplicas, warm := 1+w.random.IntN(3), w.random.IntN(4)/3
+	if w.healthy {
 		// Two models that stay loaded could leave no room for the third.
 		warm = 0
 	}
@@ -39,7 +39,7 @@
 warm_replicas = %d
 max_concurrency = %d
 load_time = 1s
-`, name, pick(w.sim, selectors), modelMemory[name], 1+w.random.IntN(most), most, warm, 1+w.random.IntN(3))
+`, name, pick(w.sim, selectors), modelMemory[name], 1+w.random.IntN(maxReplicas), maxReplicas, warm, 1+w.random.IntN(3))
 }
 
 // firstDeclarations is what is declared at the start.
@@ -51,7 +51,7 @@
 max_concurrency = 3
 `
 	for _, name := range modelNames {
-		file += w.someModel(name)
+		file += w.randomModel(name)
 	}
 	for _, adapter := range []string{"a-x", "a-y", "b-x"} {
 		file += fmt.Sprintf("\n[adapter %q]\nmodel = %s\nmemory = 6B\n", adapter, adapter[:1])
@@ -73,93 +73,93 @@
 	result, err := e.store.Edit(context.Background(), declarations.EditRequest{
 		Author: "operator", OperationID: fmt.Sprint("edit", w.edits), Change: change,
 	})
-	e.skipping.skipped = 0
+	e.skipClock.skipped = 0
 	w.logf("edit %d at %s: revision %d, %v", w.edits, e.name, result.Revision, err)
 	if errors.Is(err, declarations.ErrInvalid) {
 		w.violated("test", "edit %d: %v", w.edits, err)
 	}
-	if err == nil && result.Revision > w.truth.Revision() {
-		w.violated("P9", "edit %d is told to be revision %d, the table has %d", w.edits, result.Revision, w.truth.Revision())
+	if err == nil && result.Revision > w.reference.Revision() {
+		w.violated("P9", "edit %d is told to be revision %d, the table has %d", w.edits, result.Revision, w.reference.Revision())
 	}
 	w.counts["edits"]++
-	e.declarationsRead()
+	e.pushRevision()
 }
 
 // keepEditing lets operators change what is declared.
-func (w *world) keepEditing() {
-	if w.calm {
+func (w *world) scheduleEdits() {
+	if w.healthy {
 		return
 	}
-	w.someEdit()
-	w.after(w.between(200*time.Millisecond, 5*time.Second), w.keepEditing)
+	w.randomEdit()
+	w.after(w.between(200*time.Millisecond, 5*time.Second), w.scheduleEdits)
 }
 
-func (w *world) someEdit() {
-	e := w.someEntry()
-	engine := w.someHost().endpoint
+func (w *world) randomEdit() {
+	e := w.randomEntry()
+	engine := w.randomHost().endpoint
 	switch n := w.random.IntN(10); {
 	case n < 4:
-		w.apply(e, w.someModel(pick(w.sim, modelNames)))
+		w.apply(e, w.randomModel(pick(w.sim, modelNames)))
 	case n < 6:
-		w.edit(e, declarations.SetDrain(engine, w.chance(2)))
+		w.edit(e, declarations.SetDrain(engine, w.oneIn(2)))
 	case n < 9 && w.current[engine].kind == kindEngine:
 		key := &pb.ObjectKey{Kind: declarations.KindEngine, Name: engine}
 		w.edit(e, declarations.SetLabels(key, map[string]string{"pool": pick(w.sim, []string{"a", "b"})}, nil))
 	case n == 9:
 		// Model c has no adapters, so that it can be taken away and come back.
-		if _, ok := w.truth.Current().Model("c"); ok {
+		if _, ok := w.reference.Current().Model("c"); ok {
 			w.edit(e, declarations.PutObjects(nil, []*pb.ObjectKey{{Kind: declarations.KindModel, Name: "c"}}))
 		}
 	}
 }
 
 // keepCalling lets callers make calls, now and then many at once.
-func (w *world) keepCalling() {
-	if w.calm {
+func (w *world) scheduleCalls() {
+	if w.healthy {
 		return
 	}
 	n := 1
-	if w.chance(15) {
+	if w.oneIn(15) {
 		n = 8
 	}
 	for range n {
-		w.someCall()
+		w.randomCall()
 	}
-	w.after(w.between(10*time.Millisecond, 500*time.Millisecond), w.keepCalling)
+	w.after(w.between(10*time.Millisecond, 500*time.Millisecond), w.scheduleCalls)
 }
 
-func (w *world) someCall() {
-	entries := w.callable()
+func (w *world) randomCall() {
+	entries := w.readyEntries()
 	if len(entries) == 0 {
 		return
 	}
 	c := w.newCall()
-	c.left = w.between(50*time.Millisecond, 6*time.Second)
+	c.timeout = w.between(50*time.Millisecond, 6*time.Second)
 	c.caller = pick(w.sim, []string{"x", "y", "z"})
-	if w.chance(25) {
-		c.leaves = w.between(0, c.left)
+	if w.oneIn(25) {
+		c.disconnectAfter = w.between(0, c.timeout)
 	}
-	if w.chance(3) {
+	if w.oneIn(3) {
 		c.service = serviceName
-		c.idempotent = w.chance(4)
-		if !c.idempotent && w.chance(2) {
+		c.idempotent = w.oneIn(4)
+		if !c.idempotent && w.oneIn(2) {
 			c.key = fmt.Sprint("key", c.number/4)
 			c.repeats = 2
 		}
 	} else {
-		c.model = pick(w.sim, requested)
-		c.streamed = w.chance(2)
-		if w.chance(4) {
+		c.model = pick(w.sim, requestedModels)
+		c.streamed = w.oneIn(2)
+		if w.oneIn(4) {
 			c.class = wirepb.Class_BATCH
-			c.left *= 3
+			c.timeout *= 3
 		}
 	}
-	c.make(pick(w.sim, entries))
+	c.send(pick(w.sim, entries))
 }
 
 // callable returns the entries to which the balancer sends callers: its checks are late, so that it also sends some to
 // entries that are frozen.
-func (w *world) callable() []*entry {
+func (w *world) readyEntries() []*entry {
 	var list []*entry
 	for _, e := range w.liveEntries() {
 		if e.ready() {
--- a/internal/joined/world_test.go
+++ b/internal/joined/world_test.go
@@ -35,80 +35,80 @@
 	// guardNotLoaded: an engine's answer that it has not loaded the model is a refusal, not the answer to the request.
 	guardNotLoaded guard = "not loaded is a refusal"
 	// guardAnswerFirst: the caller's final answer does not wait for the record of the claim.
-	guardAnswerFirst guard = "answer first"
+	guardAnswerBeforeRecord guard = "answer first"
 	// guardDisplaced: what the machine asks for when displaced requests are taken away is carried out.
-	guardDisplaced guard = "displaced requests' actions"
+	guardDisplacedActions guard = "displaced requests' actions"
 	// guardReadID: an answer of the engine names the read that asked for it.
 	guardReadID guard = "number of the read"
 	// guardFirstByte: the patience with a streamed answer begins with its first byte, not with its head.
 	guardFirstByte guard = "first byte"
 	// guardStreams: an agent keeps all control streams of an entry, not the one that was taken up last.
-	guardStreams guard = "all control streams"
+	guardAllStreams guard = "all control streams"
 	// guardFade: an estimate that refuses all requests of a target at which nothing runs fades.
-	guardFade guard = "estimates fade"
+	guardEstimateFade guard = "estimates fade"
 	// guardUnloads: a planned stop of an agent waits for the unloads on their way.
-	guardUnloads guard = "unloads at a stop"
+	guardUnloadsAtStop guard = "unloads at a stop"
 )
 
 // world is all processes with what surrounds them, and the truth about it.
 type world struct {
 	*sim
-	net        *network
-	table      *memoryTable
-	operators  *tableClient
-	hosts      *hostList
-	allHosts   []*host
-	hostByID   map[string]*host
-	current    map[string]*host
-	entryNames []string
-	entries    map[string]*entry
-	without    guard
+	net           *network
+	table         *memoryTable
+	operators     *tableClient
+	hosts         *hostList
+	allHosts      []*host
+	hostByID      map[string]*host
+	current       map[string]*host
+	entryNames    []string
+	entries       map[string]*entry
+	disabledGuard guard
 
 	// truth holds the declarations as accepted, acceptedAt when each revision was, and rows the grants.
-	truth      *declarations.Receiver
+	reference  *declarations.Receiver
 	acceptedAt []time.Duration
 	rows       map[string]*replicaspb.Row
 	drainedAt  map[string]time.Duration
 	dirty      bool
 
-	calls    []*call
-	callOf   map[string]*call
-	keyRuns  map[string]int
-	agents   int
-	runs     int
-	edits    int
-	hostIDs  int
-	intense  int
-	calm     bool
-	tableBad time.Duration
+	calls        []*call
+	callOf       map[string]*call
+	keyRuns      map[string]int
+	agents       int
+	runs         int
+	edits        int
+	hostIDs      int
+	severity     int
+	healthy      bool
+	tableFaultAt time.Duration
 	// slowStore makes loads slow.
 	slowStore bool
 	counts    map[string]int
 	// mends end the faults that are there.
-	mends []func()
+	recoveries []func()
 	// last are the calls at the end of a run.
-	last []*lastCall
+	finalCalls []*finalCall
 }
 
 // faulty is true once in so many times while there are faults.
-func (w *world) faulty(in int) bool { return !w.calm && w.intense > 0 && w.chance(in*3/w.intense) }
+func (w *world) faulty(in int) bool { return !w.healthy && w.severity > 0 && w.oneIn(in*3/w.severity) }
 
 // shape is the size of a world.
-type shape struct {
+type topology struct {
 	entries, engines, services int
 	fencing                    []fencing
-	intense                    int
+	severity                   int
 }
 
-func newWorld(seed uint64, s shape) *world {
+func newWorld(seed uint64, s topology) *world {
 	base := &sim{random: rand.New(rand.NewPCG(seed, 1))}
 	w := &world{
 		sim: base, net: newNetwork(base), table: newMemoryTable(base), hosts: &hostList{sim: base},
 		hostByID: map[string]*host{}, current: map[string]*host{}, entries: map[string]*entry{},
-		truth: declarations.NewReceiver(), rows: map[string]*replicaspb.Row{}, drainedAt: map[string]time.Duration{},
-		acceptedAt: []time.Duration{0}, callOf: map[string]*call{}, keyRuns: map[string]int{}, counts: map[string]int{}, intense: s.intense,
+		reference: declarations.NewReceiver(), rows: map[string]*replicaspb.Row{}, drainedAt: map[string]time.Duration{},
+		acceptedAt: []time.Duration{0}, callOf: map[string]*call{}, keyRuns: map[string]int{}, counts: map[string]int{}, severity: s.severity,
 	}
-	w.table.changed = w.changed
+	w.table.changed = w.handleCommit
 	w.operators = &tableClient{memoryTable: w.table}
 	for i := range s.engines {
 		w.addHost(fmt.Sprint("e", i), kindEngine, domainOf(i), s.fencing[i%len(s.fencing)])
@@ -125,7 +125,7 @@
 func domainOf(i int) string { return []string{"north", "south"}[i%2] }
 
 // begin starts all processes.
-func (w *world) begin() {
+func (w *world) startAll() {
 	w.publishHosts()
 	for _, name := range w.entryNames {
 		w.startEntry(name)
@@ -158,7 +158,7 @@
 	w.allHosts = append(w.allHosts, h)
 	w.hostByID[h.id] = h
 	w.current[endpoint] = h
-	h.createdAt = w.at
+	h.createdAt = w.elapsed
 	return h
 }
 
@@ -182,7 +182,7 @@
 }
 
 // freeClaims lets claims do the work in the background that waits. The bubble of testing/synctest tells when it is done.
-func (w *world) freeClaims(c *atmostonce.Claims) {
+func (w *world) runClaims(c *atmostonce.Claims) {
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -195,20 +195,20 @@
 }
 
 // changed follows each commit as it happens.
-func (w *world) changed(before, after backing.Row) {
+func (w *world) handleCommit(before, after backing.Row) {
 	key := before.Key + after.Key
 	if after.Key != "" {
 		key = after.Key
 	}
 	switch {
 	case strings.HasPrefix(key, replicas.KeyPrefix):
-		w.rowChanged(decodeRow(before), decodeRow(after))
+		w.checkRowChange(decodeRow(before), decodeRow(after))
 	case strings.HasPrefix(key, "decl/log/") && after.Key != "":
 		delta := &pb.Delta{}
 		if err := proto.Unmarshal(after.Value, delta); err != nil {
 			panic(err)
 		}
-		w.declared(delta)
+		w.applyAccepted(delta)
 	}
 }
 
@@ -224,15 +224,15 @@
 }
 
 // declared takes in an accepted edit.
-func (w *world) declared(delta *pb.Delta) {
-	if applied, _ := w.truth.ApplyDelta(delta); !applied {
-		w.violated("P9", "revision %d follows %d in the table", delta.Revision, w.truth.Revision())
+func (w *world) applyAccepted(delta *pb.Delta) {
+	if applied, _ := w.reference.ApplyDelta(delta); !applied {
+		w.violated("P9", "revision %d follows %d in the table", delta.Revision, w.reference.Revision())
 	}
-	w.acceptedAt = append(w.acceptedAt, w.at)
+	w.acceptedAt = append(w.acceptedAt, w.elapsed)
 	w.logf("revision %d: %v", delta.Revision, delta)
-	for _, e := range w.truth.Current().Engines() {
+	for _, e := range w.reference.Current().Engines() {
 		if _, known := w.drainedAt[e.Name]; e.Drain && !known {
-			w.drainedAt[e.Name] = w.at
+			w.drainedAt[e.Name] = w.elapsed
 		}
 		if !e.Drain {
 			delete(w.drainedAt, e.Name)
@@ -242,7 +242,7 @@
 
 // rowChanged checks a change of a grant: it keeps to the maximum that is in force, and a slot that is being released is
 // never granted again.
-func (w *world) rowChanged(before, after *replicaspb.Row) {
+func (w *world) checkRowChange(before, after *replicaspb.Row) {
 	w.dirty = true
 	w.counts["rows changed"]++
 	delete(w.rows, before.GetModel())
@@ -263,7 +263,7 @@
 
 func (w *world) checkGrant(row *replicaspb.Row) {
 	name, _, _ := strings.Cut(row.Model, "@")
-	model, ok := w.truth.Current().Model(name)
+	model, ok := w.reference.Current().Model(name)
 	if !ok {
 		w.violated("P1", "%s is granted and not declared", row.Model)
 		return
