--- a/internal/joined/agent_test.go
+++ b/internal/joined/agent_test.go
@@ -28,27 +28,28 @@
 	maxTickInterval   = 250 * time.Millisecond
 )
 
-// agent is the process beside an endpoint: the machines of package agent, joined as its shell joins them.
+// agent is the process next to an endpoint. It connects the state machines in the same way as the I/O code of package agent.
 type agent struct {
 	*process
 	w *world
-	// number rises from agent to agent.
+	// number identifies the agent; later agents have higher numbers.
 	number   int
 	host     *host
 	core     *core
 	table    *tableClient
 	receiver *declarations.Receiver
-	// declaredAt is when the declarations last changed here.
+	// declaredAt is the time at which the agent's declarations last changed.
 	declaredAt time.Duration
-	// streams are the control streams: an entry that gave one up may have another one taken up before it ends here.
+	// streams are the control streams. An entry may have several, because a new one can be accepted before an abandoned
+	// one ends here.
 	streams []*controlStream
-	// readAsked and rowsAsked are the shell's channels of capacity one; reading and readingRows are set while it reads.
+	// readRequested and rowsRequested stand for channels of capacity one; reading and readingRows are set during a read.
 	readRequested, rowsRequested bool
 	readID                       uint64
 	reading, readingRows         bool
-	// inflight counts the request streams, offers the offers.
+	// inflight is the number of open request streams, offers the number of all offers.
 	inflight, offers int
-	// unloads counts the unload orders on their way.
+	// unloads is the number of unload orders in flight.
 	unloads  int
 	draining bool
 }
@@ -73,7 +74,7 @@
 	return a
 }
 
-// begin starts the process.
+// begin starts the process and its periodic tasks.
 func (a *agent) begin() {
 	a.start()
 	a.logf("%s starts", a.name)
@@ -86,7 +87,7 @@
 	a.tick()
 }
 
-// tick is the shell's timer.
+// tick handles expirations and schedules the next tick.
 func (a *agent) tick() {
 	wait := maxTickInterval
 	if next := a.core.expire(); !next.IsZero() {
@@ -95,7 +96,7 @@
 	a.later(wait, a.tick)
 }
 
-// probe checks that a plain service answers.
+// probe checks periodically whether a plain service responds.
 func (a *agent) probe() {
 	up := a.host.service.up && !a.w.faulty(30)
 	if a.core.up != up {
@@ -108,7 +109,7 @@
 	a.later(probeInterval, a.probe)
 }
 
-// perform carries out the machine's actions.
+// perform executes the loading machine's actions.
 func (a *agent) perform(actions []loading.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -135,7 +136,7 @@
 	}
 }
 
-// order gives an order; its answer is taken whenever it comes.
+// sendOrder sends an order to the engine. The loading machine gets the result whenever it arrives.
 func (a *agent) sendOrder(o endpoint.Order) {
 	done := func(err error) {
 		a.later(0, func() {
@@ -161,7 +162,7 @@
 	a.readEngine()
 }
 
-// readEngine reads the engine's state when that was asked for and no read is under way.
+// readEngine reads the engine's state if a read was requested and none is in progress.
 func (a *agent) readEngine() {
 	if a.reading || !a.readRequested {
 		return
@@ -202,7 +203,7 @@
 	a.readRows()
 }
 
-// readRows registers the agent in the table and reads its grants, again until both are done.
+// readRows registers the agent in the table and reads its grants. It retries until both succeed.
 func (a *agent) readRows() {
 	if a.readingRows || !a.rowsRequested {
 		return
@@ -250,15 +251,15 @@
 	return read
 }
 
-// leave stops the taking of new work.
+// leave stops accepting new requests.
 func (a *agent) leave() { a.core.leave() }
 
-// stop is the planned stop: no new work, what runs is finished, then the process ends.
+// stop starts a planned stop: the agent accepts no new requests, finishes the running ones and then ends.
 func (a *agent) stop() {
 	if a.draining || !a.alive {
 		return
 	}
-	a.logf("%s stops by plan", a.name)
+	a.logf("%s begins a planned stop", a.name)
 	a.draining = true
 	a.leave()
 	a.awaitIdle()
@@ -272,7 +273,7 @@
 	a.later(drainLinger, a.awaitUnloads)
 }
 
-// awaitUnloads waits for the unloads on their way, and ends the process.
+// awaitUnloads waits for unload orders in flight and then ends the process.
 func (a *agent) awaitUnloads() {
 	if a.unloads > 0 && a.w.disabledGuard != guardUnloadsAtStop {
 		a.later(10*time.Millisecond, a.awaitUnloads)
--- a/internal/joined/attempt_test.go
+++ b/internal/joined/attempt_test.go
@@ -8,18 +8,18 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// phase is how far an entry has come with an attempt.
+// phase is the phase of an attempt at the entry.
 type phase int
 
 const (
 	phaseActive phase = iota
-	// withdrawing: the agent's word on a request that was withdrawn is awaited for a moment.
+	// phaseWithdrawing: the request was withdrawn, and the entry waits briefly for the agent's confirmation.
 	phaseWithdrawing
-	// ended: the attempt's outcome is known; only its fate may still come.
+	// phaseEnded: the attempt's outcome is known; only its settlement may still arrive.
 	phaseEnded
 )
 
-// fate is whether a request had its effect.
+// settlement is whether a request ran.
 type settlement int
 
 const (
@@ -50,14 +50,14 @@
 	refusal   *wirepb.Refused
 	endAction atmostonce.ExchangeAction
 	gaveUp    bool
-	// last is set when there is no other endpoint to move on to.
+	// noAlternative is set if there is no other endpoint to try.
 	noAlternative bool
 	timer         int
-	// settled takes the fate that comes after the end.
+	// onSettled is called with a settlement that arrives after the end of the attempt.
 	onSettled func(settlement)
 }
 
-// begin makes the offer.
+// begin sends the offer.
 func (t *attempt) begin() {
 	e := t.entry
 	e.inFlight[t.candidate.Endpoint]++
@@ -89,7 +89,7 @@
 	return t.stream.write(atEntry, frame)
 }
 
-// setPatience bounds the wait for the next frame.
+// setTimeout sets the timeout for the next frame.
 func (t *attempt) setTimeout() {
 	left := t.deadline.Sub(t.entry.now())
 	wait := left + deadlineGrace
@@ -102,7 +102,7 @@
 	t.wait(max(wait, time.Millisecond), func() { t.step(atmostonce.GaveUp) })
 }
 
-// wait does something after a time unless something else happens first.
+// wait runs a function after a delay, unless the phase changes or wait is called again before.
 func (t *attempt) wait(d time.Duration, run func()) {
 	t.timer++
 	timer, phase := t.timer, t.phase
@@ -124,11 +124,11 @@
 	}
 }
 
-// got takes a frame.
+// receive handles a frame.
 func (t *attempt) receive(message any) {
 	frame := message.(*wirepb.FromAgent)
 	if frame.RequestId != t.id {
-		t.entry.violated("P4", "a frame of %s on the stream of %s", frame.RequestId, t.id)
+		t.entry.violated("P4", "received a frame of %s on the stream of %s", frame.RequestId, t.id)
 	}
 	switch t.phase {
 	case phaseActive:
@@ -140,10 +140,10 @@
 	}
 }
 
-// broke takes the end of the stream.
+// streamClosed handles the end of the stream.
 func (t *attempt) streamClosed() {
 	if c := t.stream.conn; c.planned && t.phase != phaseWithdrawing && (t.running || t.exchange.Committed()) {
-		t.entry.violated("P8", "the planned stop of %s cuts %s", c.agent.name, t.id)
+		t.entry.violated("P8", "the planned stop of %s aborts %s", c.agent.name, t.id)
 	}
 	switch t.phase {
 	case phaseWithdrawing:
@@ -197,7 +197,7 @@
 	return atmostonce.GotFailedClean
 }
 
-// fateEvent is eventOf without an answer to pass on.
+// settlementEvent maps a frame to an event like eventOf, but ignores the answer.
 func settlementEvent(frame *wirepb.FromAgent) atmostonce.ExchangeEvent {
 	switch f := frame.Frame.(type) {
 	case *wirepb.FromAgent_Refused:
@@ -211,7 +211,7 @@
 	}
 }
 
-// step gives the exchange an event and carries out its actions.
+// step passes an event to the exchange and executes its actions.
 func (t *attempt) step(e atmostonce.ExchangeEvent) {
 	t.gaveUp = t.gaveUp || e == atmostonce.GaveUp
 	for _, action := range t.exchange.Step(e) {
@@ -237,7 +237,7 @@
 	}
 }
 
-// followed takes the exchange's word on the attempt.
+// handleEnd handles the exchange's final action for the attempt.
 func (t *attempt) handleEnd(action atmostonce.ExchangeAction) {
 	t.endAction = action
 	if action != atmostonce.EndUnknown || t.running || t.callerGone || t.exchange.Open() {
@@ -248,7 +248,7 @@
 	t.wait(withdrawalTimeout, t.close)
 }
 
-// confirm takes the agent's word on a withdrawn request that was not known to run.
+// confirmWithdrawal handles a frame of a withdrawn request that is not known to have run.
 func (t *attempt) confirmWithdrawal(frame *wirepb.FromAgent) {
 	if refused := frame.GetRefused(); refused != nil {
 		t.refusal, t.endAction = refused, atmostonce.EndNotRun
@@ -259,7 +259,7 @@
 	}
 }
 
-// close ends the attempt; the stream is kept while the request's fate may still come.
+// close ends the attempt. The stream stays open while the settlement of the request may still arrive.
 func (t *attempt) close() {
 	if !t.exchange.Open() {
 		t.phase = phaseEnded
@@ -272,7 +272,7 @@
 	t.finish(t.outcome())
 }
 
-// know takes the fate of a request whose attempt has ended.
+// reportSettlement handles the settlement of a request and closes the stream.
 func (t *attempt) reportSettlement(f settlement) {
 	t.stream.close(atEntry)
 	if t.onSettled != nil {
@@ -302,7 +302,7 @@
 	}
 }
 
-// finish reports the attempt.
+// finish reports the attempt's outcome to the router and the request.
 func (t *attempt) finish(outcome routing.Outcome) {
 	e := t.entry
 	e.inFlight[t.candidate.Endpoint]--
--- a/internal/joined/backend_test.go
+++ b/internal/joined/backend_test.go
@@ -14,13 +14,13 @@
 	"balsamsail/internal/endpoint"
 )
 
-// errAnswerBroke says that the connection to the endpoint broke in the middle.
-var errAnswerTruncated = errors.New("joined: the endpoint's answer broke")
+// errAnswerTruncated reports that the endpoint's answer ended early.
+var errAnswerTruncated = errors.New("joined: endpoint's answer is truncated")
 
-// streamEnd is the last event of a streamed chat completion.
+// lastEvent is the last event of a streamed chat completion.
 const lastEvent = "[DONE]"
 
-// run is one request at an endpoint. What the endpoint sends reaches the agent in order.
+// run is the execution of one request at an endpoint. The parts of the answer reach the agent in order.
 type run struct {
 	*world
 	number         int
@@ -30,15 +30,15 @@
 	model, adapter string
 	streamed       bool
 	queue          []func()
-	// head, chunk and end take the answer at the agent.
+	// head, chunk and end deliver the answer to the agent.
 	head  func(status int)
 	chunk func(data []byte)
 	end   func(err error)
-	// cancelled is set when the agent has given the call up.
+	// cancelled is set when the agent has cancelled the call.
 	cancelled bool
 }
 
-// emit sends the next part of the answer.
+// emit sends a part of the answer to the agent.
 func (r *run) emit(part func()) {
 	r.queue = append(r.queue, part)
 	r.agent.later(r.between(100*time.Microsecond, time.Millisecond), func() {
@@ -53,7 +53,7 @@
 func (r *run) truncate()      { r.fail(errAnswerTruncated) }
 func (r *run) fail(err error) { r.emit(func() { r.end(err) }) }
 
-// answer sends a short answer of the endpoint's own.
+// answer sends a complete short answer.
 func (r *run) answer(status int, body string) {
 	r.emit(func() { r.head(status) })
 	r.emit(func() { r.chunk([]byte(body)) })
@@ -64,7 +64,7 @@
 	return slices.SortedFunc(maps.Keys(runs), func(a, b *run) int { return cmp.Compare(a.number, b.number) })
 }
 
-// parts are the parts of the answer to a call: only the endpoint that ran it for this call answers so.
+// answerParts returns the parts of the answer to a call. They contain the call's token, so that a mix-up is detected.
 func answerParts(c *call, streamed bool) []string {
 	list := []string{}
 	for i := range 1 + c.number%4 {
@@ -76,10 +76,10 @@
 	return list
 }
 
-// content is the whole answer to a call.
+// answerContent returns the whole answer to a call.
 func answerContent(c *call, streamed bool) string { return strings.Join(answerParts(c, streamed), "") }
 
-// serve lets the engine run a request.
+// serve passes a request to the engine.
 func (e *engine) serve(r *run) {
 	if !e.up || e.faulty(60) {
 		r.fail(endpoint.ErrUnreachable)
@@ -111,8 +111,8 @@
 	e.later(e.between(2*time.Millisecond, 150*time.Millisecond), func() { e.generate(r, answerParts(r.call, r.streamed), true) })
 }
 
-// generate sends an answer part by part. Engines that die politely end an answer as if it were whole, and some answer
-// with what belongs to another request.
+// generate sends an answer part by part. Faulty engines break the connection, end a truncated answer without an error, or
+// return the answer of another request.
 func (e *engine) generate(r *run, rest []string, first bool) {
 	switch {
 	case !e.runs[r]:
@@ -145,8 +145,8 @@
 	e.later(e.between(2*time.Millisecond, 100*time.Millisecond), func() { e.generate(r, rest[1:], false) })
 }
 
-// service is a plain service, some of whose calls must not be repeated. It runs what has arrived, also when the caller has
-// gone.
+// service is a plain service, some of whose calls must not be repeated. It runs every call that has arrived, even if the
+// caller has disconnected.
 type service struct {
 	*world
 	host        *host
@@ -162,7 +162,7 @@
 	s.incarnation++
 }
 
-// serve lets the service run a call.
+// serve passes a call to the service.
 func (s *service) serve(r *run) {
 	if !s.up || s.faulty(60) {
 		r.fail(endpoint.ErrUnreachable)
--- a/internal/joined/calls_test.go
+++ b/internal/joined/calls_test.go
@@ -7,7 +7,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// told is what a caller gets as the final answer.
+// callResult is the final result that a caller gets.
 type callResult string
 
 const (
@@ -15,12 +15,12 @@
 	resultReplayed callResult = "replayed"
 	resultNotRun   callResult = "not run"
 	resultUnknown  callResult = "unknown"
-	// toldCut: the connection broke in the middle, so that the caller knows that the answer is not whole.
+	// resultCut: the connection broke during the answer, so that the caller can tell that it is incomplete.
 	resultCut callResult = "cut"
 )
 
-// answerBound is how long after its deadline a request may still get its final answer: the agent's word on a request that
-// was withdrawn at the deadline has to come.
+// answerGrace is the time after the deadline within which a request must get its final answer. It leaves time for the agent's
+// confirmation of a request that was withdrawn at the deadline.
 const answerGrace = 200 * time.Millisecond
 
 // call is one call of a caller.
@@ -28,38 +28,38 @@
 	w      *world
 	number int
 	token  string
-	// service is set for calls of the plain service; key names those that the caller repeats.
+	// service is set for calls of the plain service; key is the idempotency key of those that the caller may repeat.
 	service, key, model string
-	// idempotent calls of the plain service may run more than once, as requests for models may.
+	// idempotent is set for calls of the plain service that may run more than once, like requests for models.
 	idempotent bool
 	class      wirepb.Class
 	caller     string
 	timeout    time.Duration
-	// leaves is when the caller goes away; 0 when it stays.
+	// disconnectAfter is the time after which the caller disconnects; 0 if it does not.
 	disconnectAfter time.Duration
 	streamed        bool
-	// patient callers repeat a call with a key until it is told to have run.
+	// repeats is how often the caller repeats a call with a key that is not reported as having run.
 	repeats int
 
-	// at is when the entry took the call up, which is when its deadline begins to count.
+	// at is the time at which the call arrived at the entry, from which its timeout counts.
 	at           time.Duration
 	entry        *entry
 	received     string
 	results      []callResult
 	disconnected bool
 	runs         int
-	// answered, when set, is told of the final answer.
+	// onResult, if set, is called with the final result.
 	onResult func(callResult)
 }
 
-// newCall returns a call that has not been made yet.
+// newCall returns a call that has not been sent yet.
 func (w *world) newCall() *call {
 	c := &call{w: w, number: len(w.calls), token: fmt.Sprint("call", len(w.calls)), class: wirepb.Class_INTERACTIVE, caller: "someone"}
 	w.calls = append(w.calls, c)
 	return c
 }
 
-// make sends the call to an entry.
+// send sends the call to an entry.
 func (c *call) send(e *entry) {
 	c.entry = e
 	c.w.counts["calls"]++
@@ -70,35 +70,35 @@
 	})
 }
 
-// newRequestID names a call at an entry.
+// newRequestID returns the request ID of a call at an entry.
 func (w *world) newRequestID(e *entry, c *call) string {
 	id := fmt.Sprintf("%s-%d-%d", e.name, e.started, e.sequence)
 	w.callOf[id] = c
 	return id
 }
 
-// receive takes a part of the answer.
+// receive appends a part of the answer.
 func (c *call) receive(data []byte) { c.received += string(data) }
 
-// tell takes the final answer.
+// deliver handles the final result of the call and checks it.
 func (c *call) deliver(_ *entry, result callResult, body string) {
 	w := c.w
 	c.results = append(c.results, result)
-	w.counts["told "+string(result)]++
-	w.logf("%s is told %q after %v", c.token, result, w.elapsed-c.at)
+	w.counts["result "+string(result)]++
+	w.logf("%s gets result %q after %v", c.token, result, w.elapsed-c.at)
 	if len(c.results) > 1 {
-		w.violated("P3", "%s is told %v", c.token, c.results)
+		w.violated("P3", "%s gets several results: %v", c.token, c.results)
 	}
 	switch result {
 	case resultWhole:
 		if c.received != answerContent(c, c.streamed) {
-			w.violated("P4", "%s gets %q", c.token, c.received)
+			w.violated("P4", "%s gets the wrong answer %q", c.token, c.received)
 		}
 	case resultReplayed:
 		c.checkReplay(body)
 	case resultNotRun:
 		if c.runs > 0 {
-			w.violated("P5", "%s is told that it did not run, and did", c.token)
+			w.violated("P5", "%s is reported as not run, but has run", c.token)
 		}
 	}
 	if c.onResult != nil {
@@ -109,17 +109,17 @@
 	}
 }
 
-// checkReplay checks that a recorded answer belongs to the call under the same key that ran.
+// checkReplay checks that a replayed answer belongs to a call with the same key that ran.
 func (c *call) checkReplay(body string) {
 	for _, other := range c.w.calls {
 		if other.key == c.key && other.runs > 0 && body == answerContent(other, false) {
 			return
 		}
 	}
-	c.w.violated("P4", "%s gets the recorded answer %q", c.token, body)
+	c.w.violated("P4", "%s gets the wrong replayed answer %q", c.token, body)
 }
 
-// repeat makes the call again under the same key.
+// repeat sends the call again with the same key.
 func (c *call) repeat() {
 	entries := c.w.liveEntries()
 	if len(entries) == 0 {
@@ -130,13 +130,13 @@
 	next.send(pick(c.w.sim, entries))
 }
 
-// ran takes in that an endpoint runs the call.
+// recordRun records and checks that an endpoint runs the call.
 func (c *call) recordRun(h *host, request string) {
 	w := c.w
 	c.runs++
 	w.logf("%s runs %s for %s", h.endpoint, request, c.token)
 	if len(c.results) > 0 && c.results[0] == resultNotRun {
-		w.violated("P5", "%s was told that it did not run, and runs", c.token)
+		w.violated("P5", "%s was reported as not run, but runs now", c.token)
 	}
 	if c.service == "" || c.idempotent {
 		return
@@ -147,13 +147,13 @@
 	if c.key != "" {
 		w.keyRuns[c.key]++
 		if w.keyRuns[c.key] > 1 {
-			w.violated("P6", "the calls under %s run %d times", c.key, w.keyRuns[c.key])
+			w.violated("P6", "the calls with key %s run %d times", c.key, w.keyRuns[c.key])
 		}
 	}
 }
 
-// checkTold checks that the caller got its final answer by the deadline and a bound, or that a streamed one had begun. A
-// frozen entry has the same time once it goes on.
+// checkAnswered checks that the caller has its final answer within answerGrace of the deadline, or that a streamed answer has
+// begun. After a freeze the entry gets the same time again.
 func (c *call) checkAnswered() {
 	w := c.w
 	switch {
--- a/internal/joined/control_test.go
+++ b/internal/joined/control_test.go
@@ -13,21 +13,22 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// controlStream is the control stream of one entry at its agent.
+// controlStream is the agent's end of an entry's control stream.
 type controlStream struct {
 	agent   *agent
 	entry   string
 	stream  *stream
 	pending *wirepb.ControlUp
-	// last is the status that was last told, with its replicas, and sentAt when.
+	// lastStatus is the status that was last sent, lastReplicas its replicas, and sentAt the time.
 	lastStatus   *wirepb.Status
 	lastReplicas map[string]*wirepb.Replica
 	sentAt       time.Time
-	// woken is set while changes are gathered, waiting while news of load wait for more of their kind.
+	// writeScheduled is set while changes are being batched, loadWritePending while a change of load waits for the load
+	// report interval.
 	writeScheduled, loadWritePending bool
 }
 
-// accept takes up a stream by its first message.
+// accept accepts a new stream. Its first message determines its kind.
 func (a *agent) accept(s *stream, first any) {
 	end := &s.ends[atAgent]
 	switch header := first.(type) {
@@ -55,10 +56,10 @@
 	c.agent.later(heartbeatInterval, c.heartbeat)
 }
 
-// loadReportInterval is the least time between two batches that tell of nothing but load.
+// loadReportInterval is the minimum time between two batches that contain only changes of load.
 const loadReportInterval = 250 * time.Millisecond
 
-// stir sends a batch after the time in which changes are gathered, if there is news.
+// scheduleWrite sends a batch after the batch delay if there are changes.
 func (c *controlStream) scheduleWrite() {
 	if c.writeScheduled {
 		return
@@ -82,7 +83,7 @@
 	})
 }
 
-// hasQueued reports whether the next batch carries more than the agent's status.
+// hasQueued reports whether the next batch contains more than the agent's status.
 func (c *controlStream) hasQueued() bool {
 	p := c.pending
 	return len(p.PermitRequests)+len(p.PermitsDone)+len(p.Releases)+len(p.Wanted) > 0 || p.Snapshot != nil || p.WantSnapshot
@@ -97,7 +98,7 @@
 	_ = c.stream.write(atAgent, up)
 }
 
-// news is how a status differs from what an entry was last told.
+// statusChange is the kind of difference between a status and the one that was last sent.
 type statusChange int
 
 const (
@@ -138,7 +139,7 @@
 	}
 }
 
-// change leaves out of a status what is fixed and the replicas that were told as they are.
+// diff returns the status without static fields and unchanged replicas, or the full status if a static field has changed.
 func (c *controlStream) diff(status *wirepb.Status) *wirepb.Status {
 	before := c.lastReplicas
 	full := c.lastStatus == nil || !c.sameStaticFields(status)
@@ -168,7 +169,7 @@
 	return changed
 }
 
-// stir wakes the control streams' writers.
+// scheduleWrites schedules a write on all control streams.
 func (a *agent) scheduleWrites() {
 	for _, c := range a.streams {
 		c.scheduleWrite()
@@ -182,7 +183,7 @@
 	}
 }
 
-// applyDown carries out one batch of an entry.
+// applyDown applies a batch from an entry.
 func (a *agent) applyDown(c *controlStream, down *wirepb.ControlDown) {
 	a.applyDeclarations(c, down)
 	for _, row := range down.Rows {
@@ -217,7 +218,7 @@
 	}
 	revision := a.receiver.Revision()
 	if revision < before {
-		a.violated("P9", "%s goes back from revision %d to %d", a.name, before, revision)
+		a.violated("P9", "%s went back from revision %d to %d", a.name, before, revision)
 	}
 	if revision != before {
 		a.declaredAt = a.elapsed
@@ -227,7 +228,8 @@
 
 func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// issuer returns the entry that all agents with the same connections ask for permits, or nil.
+// permitIssuer returns the control stream of the entry that grants permits, or nil if there is none. Agents with the same
+// connections choose the same entry.
 func (a *agent) permitIssuer() *controlStream {
 	if len(a.streams) == 0 {
 		return nil
@@ -237,7 +239,7 @@
 	})
 }
 
-// askPermit asks the issuer for a permit.
+// requestPermit requests a permit from the issuer.
 func (a *agent) requestPermit(action loading.AskPermit) {
 	c := a.permitIssuer()
 	if c == nil {
@@ -249,7 +251,7 @@
 	c.scheduleWrite()
 }
 
-// status is the agent's whole state.
+// status returns the agent's full status.
 func (a *agent) status() *wirepb.Status {
 	c := a.core
 	status := &wirepb.Status{
--- a/internal/joined/coordinator_test.go
+++ b/internal/joined/coordinator_test.go
@@ -15,8 +15,8 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// connectedTo begins a new connection to an agent with the grants and what is known of its host. The declarations follow its
-// first report.
+// handleConnected sends an agent its grants and its host's state on a new connection. The declarations follow after the
+// agent's first report.
 func (e *entry) handleConnected(endpoint string) {
 	delete(e.sentRevision, endpoint)
 	e.send(endpoint, &wirepb.ControlDown{
@@ -24,7 +24,7 @@
 	})
 }
 
-// reported takes an agent's batch.
+// handleReport handles an agent's batch.
 func (e *entry) handleReport(l *entryLink, up *wirepb.ControlUp) {
 	now, name := e.now(), l.name
 	e.view.Reported(now, name, up.Status)
@@ -65,7 +65,7 @@
 	e.wakeRequests()
 }
 
-// lost takes the end of a connection.
+// handleConnectionLost handles the end of a connection.
 func (e *entry) handleConnectionLost(l *entryLink) {
 	if e.links[l.name] == l {
 		e.view.Lost(l.name)
@@ -76,7 +76,7 @@
 	e.wakeRequests()
 }
 
-// hostsChanged takes a new host list.
+// hostsChanged handles a new host list.
 func (e *entry) hostsChanged() {
 	e.version++
 	for _, name := range e.endpoints() {
@@ -92,7 +92,7 @@
 	e.wakeRequests()
 }
 
-// noteReachability keeps since when an endpoint answers or not, and what else of its report the grants are decided from.
+// updateReachability updates an endpoint's reachability, its time, and the other reported fields on which grants depend.
 func (e *entry) updateReachability(endpoint string) {
 	next := reachability{since: e.now()}
 	if ep := e.endpoint(endpoint); ep != nil {
@@ -113,7 +113,7 @@
 	e.scheduleGrantRound(grantSettle)
 }
 
-// pushTo sends an agent the deltas since what it was last sent or said that it holds, or a snapshot.
+// pushDeclarations sends an agent the deltas since the revision that it was last sent or has reported, or a snapshot.
 func (e *entry) pushDeclarations(endpoint string) {
 	set := e.store.Current()
 	sent, known := e.sentRevision[endpoint]
@@ -134,7 +134,8 @@
 	stateRequestInterval = time.Second
 )
 
-// catchUp asks an agent for the declarations when it holds higher ones and the table does not show them.
+// checkBehind requests the declarations from an agent that has had a higher revision for longer than behindTimeout. That
+// happens when the entry cannot read the table.
 func (e *entry) checkBehind(endpoint string, status *wirepb.Status) {
 	now := e.now()
 	if status.DeclarationsRevision <= e.store.Current().Revision() {
@@ -149,7 +150,7 @@
 	}
 }
 
-// pushRows sends changed rows to the agents that they name or have named.
+// pushRows sends changed rows to the agents that have a slot in the new or the previous version.
 func (e *entry) pushRows() {
 	rows, deleted, next := e.grants.Changed(e.rowsCursor)
 	e.rowsCursor = next
@@ -174,7 +175,7 @@
 	}
 }
 
-// pushPermits answers the agents' asking for permits as time passes.
+// pushPermits decides pending permit requests periodically.
 func (e *entry) pushPermits() {
 	wait := time.Second
 	if next := e.grantPermits(); !next.IsZero() {
@@ -190,7 +191,7 @@
 	return e.permits.Next()
 }
 
-// announce wakes the requests that wait for an endpoint.
+// wakeRequests wakes the requests that wait for an endpoint.
 func (e *entry) wakeRequests() {
 	for _, r := range sortedRequests(e.picking) {
 		e.soon(r.repick())
@@ -275,7 +276,7 @@
 	return used, loaded
 }
 
-// labels returns an endpoint's labels.
+// labels returns an endpoint's reported, declared and built-in labels.
 func (e *entry) labels(ep *membership.Endpoint) map[string]string {
 	labels := maps.Clone(ep.Status.GetLabels())
 	if labels == nil {
@@ -288,13 +289,13 @@
 	return labels
 }
 
-// drained reports whether an operator drains an endpoint.
+// drained reports whether an endpoint is declared as drained.
 func (e *entry) drained(endpoint string) bool {
 	declared, ok := e.store.Current().Engine(endpoint)
 	return ok && declared.Drain
 }
 
-// candidates returns the endpoints that may serve a target.
+// candidates returns the endpoints that can serve a target.
 func (e *entry) candidates(t admission.Target) []routing.Candidate {
 	if t.Service != "" {
 		return e.serviceCandidates(t.Service)
@@ -316,7 +317,7 @@
 	return list
 }
 
-// reportedCandidates are the engines that say they hold a slot, for an entry that has not read the rows.
+// reportedCandidates returns the engines that report a slot. It is used while the entry has not read the rows.
 func (e *entry) reportedCandidates(t admission.Target) []routing.Candidate {
 	var list []routing.Candidate
 	if e.grants.Complete() {
@@ -344,7 +345,7 @@
 	return c
 }
 
-// serviceCandidates are the endpoints that a plain service's selector matches.
+// serviceCandidates returns the endpoints that a plain service's selector matches.
 func (e *entry) serviceCandidates(service string) []routing.Candidate {
 	declared, ok := e.store.Current().Service(service)
 	if !ok {
--- a/internal/joined/core_test.go
+++ b/internal/joined/core_test.go
@@ -12,20 +12,20 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// decision is what becomes of a waiting request: it starts, or it is refused.
+// decision is the queue's decision on a request: it starts, or it is refused.
 type decision struct{ refusal *admission.Refusal }
 
-// waiting is a request in an agent's queue.
+// queuedRequest is a request in an agent's queue.
 type queuedRequest struct {
 	request admission.Request
 	decided bool
-	// decide takes the first decision.
+	// decide is called with the first decision.
 	decide func(decision)
 	cold   bool
 	loadAt time.Time
 }
 
-// core joins the queue of waiting requests with the loading machine, as the agent's core does.
+// core connects the request queue with the loading machine, like the core of package agent.
 type core struct {
 	*agent
 	queue        *admission.Queue
@@ -57,7 +57,7 @@
 	}
 }
 
-// offer takes a request into the queue or refuses it at once.
+// offer queues a request or returns a refusal.
 func (c *core) offer(w *queuedRequest) *admission.Refusal {
 	refusal, actions := c.enqueue(w)
 	c.perform(actions)
@@ -84,8 +84,8 @@
 	return nil, append(actions, c.enqueueDemand(now, w)...)
 }
 
-// doubt lets the estimate of a target fade by which a request is refused although nothing is before it: a single slow one
-// would else have all later ones refused, and no shorter time would ever be seen.
+// fadeEstimate fades a target's service time estimate if it causes a refusal although the target is idle. Otherwise a single
+// slow request could cause the refusal of all later ones, and no shorter time would ever be observed.
 func (c *core) fadeEstimate(t admission.Target, refusal *admission.Refusal) {
 	alone := c.runningOf(t) == 0 && c.queue.Waiting(t) == 0
 	if alone && refusal.Reason == wirepb.RefusalReason_DEADLINE && c.w.disabledGuard != guardEstimateFade {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// cancel takes a waiting request away.
+// cancel removes a waiting request.
 func (c *core) cancel(id string) {
 	if c.queued[id] != nil {
 		c.perform(c.remove(id))
@@ -122,7 +122,7 @@
 	return c.stepMachine(c.now(), loading.DemandGone{Request: id})
 }
 
-// step gives the machine an event and carries out its actions.
+// step passes an event to the loading machine and performs its actions.
 func (c *core) step(e loading.Event) {
 	if c.machine == nil {
 		return
@@ -193,7 +193,7 @@
 	return actions
 }
 
-// expire refuses what cannot be served in time and lets the machine's time pass. It returns when it is needed next.
+// expire refuses requests that cannot be served in time and ticks the loading machine. It returns when it must run next.
 func (c *core) expire() time.Time {
 	now := c.now()
 	actions := c.refuseAll(c.queue.Expire(now, c.estimate))
@@ -208,7 +208,7 @@
 	return next
 }
 
-// earlier returns the earlier of two times, of which the zero time is none.
+// earlier returns the earlier of two times; a zero time means none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -216,7 +216,7 @@
 	return a
 }
 
-// leave refuses what waits and takes nothing more; what runs goes on.
+// leave refuses the waiting requests and all new ones. Running requests continue.
 func (c *core) leave() {
 	if c.leaving {
 		return
@@ -230,7 +230,7 @@
 	c.scheduleWrites()
 }
 
-// declare takes in new declarations.
+// declare applies new declarations.
 func (c *core) declare(set *declarations.Set) {
 	specs := loading.SpecsChanged{}
 	for _, m := range set.Models() {
@@ -259,7 +259,7 @@
 	c.scheduleWrites()
 }
 
-// finish ends a running request.
+// finish records the end of a running request.
 func (c *core) finish(id string, d durations) {
 	now := c.now()
 	target, ok := c.running[id]
@@ -282,10 +282,10 @@
 	c.scheduleWrites()
 }
 
-// spent is how long a request ran: to its first answer bytes and to its end, 0 where it did not get there.
+// durations are a request's times to the first answer byte and to the end, 0 if it did not get there.
 type durations struct{ firstByte, whole time.Duration }
 
-// pump starts waiting requests while their targets can run and have room.
+// startReady starts waiting requests whose targets are usable and below their concurrency limit.
 func (c *core) startReady(now time.Time) []loading.Action {
 	var actions []loading.Action
 	for {
--- a/internal/joined/engine_test.go
+++ b/internal/joined/engine_test.go
@@ -10,23 +10,25 @@
 	"balsamsail/internal/endpoint"
 )
 
-// fencing is how an engine treats fencing numbers.
+// fencing is an engine's treatment of fencing tokens.
 type fencing int
 
 const (
 	fencingIgnored fencing = iota
-	// fencingDurable: numbers are checked and outlive a restart.
+	// fencingDurable: tokens are checked, and the highest one survives a restart.
 	fencingDurable
-	// fencingVolatile: numbers are checked and forgotten at a restart, which breaks the connections of orders on their way.
+	// fencingVolatile: tokens are checked, but the highest one is lost at a restart, which breaks the connections of orders
+	// in flight.
 	fencingVolatile
 )
 
 const (
-	// orderLife is the longest time for which an order that was given up may still take effect.
+	// orderLife is the maximum time for which an abandoned order may still take effect.
 	orderLife = 8 * time.Second
-	// orderTimeout is when an agent gives an order up.
+	// orderTimeout is the time after which an agent abandons an order.
 	orderTimeout = 12 * time.Second
-	// lateOrder is the longest delay of an order, and longestAdapterLoad leaves it time to end within its life.
+	// maxOrderDelay is the maximum delay of an order. maxAdapterLoad is short enough for a delayed adapter load to end
+	// within orderLife.
 	maxOrderDelay  = 5 * time.Second
 	maxAdapterLoad = 2 * time.Second
 )
@@ -37,8 +39,8 @@
 	bytes    int64
 	state    string
 	adapters map[string]*engineAdapter
-	// waiting are orders that want the model loaded, leaving those that wait for its unload, and next those that wait for
-	// the memory to be free.
+	// loadOrders are the orders that wait for the load, unloadOrders those that wait for the unload, and nextLoads the load
+	// orders that start after the unload.
 	loadOrders, unloadOrders []*engineOrder
 	nextLoads                []*engineOrder
 }
@@ -49,19 +51,19 @@
 	waiting []*engineOrder
 }
 
-// engineOrder is an order on its way.
+// engineOrder is an order in flight.
 type engineOrder struct {
 	endpoint.Order
 	incarnation int
 	agent       *agent
 	arrived     bool
-	// left is set when the sender stopped by plan although it had no answer yet.
+	// senderStopped is set if the sender had a planned stop before it got the answer.
 	senderStopped bool
-	// reply takes the answer; nil once the sender has given up or died.
+	// reply is called with the answer; nil after the sender has abandoned the order or ended.
 	reply func(error)
 }
 
-// engine is a model engine. Its orders may come late and their answers get lost.
+// engine is a model engine. Orders to it may be delayed, and their answers may be lost.
 type engine struct {
 	*world
 	host         *host
@@ -70,17 +72,17 @@
 	up           bool
 	incarnation  int
 	highestFence uint64
-	// newest is the number of the newest agent of which an order was taken.
+	// newestAgent is the highest number of an agent of which an order was accepted.
 	newestAgent int
 	models      map[string]*engineModel
 	orders      map[*engineOrder]bool
 	runs        map[*run]bool
-	// cached lists the model versions whose checkpoint is on the host; loads of others read the weight store.
+	// cached lists the model versions whose checkpoints are cached on the host; others are loaded from the weight store.
 	cached map[string]string
-	// script, when set, says how late an order comes, and whether its answer is lost at once.
+	// orderHook, if set, returns an additional delay of an order and whether its answer is lost at once.
 	orderHook func(endpoint.Order) (late time.Duration, lost bool)
-	// readTime, when set, is how long a read of the state takes, and firstTime the time from an answer's head to its first
-	// bytes.
+	// readDelay, if set, is the duration of a state read, and firstByteDelay the time from an answer's head to its first
+	// byte.
 	readDelay, firstByteDelay time.Duration
 }
 
@@ -102,7 +104,7 @@
 	return used
 }
 
-// state is what the engine says of itself.
+// state returns the state that the engine reports.
 func (e *engine) state() endpoint.EngineState {
 	s := endpoint.EngineState{
 		Incarnation: strconv.Itoa(e.incarnation), MemoryBytes: e.limit, UsedBytes: e.used(), Cached: maps.Clone(e.cached),
@@ -123,7 +125,7 @@
 	return s
 }
 
-// later does something unless the engine has restarted by then.
+// later runs a function after a delay, unless the engine has restarted by then.
 func (e *engine) later(d time.Duration, run func()) {
 	incarnation := e.incarnation
 	e.after(d, func() {
@@ -133,37 +135,38 @@
 	})
 }
 
-// checkSender checks that an engine which checks fencing numbers takes no order of a former agent after one of a later.
+// checkSender checks that an engine which checks fencing tokens accepts no order of an earlier agent after one of a later
+// agent.
 func (e *engine) checkSender(o *engineOrder) {
 	if e.fencing != fencingIgnored && o.agent.number < e.newestAgent {
-		e.violated("fencing", "%s takes order %s of %s, which is gone", e.host.endpoint, o.ID, o.agent.name)
+		e.violated("fencing", "%s accepts order %s of %s after one of a later agent", e.host.endpoint, o.ID, o.agent.name)
 	}
 	e.newestAgent = max(e.newestAgent, o.agent.number)
 }
 
-// checkMemory checks that what an order loads fits.
+// checkMemory checks that a load does not exceed the engine's memory.
 func (e *engine) checkMemory(o *engineOrder) {
 	if used := e.used(); used > e.limit {
-		e.violated("P2", "order %s (%s %s) takes the memory of %s to %d of %d", o.ID, o.Model, o.Adapter, e.host.endpoint, used, e.limit)
+		e.violated("P2", "order %s (%s %s) increases the memory use of %s to %d of %d", o.ID, o.Model, o.Adapter, e.host.endpoint, used, e.limit)
 	}
 }
 
-// cut ends running requests in the middle. An order that does so is a fault, unless its sender crashed: requests may run on
-// what is loaded before all orders of a crashed agent are over.
+// abortRuns aborts running requests. It is a violation if an order causes this, unless the order's sender crashed: a new agent
+// may serve requests with loaded models before all orders of its crashed predecessor have ended.
 func (e *engine) abortRuns(match func(*run) bool, by *engineOrder) {
 	for _, r := range sortedRuns(e.runs) {
 		if !match(r) {
 			continue
 		}
 		if by != nil && !r.cancelled && (by.agent == e.host.agent || by.senderStopped) {
-			e.violated("P8", "order %s to %s cuts request %s of %s %s", by.ID, e.host.endpoint, r.request, r.model, r.adapter)
+			e.violated("P8", "order %s to %s aborts request %s of %s %s", by.ID, e.host.endpoint, r.request, r.model, r.adapter)
 		}
 		delete(e.runs, r)
 		r.truncate()
 	}
 }
 
-// restart replaces the engine's process. Orders that it was carrying out end without an answer.
+// restart replaces the engine's process. Orders that it was executing end with an unknown outcome.
 func (e *engine) restart() {
 	e.logf("engine %s restarts", e.host.endpoint)
 	e.stop()
--- a/internal/joined/entry_test.go
+++ b/internal/joined/entry_test.go
@@ -28,7 +28,7 @@
 	readinessDelay = 500 * time.Millisecond
 )
 
-// entry is the process on an entry host: the machines of package entry, joined as its shell joins them.
+// entry is the process on an entry host. It connects the state machines in the same way as the I/O code of package entry.
 type entry struct {
 	*process
 	w         *world
@@ -45,20 +45,21 @@
 	permits   *permits.Budget
 
 	links map[string]*entryLink
-	// told is the declarations' revision that each connected agent was last sent, since since when endpoints answer or not.
+	// sentRevision is the revision of the declarations that each connected agent was last sent or has reported.
 	sentRevision   map[string]uint64
 	reachabilityOf map[string]reachability
 	version        uint64
-	// views are the engines as of viewsVersion.
+	// views caches the engine views of viewsVersion.
 	views        []replicas.EngineView
 	viewsVersion uint64
-	// behindSince is when an agent was first heard to hold a higher revision, behindAsked when one was last asked for it.
+	// behindSince is the time since which an agent has reported a higher revision, stateRequestedAt the time at which an
+	// agent was last asked for its declarations.
 	behindSince, stateRequestedAt time.Time
 	rowEngines                    map[string]map[string]bool
 	rowsCursor                    uint64
 	inFlight                      map[string]int
 	picking                       map[*request]bool
-	// requests are those in flight, committed those whose fate is awaited in the background.
+	// requests are the requests in flight.
 	requests    map[*request]bool
 	sequence    int
 	roundAt     time.Duration
@@ -66,11 +67,12 @@
 	revision    uint64
 	hostsListed bool
 	draining    bool
-	// tableFreed is when the way to the table was last freed.
+	// tableReachableAt is the time at which the table last became reachable again.
 	tableReachableAt time.Duration
 }
 
-// reachability is whether an endpoint answers and since when, and what else of its report the grants are decided from.
+// reachability is an endpoint's reachability, the time since which it has not changed, and the other reported fields on which
+// grants depend.
 type reachability struct {
 	reachable, leaving bool
 	since              time.Time
@@ -79,7 +81,7 @@
 	labels             map[string]string
 }
 
-// grantPolicy has short times, so that slots come and go within a run.
+// grantPolicy returns a policy with short times, so that slots change often within a run.
 func grantPolicy() replicas.Policy {
 	p := replicas.DefaultPolicy()
 	p.SilentAfter, p.FailingAfter = 5*time.Second, 5*time.Second
@@ -113,7 +115,7 @@
 	return e
 }
 
-// begin starts the process's work.
+// begin starts the process's periodic tasks.
 func (e *entry) begin() {
 	e.logf("%s starts", e.name)
 	e.poll()
@@ -123,7 +125,7 @@
 	e.maintainClaims()
 }
 
-// poll reads the declarations from the table.
+// poll reads the declarations from the table periodically.
 func (e *entry) poll() {
 	wait := pollInterval
 	if _, _, err := e.store.Operation(context.Background(), "none", 0); err != nil {
@@ -137,11 +139,11 @@
 	e.later(e.jitter(wait), e.poll)
 }
 
-// declarationsRead pushes a new revision to the agents.
+// pushRevision sends a new revision to the agents.
 func (e *entry) pushRevision() {
 	revision := e.store.Current().Revision()
 	if revision < e.revision {
-		e.violated("P9", "%s goes back from revision %d to %d", e.name, e.revision, revision)
+		e.violated("P9", "%s went back from revision %d to %d", e.name, e.revision, revision)
 	}
 	if revision == e.revision {
 		return
@@ -159,7 +161,7 @@
 	})
 }
 
-// keepClaims lets the claims that were given up be freed in the background.
+// maintainClaims periodically frees abandoned claims.
 func (e *entry) maintainClaims() {
 	if !e.w.table.down && !e.table.cut && e.w.table.failOneIn == 0 {
 		e.w.runClaims(e.claims)
@@ -167,7 +169,7 @@
 	e.later(e.jitter(2*time.Second), e.maintainClaims)
 }
 
-// wakeGrants lets the manager of the grants do a round within a time.
+// scheduleGrantRound schedules a round of the replica manager after d, unless an earlier one is scheduled.
 func (e *entry) scheduleGrantRound(d time.Duration) {
 	at := e.elapsed + d
 	if e.roundAt > e.elapsed && e.roundAt <= at {
@@ -185,10 +187,10 @@
 	})
 }
 
-// readHosts reads the host list.
+// readHosts reads the host list periodically.
 func (e *entry) readHosts() {
 	hosts, version, _ := e.w.hosts.Hosts(context.Background())
-	// The answer takes its time, and another read may be answered before.
+	// The answer is delayed, and a later read may be answered before.
 	e.later(e.w.net.latency(), func() {
 		if e.view.HostsRead(hosts, version) {
 			e.adjustLinks()
@@ -199,7 +201,7 @@
 	e.later(e.jitter(listInterval), e.readHosts)
 }
 
-// adjustLinks starts a link to each listed endpoint and stops those to hosts that are gone or replaced.
+// adjustLinks starts a link to each listed endpoint and stops the links to hosts that are gone or replaced.
 func (e *entry) adjustLinks() {
 	for _, name := range e.endpoints() {
 		ep := e.endpoint(name)
@@ -224,7 +226,7 @@
 	return ep
 }
 
-// entryLink keeps the connection to one agent.
+// entryLink maintains the connection to one agent.
 type entryLink struct {
 	e       *entry
 	name    string
@@ -277,7 +279,7 @@
 	}
 }
 
-// stop ends the link for good.
+// stop closes the link permanently.
 func (l *entryLink) stop() {
 	l.stopped = true
 	if l.conn != nil {
@@ -285,7 +287,7 @@
 	}
 }
 
-// send queues a batch; without a connection it is dropped, because a new one starts with the whole state.
+// send queues a batch. Without a connection the batch is dropped, because a new connection starts with the full state.
 func (l *entryLink) send(down *wirepb.ControlDown) {
 	if l.conn == nil {
 		return
@@ -296,7 +298,7 @@
 	}
 }
 
-// flush sends what is queued as one batch.
+// flush sends the queued batches as one.
 func (l *entryLink) flush() {
 	if l.conn == nil {
 		return
@@ -329,7 +331,7 @@
 	}
 }
 
-// crash kills the process. Its callers' connections break.
+// crash kills the process. Its callers' connections are lost.
 func (e *entry) crash() {
 	if !e.alive {
 		return
@@ -343,12 +345,13 @@
 	e.w.net.closeProcessConns(e.process, false)
 }
 
-// stop is the planned stop: the balancer sends callers elsewhere, what is in flight is finished, then the process ends.
+// stop starts a planned stop: the load balancer sends new calls elsewhere, requests in flight are finished, then the process
+// ends.
 func (e *entry) stop() {
 	if e.draining || !e.alive {
 		return
 	}
-	e.logf("%s stops by plan", e.name)
+	e.logf("%s begins a planned stop", e.name)
 	e.draining = true
 	e.later(readinessDelay, e.awaitIdle)
 }
@@ -362,12 +365,12 @@
 	e.finish()
 }
 
-// ready reports whether callers may be sent here.
+// ready reports whether the load balancer may send calls to the entry.
 func (e *entry) ready() bool {
 	return e.alive && !e.draining && e.hostsListed && (e.store.Ready() || e.caughtUp())
 }
 
-// learned reports whether an entry that cannot read the table holds the highest revision that the agents it reaches hold.
+// caughtUp reports whether an entry that cannot read the table has the highest revision of its connected agents.
 func (e *entry) caughtUp() bool {
 	revision := e.store.Current().Revision()
 	for _, name := range e.endpoints() {
@@ -378,7 +381,7 @@
 	return revision > 0
 }
 
-// hostState is what an agent is told of its own host.
+// hostState returns the host state that is sent to an agent.
 func (e *entry) hostState(endpoint string) wirepb.HostState {
 	if ep := e.endpoint(endpoint); ep != nil && ep.Listed == backing.HostLeaving {
 		return wirepb.HostState_HOST_LEAVING
--- a/internal/joined/execution_test.go
+++ b/internal/joined/execution_test.go
@@ -15,7 +15,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// exchange is one request stream at an agent.
+// exchange is the agent's end of a request stream.
 type exchange struct {
 	*agent
 	stream    *stream
@@ -34,7 +34,7 @@
 	checksum  *xxhash.Digest
 	tail      string
 	status    int
-	// watched is set while the call is given up at the deadline.
+	// deadlineArmed is set while the call is to be cancelled at the deadline.
 	deadlineArmed bool
 	closed        bool
 }
@@ -51,7 +51,7 @@
 	}
 }
 
-// serve queues the request and follows it to its end.
+// serve queues the request or refuses it.
 func (x *exchange) serve() {
 	x.waiting = &queuedRequest{
 		request: admission.Request{
@@ -78,7 +78,7 @@
 	}
 }
 
-// frame takes a further frame of the entry.
+// handleFrame handles a further frame from the entry.
 func (x *exchange) handleFrame(message any) {
 	switch message.(*wirepb.ToAgent).Frame.(type) {
 	case *wirepb.ToAgent_Commit:
@@ -88,10 +88,10 @@
 	}
 }
 
-// noticedWait is the wait from which on the entry is told that a request which needs no commit starts now.
+// readyNoticeDelay is the minimum wait in the queue after which the entry is notified that a request without a commit starts.
 const readyNoticeDelay = 50 * time.Millisecond
 
-// decide takes the queue's decision.
+// decide handles the queue's decision.
 func (x *exchange) decide(d decision) {
 	if d.refusal != nil {
 		x.refusal = d.refusal
@@ -114,7 +114,7 @@
 	}
 }
 
-// leaveStream ends the serving of the stream.
+// closeStream closes the stream and ends the exchange.
 func (x *exchange) closeStream() {
 	if x.closed {
 		return
@@ -164,16 +164,16 @@
 	x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Refused{Refused: refused}})
 }
 
-// send writes a frame. The agent's machine hears of a broken stream from the reading side.
+// send writes a frame. Write errors are ignored, because the reading side detects a broken stream.
 func (x *exchange) send(frame *wirepb.FromAgent) {
 	frame.RequestId = x.id
 	_ = x.stream.write(atAgent, frame)
 }
 
-// errWithdrawn says that the agent gave the call up.
-var errCallCancelled = errors.New("joined: call given up")
+// errCallCancelled reports that the agent cancelled the call.
+var errCallCancelled = errors.New("joined: call cancelled")
 
-// startCall passes the request to the endpoint.
+// startCall sends the request to the endpoint.
 func (x *exchange) startCall() {
 	x.began = x.now()
 	x.w.runs++
@@ -200,7 +200,7 @@
 	})
 }
 
-// stopCall gives the call up. What was sent may run all the same.
+// stopCall cancels the call. A request that was already sent may still run.
 func (x *exchange) stopCall(err error) {
 	if x.run != nil && !x.run.cancelled {
 		x.callEnded(err)
@@ -222,7 +222,7 @@
 	x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Head{Head: head}})
 }
 
-// errEngineRefused says that the engine did not run the request: it is too busy, or has not loaded the model.
+// errEngineRefused reports that the engine did not run the request, because it is too busy or has not loaded the model.
 var errEngineRefused = errors.New("joined: the engine refused")
 
 func (x *exchange) chunk(data []byte) {
@@ -236,7 +236,8 @@
 	x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Body{Body: &wirepb.BodyChunk{Data: data}}})
 }
 
-// callEnded takes the end of the call. An engine that dies politely ends a stream without its last event.
+// callEnded handles the end of the call. A stream that ends without its last event is truncated, even if the engine closed it
+// without an error.
 func (x *exchange) callEnded(err error) {
 	x.run.cancelled, x.deadlineArmed = true, false
 	if err == nil && x.offer.Stream && !strings.HasSuffix(x.tail, lastEvent) {
--- a/internal/joined/faults_test.go
+++ b/internal/joined/faults_test.go
@@ -6,7 +6,7 @@
 	"balsamsail/internal/backing"
 )
 
-// fault is something that goes wrong for a while, with its weight.
+// fault is a kind of temporary fault and its relative frequency.
 type fault struct {
 	name   string
 	weight int
@@ -23,11 +23,11 @@
 	{"agent freezes", 6, func(w *world) { w.freeze(w.randomHost().agent.process) }},
 	{"link cut", 6, func(w *world) { w.cutLink(w.randomEntry(), w.randomHost(), true) }},
 	{"link half open", 6, func(w *world) { w.cutLink(w.randomEntry(), w.randomHost(), false) }},
-	{"agent cut off", 3, func(w *world) { w.cutOff(w.randomHost()) }},
+	{"agent partitioned", 3, func(w *world) { w.cutOff(w.randomHost()) }},
 	{"connection reset", 4, func(w *world) { w.resetConn() }},
 	{"table down", 3, func(w *world) { w.tableDown() }},
 	{"table loses answers", 5, func(w *world) { w.tableLossy() }},
-	{"way to the table cut", 4, func(w *world) { w.cutFromTable() }},
+	{"table unreachable for one process", 4, func(w *world) { w.cutFromTable() }},
 	{"host leaves", 4, func(w *world) { w.hostLeaves(w.randomHost()) }},
 	{"host vanishes", 2, func(w *world) { w.hostVanishes(w.randomHost()) }},
 	{"failure domain vanishes", 1, (*world).domainVanishes},
@@ -36,7 +36,7 @@
 	{"service slow", 2, func(w *world) { w.setSlowService(w.randomHost()) }},
 }
 
-// keepFailing lets faults happen one after the other, at times several at once.
+// injectFaults injects a random fault and schedules the next one. Several faults can overlap.
 func (w *world) injectFaults() {
 	if w.healthy {
 		return
@@ -73,7 +73,7 @@
 	return w.current[pick(w.sim, names)]
 }
 
-// until lets something happen after a time, or at once when the faults end.
+// recoverAfter runs a recovery after a delay, or when all faults are ended.
 func (w *world) recoverAfter(d time.Duration, run func()) {
 	done := false
 	once := func() {
@@ -86,7 +86,7 @@
 	w.after(d, once)
 }
 
-// mend ends all faults.
+// endFaults ends all faults and the injection of new ones.
 func (w *world) endFaults() {
 	w.healthy = true
 	recoveries := w.recoveries
@@ -175,7 +175,7 @@
 	w.net.handleThaw(p, frozen)
 }
 
-// cutLink cuts the way between two hosts, or only one direction of it.
+// cutLink blocks the link between two hosts in both directions or in one.
 func (w *world) cutLink(e *entry, h *host, both bool) {
 	l := w.net.link(e.name, h.id)
 	to := pick(w.sim, []side{atEntry, atAgent})
@@ -225,7 +225,7 @@
 	w.recoverAfter(w.between(300*time.Millisecond, 8*time.Second), func() { a.table.cut = false })
 }
 
-// hostLeaves lets the platform take a host away and put another one in its place.
+// hostLeaves simulates the announced replacement of a host by the platform.
 func (w *world) hostLeaves(h *host) {
 	if h.state != backing.HostLive || !h.up {
 		return
@@ -238,7 +238,7 @@
 	w.recoverAfter(w.between(2*time.Second, 9*time.Second), func() { w.terminateHost(h) })
 }
 
-// hostVanishes terminates a host without a warning.
+// hostVanishes terminates a host without notice.
 func (w *world) hostVanishes(h *host) {
 	if h.up {
 		w.terminateHost(h)
--- a/internal/joined/hold_test.go
+++ b/internal/joined/hold_test.go
@@ -11,7 +11,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// demand tells the machine of a waiting request and starts what can run.
+// enqueueDemand reports a queued request to the loading machine, or holds a batch request, and starts requests that can run.
 func (c *core) enqueueDemand(now time.Time, w *queuedRequest) []loading.Action {
 	if c.machine == nil {
 		return c.startReady(now)
@@ -25,7 +25,7 @@
 	return append(c.demandLoad(now, w), c.startReady(now)...)
 }
 
-// longestHold bounds how long a batch request waits for others before it wakes a model.
+// maxHold is the maximum time for which a batch request is held, to share a load with others.
 const maxHold = 3 * time.Second
 
 func (c *core) hold(now time.Time, w *queuedRequest) bool {
@@ -70,7 +70,7 @@
 	return actions, next
 }
 
-// readyIn is the expected time until a request's target can run, 0 when it can now or nothing is known.
+// readyIn returns the expected time until a request's target is usable, 0 if it is usable now or the time is unknown.
 func (c *core) readyIn(w *queuedRequest) time.Duration {
 	if !w.cold || c.machine == nil {
 		return 0
@@ -82,7 +82,7 @@
 	return max(0, at.Sub(c.now()))
 }
 
-// load is what answers and reports say of the endpoint's load.
+// load returns the endpoint's load for answers and reports.
 func (c *core) load(t admission.Target) *wirepb.Load {
 	wait := time.Duration(0)
 	if t != (admission.Target{}) {
--- a/internal/joined/hosts_test.go
+++ b/internal/joined/hosts_test.go
@@ -8,17 +8,18 @@
 	"balsamsail/internal/backing"
 )
 
-// host is an endpoint host: a machine with an engine or a plain service and the agent beside it.
+// host is an endpoint host: a machine with an engine or a plain service and its agent.
 type host struct {
 	*world
 	id, endpoint, domain string
 	kind                 string
 	up                   bool
-	// state is that of the newest host list; empty when the host is not listed any more.
+	// state is the host's state in the newest host list, empty if it is no longer listed.
 	state backing.HostState
-	// leavingAt is when the platform, or a planned stop of the agent, began to take the endpoint away; 0 when it has not.
+	// leavingAt is the time at which the endpoint began to leave, by the platform or a planned stop of its agent; 0 if it
+	// has not.
 	leavingAt time.Duration
-	// listedLeavingAt is when the list first said so; 0 when it has not.
+	// listedLeavingAt is the time at which the host was first listed as leaving; 0 if it was not.
 	listedLeavingAt time.Duration
 	createdAt       time.Duration
 	engine          *engine
@@ -26,10 +27,10 @@
 	agent           *agent
 }
 
-// listening reports whether an agent holds the host's address.
+// listening reports whether an agent is listening on the host's address.
 func (h *host) listening() bool { return h.agent != nil && h.agent.alive }
 
-// startAgent starts the agent, unless one holds the address still.
+// startAgent starts the agent, unless another one is still listening.
 func (h *host) startAgent() {
 	if !h.up || h.listening() {
 		return
@@ -41,7 +42,7 @@
 	h.agent.begin()
 }
 
-// crashAgent kills the agent. Its endpoint lives on and may still get what the agent sent last.
+// crashAgent kills the agent. Its endpoint keeps running and may still receive orders and requests in transit.
 func (h *host) crashAgent() {
 	if !h.listening() {
 		return
@@ -59,7 +60,7 @@
 	}
 }
 
-// terminate takes the machine away: all that runs on it ends without a word.
+// terminate ends the machine and everything that runs on it, without notice.
 func (h *host) terminate() {
 	h.logf("host %s of %s is terminated", h.id, h.endpoint)
 	h.up = false
@@ -73,11 +74,11 @@
 	h.net.checkConns()
 }
 
-// hostList is the platform's list of hosts, which lags.
+// hostList is the platform's host list. Reads return stale versions.
 type hostList struct {
 	*sim
 	versions []hostListVersion
-	// old is set when the last read was answered by a replica that lags far.
+	// lastReadStale is set if the last read may have had the long lag.
 	lastReadStale bool
 }
 
@@ -87,18 +88,19 @@
 }
 
 const (
-	// hostListLag is how old the list usually is that a read returns, and rareHostListLag how old it may be at times, but
-	// not twice in a row.
+	// hostListLag is the usual maximum age of the list that a read returns. rareHostListLag is its maximum age in rare
+	// cases, but never in two consecutive reads.
 	hostListLag     = 1500 * time.Millisecond
 	rareHostListLag = 12 * time.Second
 )
 
-// publish makes a new version of the list.
+// publish adds a new version of the list.
 func (l *hostList) publish(hosts []backing.Host) {
 	l.versions = append(l.versions, hostListVersion{at: l.elapsed, hosts: hosts})
 }
 
-// Hosts implements backing.HostList. Two reads may be answered by replicas that lag differently.
+// Hosts implements backing.HostList. A read may return an older version than the previous one, like reads from replicas with
+// different lags.
 func (l *hostList) Hosts(context.Context) ([]backing.Host, uint64, error) {
 	oldest := l.elapsed - l.between(0, hostListLag)
 	if l.lastReadStale = !l.lastReadStale && l.oneIn(12); l.lastReadStale {
@@ -111,7 +113,7 @@
 	return slices.Clone(l.versions[i].hosts), uint64(i + 1), nil
 }
 
-// publishHosts makes the present states a new version of the list.
+// publishHosts publishes the current states as a new version of the list.
 func (w *world) publishHosts() {
 	var list []backing.Host
 	for _, h := range w.allHosts {
--- a/internal/joined/inforce_test.go
+++ b/internal/joined/inforce_test.go
@@ -3,14 +3,15 @@
 import "time"
 
 const (
-	// inForceBound is how long after an edit, or after the ways to a process are free, the edit is in force there.
+	// inForceBound is the time within which an edit must be in force in a process, counted from the edit or from the time
+	// at which the process became reachable.
 	inForceBound = 4 * time.Second
-	// leavingBound is how long a leaving endpoint may still get new work.
+	// leavingBound is the time for which a leaving endpoint may still get new requests.
 	leavingBound  = 4 * time.Second
 	checkInterval = 250 * time.Millisecond
 )
 
-// keepChecking checks now and then that each process whose ways are free has the newest declarations.
+// scheduleChecks checks periodically that each reachable process has the newest declarations.
 func (w *world) scheduleChecks() {
 	w.recordTableFault()
 	if w.elapsed > inForceBound {
@@ -19,14 +20,14 @@
 	w.after(checkInterval, w.scheduleChecks)
 }
 
-// noteTable keeps until when the table did not work well.
+// recordTableFault records the last time at which the table was faulty.
 func (w *world) recordTableFault() {
 	if w.table.down || w.table.failOneIn > 0 {
 		w.tableFaultAt = w.elapsed
 	}
 }
 
-// freeSince returns since when an entry works and reaches the table; false when it does not.
+// healthySince returns the time since which an entry has been running and able to reach the table, or false if it is not.
 func (e *entry) healthySince() (time.Duration, bool) {
 	w := e.w
 	if !e.alive || e.frozen || e.table.cut || w.table.down || w.table.failOneIn > 0 {
@@ -35,7 +36,8 @@
 	return max(e.started, e.thawedAt, e.tableReachableAt, w.tableFaultAt+checkInterval), true
 }
 
-// linkedSince returns since when an agent is reached by an entry that reaches the table; false when there is none.
+// reachableSince returns the time since which an agent has been reachable from an entry that can reach the table, or false if
+// it is not.
 func (a *agent) reachableSince() (time.Duration, bool) {
 	first, found := time.Duration(0), false
 	for _, e := range a.w.liveEntries() {
@@ -77,7 +79,7 @@
 	}
 }
 
-// checkLearnt checks that an entry which does not reach the table learns from the agents that it reaches what they hold.
+// checkLearned checks that an entry that cannot reach the table gets newer declarations from the agents that it can reach.
 func (w *world) checkLearned(e *entry) {
 	if e.frozen || !e.table.cut && !w.table.down {
 		return
@@ -95,26 +97,26 @@
 	}
 }
 
-// offerAccepted checks that an endpoint takes new work only while it is not leaving, but for the time in which that
-// becomes known. An entry that was frozen has that time once it goes on.
+// checkAccepted checks that an endpoint accepts no new requests after it began to leave or was drained, apart from the time
+// that this takes to become known. The time starts again when a frozen entry resumes.
 func (w *world) checkAccepted(x *exchange) {
 	p, h := x.stream.conn.processes[atEntry], x.host
 	if w.elapsed-max(p.started, p.thawedAt, x.started, x.thawedAt, x.stream.conn.link.unblockedAt) < leavingBound {
 		return
 	}
 	if h.leavingAt > 0 && w.elapsed-h.leavingAt > leavingBound {
-		w.violated("P7", "%s takes %s %v after it began to leave", h.endpoint, x.id, w.elapsed-h.leavingAt)
+		w.violated("P7", "%s accepts %s %v after it began to leave", h.endpoint, x.id, w.elapsed-h.leavingAt)
 	}
 	e := w.entries[p.name]
 	drained, ok := w.drainedAt[h.endpoint]
 	free, works := e.healthySince()
 	if ok && works && w.elapsed-max(free, drained) > inForceBound+leavingBound {
-		w.violated("P7", "%s takes %s %v after the drain", h.endpoint, x.id, w.elapsed-drained)
+		w.violated("P7", "%s accepts %s %v after the drain", h.endpoint, x.id, w.elapsed-drained)
 	}
 }
 
-// offered checks that an entry offers nothing to an endpoint of which the list has said for some time that it leaves,
-// whatever the agent would answer.
+// checkOffer checks that an entry offers no requests to an endpoint that has been listed as leaving for some time, even if the
+// agent would refuse them.
 func (w *world) checkOffer(e *entry, h *host) {
 	known := w.elapsed-max(e.started, e.thawedAt) > leavingBound
 	if known && h.listedLeavingAt > 0 && w.elapsed-h.listedLeavingAt > leavingBound {
--- a/internal/joined/main_test.go
+++ b/internal/joined/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain lets garbage gather: the runs make much of it and keep little.
+// TestMain makes the garbage collector run less often, because the simulations allocate a lot and retain little.
 func TestMain(m *testing.M) {
 	debug.SetGCPercent(400)
 	os.Exit(m.Run())
--- a/internal/joined/network_test.go
+++ b/internal/joined/network_test.go
@@ -17,17 +17,17 @@
 
 func (s side) other() side { return 1 - s }
 
-// errBroken is the error of a write to a stream that has ended.
-var errBroken = errors.New("joined: stream broken")
+// errBroken is returned by a write to a closed stream.
+var errBroken = errors.New("joined: write to a closed stream")
 
 const (
 	dialTimeout = time.Second
-	// leastKeepAlive and mostKeepAlive bound the time until a connection to a frozen or cut-off peer is given up.
+	// minKeepAliveTimeout and maxKeepAliveTimeout bound the time after which a connection to an unresponsive peer is closed.
 	minKeepAliveTimeout = 2 * time.Second
 	maxKeepAliveTimeout = 3500 * time.Millisecond
 )
 
-// network joins entry hosts with endpoint hosts.
+// network connects entry hosts with endpoint hosts.
 type network struct {
 	*sim
 	links map[[2]string]*link
@@ -36,11 +36,11 @@
 
 func newNetwork(s *sim) *network { return &network{sim: s, links: map[[2]string]*link{}} }
 
-// link is the way between two hosts. What is sent towards a blocked side waits until the way is free again.
+// link is the network path between two hosts. Messages towards a blocked side wait until it is unblocked.
 type link struct {
 	blocked [2]bool
 	waiting [2][]func()
-	// freed is when the way was last freed.
+	// unblockedAt is the time at which the link was last unblocked.
 	unblockedAt time.Duration
 }
 
@@ -52,7 +52,7 @@
 	return n.links[key]
 }
 
-// latency is usually short, and at times long enough for one stream to overtake another.
+// latency returns a random latency. It is usually short, but sometimes long enough for one stream to overtake another.
 func (n *network) latency() time.Duration {
 	if n.oneIn(20) {
 		return n.between(time.Millisecond, 80*time.Millisecond)
@@ -60,7 +60,7 @@
 	return n.between(100*time.Microsecond, 2*time.Millisecond)
 }
 
-// block stops or frees the way towards a side.
+// block blocks or unblocks the link towards a side.
 func (n *network) block(l *link, to side, blocked bool) {
 	l.blocked[to] = blocked
 	if !blocked {
@@ -74,7 +74,8 @@
 	n.checkConns()
 }
 
-// dial makes a connection; done gets nil when it fails. A frozen process takes it: its kernel does.
+// dial opens a connection and calls done with it, or with nil if that fails. A connection to a frozen process succeeds, because
+// the kernel accepts it.
 func (n *network) dial(from *process, l *link, to *host, done func(*conn)) {
 	fail := func(d time.Duration) { from.later(d, func() { done(nil) }) }
 	switch {
@@ -106,16 +107,16 @@
 	agent     *agent
 	open      [2]bool
 	streams   []*stream
-	// closed is called when the connection has ended at the entry.
+	// onClose is called when the connection is closed at the entry.
 	onClose func()
-	// troubled is set while the connection does not work and an end does not know; trouble counts how often.
+	// unhealthy is set while the connection passes no messages but is not closed yet; outages counts the changes of that.
 	unhealthy bool
 	outages   int
-	// planned is set when a planned stop of the agent ended the connection.
+	// planned is set if the connection was closed by a planned stop of the agent.
 	planned bool
 }
 
-// works reports whether the connection passes messages and answers.
+// healthy reports whether the connection passes messages in both directions and both processes respond.
 func (c *conn) healthy() bool {
 	for _, p := range c.processes {
 		if !p.alive || p.frozen {
@@ -125,7 +126,7 @@
 	return c.host.up && c.link.blocked == [2]bool{}
 }
 
-// notice starts the ends' patience with connections that stopped working.
+// checkConns starts the keep-alive timeouts of connections that became unhealthy.
 func (n *network) checkConns() {
 	n.conns = slices.DeleteFunc(n.conns, func(c *conn) bool { return c.open == [2]bool{} })
 	for _, c := range n.conns {
@@ -140,7 +141,7 @@
 	}
 }
 
-// watch gives the connection up at one end if it does not work again in time.
+// startKeepAliveTimeout closes the connection at one end if it does not become healthy in time.
 func (c *conn) startKeepAliveTimeout(at side) {
 	outages := c.outages
 	c.processes[at].later(c.between(minKeepAliveTimeout, maxKeepAliveTimeout), func() {
@@ -150,7 +151,7 @@
 	})
 }
 
-// thawed lets a process that was frozen for long find some of its connections timed out.
+// handleThaw times out some of the connections of a process that was frozen for longer than the keep-alive timeout.
 func (n *network) handleThaw(p *process, frozen time.Duration) {
 	for _, c := range n.conns {
 		for _, at := range []side{atEntry, atAgent} {
@@ -162,7 +163,7 @@
 	n.checkConns()
 }
 
-// exited ends the connections of a process that has ended; its kernel tells the peers.
+// closeProcessConns closes the connections of an ended process; its kernel resets them at the peers.
 func (n *network) closeProcessConns(p *process, planned bool) {
 	for _, c := range n.conns {
 		for _, at := range []side{atEntry, atAgent} {
@@ -176,7 +177,7 @@
 	n.checkConns()
 }
 
-// fail ends the connection at one end, and tells the other one.
+// fail closes the connection at one end and resets it at the other.
 func (c *conn) fail(at side) {
 	if !c.open[at] {
 		return
@@ -193,7 +194,7 @@
 	c.checkConns()
 }
 
-// reset tells an end that the other one has gone. What is on its way may be lost.
+// reset closes the connection at an end after a latency. Messages in transit may be lost.
 func (c *conn) reset(at side) {
 	if !c.open[at] || !c.host.up {
 		return
@@ -208,27 +209,27 @@
 	})
 }
 
-// stream is one ordered exchange of messages within a connection. Streams overtake each other.
+// stream is an ordered bidirectional message stream within a connection. Different streams are not ordered with each other.
 type stream struct {
 	conn  *conn
 	ends  [2]streamEnd
 	pipes [2]pipe
 }
 
-// streamEnd is what an end does with what comes.
+// streamEnd holds the callbacks of one end of a stream.
 type streamEnd struct {
 	onMessage func(message any)
 	onClose   func()
 	closed    bool
 }
 
-// pipe is what is on its way towards an end.
+// pipe holds the messages in transit towards an end.
 type pipe struct{ queue []any }
 
-// endOfStream is sent after the last message of an end that closed its stream.
+// endOfStream is sent after the last message when an end closes the stream.
 type endOfStream struct{}
 
-// openStream opens a stream at the entry. The agent takes it up with the first message.
+// openStream opens a stream at the entry. The agent accepts it when the first message arrives.
 func (c *conn) openStream(onMessage func(any), onClose func()) *stream {
 	s := &stream{conn: c}
 	s.ends[atEntry] = streamEnd{onMessage: onMessage, onClose: onClose}
@@ -239,7 +240,7 @@
 	return s
 }
 
-// write sends a message from an end.
+// write sends a message from one end to the other.
 func (s *stream) write(from side, message any) error {
 	c := s.conn
 	if !c.open[from] || s.ends[from].closed {
@@ -251,7 +252,7 @@
 	return nil
 }
 
-// arrive lets the next message reach an end's process.
+// arrive passes the next message to the process at an end.
 func (s *stream) arrive(to side) {
 	c := s.conn
 	if !c.open[to] {
@@ -279,7 +280,7 @@
 	s.ends[to].onMessage(message)
 }
 
-// lose tells an end that nothing more comes.
+// closeEnd marks an end as closed and notifies it.
 func (s *stream) closeEnd(at side) {
 	end := &s.ends[at]
 	if end.closed {
@@ -291,7 +292,7 @@
 	}
 }
 
-// close ends the stream at an end, which hears nothing more.
+// close closes the stream at an end, which gets no further messages and no notification.
 func (s *stream) close(at side) {
 	if s.ends[at].closed {
 		return
--- a/internal/joined/orders_test.go
+++ b/internal/joined/orders_test.go
@@ -8,7 +8,7 @@
 	"balsamsail/internal/endpoint"
 )
 
-// give takes an order from the agent; reply gets the answer.
+// submit accepts an order from the agent and calls reply with the answer.
 func (e *engine) submit(a *agent, order endpoint.Order, reply func(error)) {
 	o := &engineOrder{Order: order, incarnation: e.incarnation, agent: a, reply: reply}
 	e.orders[o] = true
@@ -30,14 +30,14 @@
 	e.after(orderTimeout, func() { e.loseAnswer(o) })
 }
 
-// lose breaks the connection of an order: its answer is lost, and it may still take effect.
+// loseAnswer breaks the connection of an order. Its answer is lost, but it may still take effect.
 func (e *engine) loseAnswer(o *engineOrder) {
 	if o.reply != nil {
 		e.answer(o, endpoint.ErrOutcomeUnknown)
 	}
 }
 
-// answer answers an order, if somebody waits for it.
+// answer answers an order if its sender still waits for it.
 func (e *engine) answer(o *engineOrder, err error) {
 	delete(e.orders, o)
 	reply := o.reply
@@ -54,7 +54,7 @@
 	}
 }
 
-// agentGone lets the engine forget who waits for its answers, and give up the requests of the agent.
+// handleAgentExit cancels the requests of the agent and drops the replies to its orders.
 func (e *engine) handleAgentExit(planned bool) {
 	for r := range e.runs {
 		r.cancelled = true
@@ -66,7 +66,7 @@
 	clear(e.orders)
 }
 
-// arrive lets an order reach the engine.
+// arrive handles the arrival of an order at the engine.
 func (e *engine) arrive(o *engineOrder) {
 	o.arrived = true
 	switch {
@@ -74,7 +74,7 @@
 		e.answer(o, endpoint.ErrOutcomeUnknown)
 		return
 	case e.fencing != fencingIgnored && o.Fence < e.highestFence:
-		e.logf("%s fences %v %s off", e.host.endpoint, o.Kind, o.ID)
+		e.logf("%s rejects the fenced %v %s", e.host.endpoint, o.Kind, o.ID)
 		e.answer(o, endpoint.ErrFenced)
 		return
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-// loadTime is short for cached checkpoints, and long when the store is slow.
+// loadTime returns a random load time, which is short for cached checkpoints and long while the weight store is slow.
 func (e *engine) loadTime(model string) time.Duration {
 	switch {
 	case e.cached[model] != "":
@@ -159,7 +159,7 @@
 	e.later(e.between(time.Millisecond, 300*time.Millisecond), func() { e.unloaded(m) })
 }
 
-// unloaded ends an unload, and lets the loads go on that waited for it.
+// unloaded completes an unload and starts the loads that waited for it.
 func (e *engine) unloaded(m *engineModel) {
 	delete(e.models, m.name)
 	e.answerAll(m.unloadOrders, nil)
--- a/internal/joined/property_test.go
+++ b/internal/joined/property_test.go
@@ -15,19 +15,20 @@
 )
 
 var (
-	seedsFlag = flag.Int("joined.seeds", 3000, "number of seeds of the joined runs")
-	firstFlag = flag.Uint64("joined.first", 1, "first seed of the joined runs")
-	traceFlag = flag.Int("joined.trace", 150, "lines of the trace of a failed run that are printed")
+	seedsFlag = flag.Int("joined.seeds", 3000, "number of seeds to simulate")
+	firstFlag = flag.Uint64("joined.first", 1, "first seed to simulate")
+	traceFlag = flag.Int("joined.trace", 150, "number of trace lines printed for a failed run")
 )
 
 const (
 	faultTime = 35 * time.Second
-	// calmTime and lastTime bound the times until the system has settled, and until the last calls are served.
+	// calmTime and finalCallsTime are the time limits for reaching the declared state after the faults, and for serving the
+	// final calls.
 	calmTime       = 60 * time.Second
 	finalCallsTime = 60 * time.Second
 )
 
-// shapeOf is the shape of a seed's world.
+// topologyOf returns the topology of a seed's world.
 func topologyOf(seed uint64) topology {
 	shapes := []topology{
 		{entries: 2, engines: 3, services: 1, fencing: []fencing{fencingIgnored}, severity: 1},
@@ -39,7 +40,7 @@
 	return shapes[seed%uint64(len(shapes))]
 }
 
-// play runs one seed: faults for a while, then none, then a last call for each target.
+// runSeed simulates one seed: a period with faults, one without, and then a final call for each target.
 func runSeed(t *testing.T, seed uint64, disabled guard, tracing bool) *world {
 	var w *world
 	synctest.Test(t, func(*testing.T) {
@@ -63,7 +64,7 @@
 	return w
 }
 
-// runFor goes on until nothing is missing any more, for a time at most.
+// runFor runs the simulation until missing returns "". It is a violation if that takes longer than d.
 func (w *world) runFor(d time.Duration, missing func() string) {
 	const step = 2 * time.Second
 	end := w.elapsed + d
@@ -75,9 +76,9 @@
 	}
 }
 
-// A joined run of the whole system under faults: callers, operators, entries, agents, engines and services, while
-// processes crash, freeze and stop, links break, the table fails and hosts are replaced. Whatever the order of events, the
-// nine properties hold after each step; and when the faults are over the system does all that is asked of it.
+// TestNinePropertiesHoldJoined simulates the whole system under random load, edits and faults: processes crash, freeze and
+// stop, links break, the table fails and hosts are replaced. It checks that the invariants P1 to P9 hold after each step, and
+// that the system reaches the declared state and serves calls after the faults have ended.
 func TestNinePropertiesHoldJoined(t *testing.T) {
 	total := newTally()
 	runSeeds(t, func(t *testing.T, seed uint64) {
@@ -90,7 +91,7 @@
 	t.Cleanup(func() { total.print(t) })
 }
 
-// runSeeds runs the seeds side by side.
+// runSeeds runs the seeds in parallel.
 func runSeeds(t *testing.T, run func(*testing.T, uint64)) {
 	workers := runtime.GOMAXPROCS(0)
 	for worker := range workers {
@@ -103,14 +104,14 @@
 	}
 }
 
-// report plays a seed again and prints the end of its trace.
+// reportFailure runs a seed again with tracing and logs the end of the trace.
 func reportFailure(t *testing.T, seed uint64, w *world) {
 	t.Errorf("seed %d: %s", seed, w.violation)
 	trace := runSeed(t, seed, w.disabledGuard, true).trace
 	t.Log(strings.Join(trace[max(0, len(trace)-*traceFlag):], "\n"))
 }
 
-// tally adds up what the runs did.
+// tally sums up the counts of all runs.
 type tally struct {
 	mu     sync.Mutex
 	seeds  int
--- a/internal/joined/request_test.go
+++ b/internal/joined/request_test.go
@@ -22,7 +22,7 @@
 	maxAttempts      = 4
 )
 
-// answer is an answer on its way to the caller. Of one that is not streamed nothing is sent before it is whole.
+// responseBuffer is an answer that is being received. Unless it is streamed, it is not passed on before it is complete.
 type responseBuffer struct {
 	head, begun, streamed bool
 	status                int
@@ -52,7 +52,7 @@
 	return a.head && a.length == t.Length && a.checksum.Sum64() == t.Checksum
 }
 
-// request is one caller's request at an entry.
+// request is a caller's request at an entry.
 type request struct {
 	entry      *entry
 	call       *call
@@ -69,10 +69,11 @@
 	current    *attempt
 	held       atmostonce.Held
 	claimed    bool
-	// until is how long the request waits for an endpoint; asked is set once a slot was asked for.
+	// pickDeadline is the time until which the request waits for an endpoint; slotRequested is set once a slot was
+	// requested.
 	pickDeadline  time.Time
 	slotRequested bool
-	// gone is set when the caller went away.
+	// callerGone is set when the caller has disconnected.
 	callerGone bool
 	done       bool
 }
@@ -81,7 +82,7 @@
 	return slices.SortedFunc(maps.Keys(set), func(a, b *request) int { return cmp.Compare(a.number, b.number) })
 }
 
-// take takes a caller's request.
+// handleCall handles a call that arrived at the entry.
 func (e *entry) handleCall(c *call) {
 	e.sequence++
 	r := &request{
@@ -108,7 +109,7 @@
 		return
 	}
 	e.requests[r] = true
-	e.logf("%s takes %s for %v as %s", e.name, c.token, r.target, r.id)
+	e.logf("%s accepts %s for %v as %s", e.name, c.token, r.target, r.id)
 	if c.disconnectAfter > 0 {
 		e.later(c.disconnectAfter, r.handleCallerGone)
 	}
@@ -119,7 +120,7 @@
 	r.claim()
 }
 
-// callerLeaves withdraws a request whose caller went away.
+// handleCallerGone withdraws a request whose caller has disconnected.
 func (r *request) handleCallerGone() {
 	if r.done {
 		return
@@ -133,7 +134,7 @@
 	}
 }
 
-// claim takes the idempotency key. The time that this took is waited for before anything else happens.
+// claim claims the idempotency key. The elapsed time of the call is added to virtual time before the request continues.
 func (r *request) claim() {
 	e := r.entry
 	began := time.Now()
@@ -157,7 +158,7 @@
 	})
 }
 
-// forward serves the request through attempts until one succeeds or the request is given up.
+// forward makes attempts until one succeeds or the request fails.
 func (r *request) forward() {
 	r.state = &routing.RequestState{
 		Idempotent: r.idempotent, Deadline: r.deadline, MaxAttempts: maxAttempts, Budget: r.entry.budget,
@@ -165,7 +166,7 @@
 	r.pick()
 }
 
-// pick chooses an endpoint, waiting for one while none can be used.
+// pick picks an endpoint, or waits for one while none is usable.
 func (r *request) pick() {
 	now := r.entry.now()
 	r.pickDeadline = now.Add(min(candidateTimeout, r.deadline.Sub(now)))
@@ -198,7 +199,7 @@
 	e.later(left, r.repick())
 }
 
-// repick returns what tries the choice again, once, if the request waits for one.
+// repick returns a function that retries the pick if the request is still waiting for an endpoint.
 func (r *request) repick() func() {
 	return func() {
 		if r.entry.picking[r] {
@@ -208,7 +209,7 @@
 	}
 }
 
-// noneLeft ends a request for which no endpoint is left: "not run" only when no earlier attempt may have run.
+// endUnrouted ends a request for which no endpoint is left. The result is "not run" only if no earlier attempt may have run.
 func (r *request) endUnrouted() {
 	if r.state.MayHaveRun {
 		r.end(resultUnknown, settledUnknown, nil)
@@ -232,7 +233,7 @@
 	})
 }
 
-// attempted takes the end of an attempt.
+// handleAttemptEnd handles the end of an attempt.
 func (r *request) handleAttemptEnd(t *attempt, a routing.Attempt) {
 	e := r.entry
 	r.state.AnswerBegun, r.state.Untried = r.response.begun, r.hasUntried()
@@ -280,7 +281,7 @@
 	}
 }
 
-// end ends the forwarding of a request, and its claim with it.
+// end ends the forwarding of a request and settles its claim.
 func (r *request) end(result callResult, f settlement, last *attempt) {
 	body := string(r.response.buffered)
 	switch {
@@ -297,7 +298,7 @@
 	r.conclude(result, body)
 }
 
-// settle records the end of the claim and returns how long that took.
+// settleClaim records the outcome of the claim and returns the elapsed time.
 func (r *request) settleClaim(f settlement, kept bool, body string) time.Duration {
 	began, ctx := time.Now(), context.Background()
 	var err error
@@ -313,7 +314,7 @@
 	return time.Since(began)
 }
 
-// conclude gives the caller the final answer.
+// conclude gives the caller the final result.
 func (r *request) conclude(result callResult, body string) {
 	e := r.entry
 	if r.done {
--- a/internal/joined/seam_test.go
+++ b/internal/joined/seam_test.go
@@ -11,7 +11,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// seam is a story of which one guard of the joining decides the end.
+// guardTest is a scenario that fails if its guard is disabled.
 type guardTest struct {
 	guard    guard
 	topology topology
@@ -19,20 +19,21 @@
 	script   func(*scenario)
 }
 
-// run tells the story with its guard, which must hold, and without it, which must be seen.
+// run runs the scenario with the guard, where no invariant may be violated, and without it, where the violation must be
+// detected.
 func (m guardTest) run(t *testing.T) {
 	t.Helper()
 
 	runScenario(t, guardNone, m.topology, m.file, m.script)
 	broken := runScenario(t, m.guard, m.topology, m.file, m.script)
 	if broken == "" {
-		t.Errorf("not seen without the guard %q", m.guard)
+		t.Errorf("no violation detected without the guard %q", m.guard)
 	}
 	t.Logf("without the guard %q: %s", m.guard, broken)
 }
 
-// A streamed answer's head has come, and the way back is cut before the first token. The caller must hear at its deadline
-// that the outcome is not known, not when somebody notices that the connection is dead.
+// TestHeadWithoutFirstToken blocks the link towards the entry between the head and the first token of a streamed answer. The
+// caller must get the result "unknown" at its deadline, not only when the connection times out.
 func TestHeadWithoutFirstToken(t *testing.T) {
 	guardTest{
 		guard:    guardFirstByte,
@@ -45,10 +46,10 @@
 			c := s.newCall()
 			c.model, c.timeout, c.streamed = "a", time.Second, true
 			c.send(e)
-			s.await("the head", time.Second, func() bool { return headReceived(e) })
+			s.await("the head is received", time.Second, func() bool { return headReceived(e) })
 			s.net.block(s.net.link(e.name, h.id), atEntry, true)
 			s.advance(2 * time.Second)
-			s.require(c.result() == resultUnknown, "told %q", c.result())
+			s.require(c.result() == resultUnknown, "result %q", c.result())
 		},
 	}.run(t)
 }
@@ -62,9 +63,9 @@
 	return false
 }
 
-// An agent is frozen for so long that its entries have made new connections when it goes on. It takes up old and new
-// control streams in any order, and the old ones end. Confirmations of releases must still reach every entry, or the only
-// replica of a model that the operator moves is never given free.
+// TestControlStreamsAfterALongFreeze freezes an agent until its entries have opened new connections. When it resumes, it
+// accepts old and new control streams in random order, and the old ones end. Release confirmations must still reach every
+// entry; otherwise the slot of a model that the operator moves is never freed.
 func TestControlStreamsAfterALongFreeze(t *testing.T) {
 	guardTest{
 		guard:    guardAllStreams,
@@ -84,9 +85,9 @@
 	}.run(t)
 }
 
-// The queue of an engine is full, and batch requests make room for interactive ones. They were the last to want their
-// model, so that now there is room for another model's load. If that order is lost, the second model counts as being
-// loaded until the agent restarts, and its callers wait in vain.
+// TestOrderGivenWhenARequestIsDisplaced fills an engine's queue, so that batch requests are displaced by interactive ones.
+// Their removal ends the demand for their model, and the loading machine orders the load of another one. If that order is not
+// executed, the other model counts as loading until the agent restarts, and its requests time out.
 func TestOrderGivenWhenARequestIsDisplaced(t *testing.T) {
 	guardTest{
 		guard:    guardDisplacedActions,
@@ -121,7 +122,7 @@
 				s.chat(e, "a", 10*time.Second).caller = fmt.Sprint("other", i)
 			}
 			s.advance(100 * time.Millisecond)
-			s.require(batch[0].result() != "" && batch[1].result() != "", "the batch requests are not displaced")
+			s.require(batch[0].result() != "" && batch[1].result() != "", "the batch requests were not displaced")
 			for _, c := range waiting {
 				s.awaitServed(c)
 			}
@@ -129,9 +130,9 @@
 	}.run(t)
 }
 
-// An agent is frozen while it reads its engine's state, for longer than its machine waits for a read. When it goes on it
-// reads twice. A model is loaded while the second read is under way, which began before; if its answer passes for that
-// of a later question, the model counts as absent, and its memory is given to the next one.
+// TestReadThatNobodyWaitsFor freezes an agent during a read of its engine's state, for longer than the loading machine's read
+// timeout. When the agent resumes, it reads twice, and a model is loaded during the second read, which started before the load.
+// If that result is taken for the result of a later read, the model counts as not loaded and its memory is assigned again.
 func TestReadThatNobodyWaitsFor(t *testing.T) {
 	guardTest{
 		guard:    guardReadID,
@@ -143,7 +144,7 @@
 			h.engine.cached["c@1"] = "disk"
 			s.advance(6 * time.Second)
 			h.engine.readDelay = 5 * time.Second
-			s.await("a read", 10*time.Second, func() bool { return h.agent.reading })
+			s.await("a read starts", 10*time.Second, func() bool { return h.agent.reading })
 			h.agent.freeze()
 			s.net.checkConns()
 			s.advance(31 * time.Second)
@@ -151,7 +152,7 @@
 			s.advance(1500 * time.Millisecond)
 			h.engine.firstByteDelay = 6 * time.Second
 			s.chat(e, "c", 12*time.Second)
-			s.await("the load of c", 3*time.Second, func() bool { return h.hasModel("c@1") })
+			s.await("c is being loaded", 3*time.Second, func() bool { return h.hasModel("c@1") })
 			s.advance(500 * time.Millisecond)
 			h.delayOrder(endpoint.OrderLoadAdapter, "a@1", 0, true)
 			s.chat(e, "a-x", 12*time.Second)
@@ -162,8 +163,8 @@
 	}.run(t)
 }
 
-// An engine restarts and has lost its model; its agent will learn it from the next read of the state. A caller must not get
-// the engine's word that it does not know the model as the answer to the request.
+// TestEngineRestartsBehindItsAgent restarts an engine, which loses its model. Until the agent's next read of the engine's
+// state, the engine's "model not loaded" response must not be passed to the caller as the answer.
 func TestEngineRestartsBehindItsAgent(t *testing.T) {
 	guardTest{
 		guard:    guardNotLoaded,
@@ -174,15 +175,15 @@
 			s.current["e0"].engine.restart()
 			c := s.chat(s.entry(0), "a", 2*time.Second)
 			s.advance(3 * time.Second)
-			s.require(c.result() == resultNotRun, "told %q", c.result())
+			s.require(c.result() == resultNotRun, "result %q", c.result())
 			s.advance(8 * time.Second)
 			s.awaitServed(s.chat(s.entry(0), "a", 15*time.Second))
 		},
 	}.run(t)
 }
 
-// A penalty notice is claimed and goes out, and the table goes down before the claim can be recorded. The caller must get
-// the answer by its deadline all the same.
+// TestTableGoesDownBeforeTheClaimIsRecorded takes the table down after the commit of a call with an idempotency key, before the
+// outcome of the claim is recorded. The caller must still get the answer by its deadline.
 func TestTableGoesDownBeforeTheClaimIsRecorded(t *testing.T) {
 	guardTest{
 		guard:    guardAnswerBeforeRecord,
@@ -191,16 +192,16 @@
 		script: func(s *scenario) {
 			e := s.entry(0)
 			c := s.post(e, "notice", 500*time.Millisecond)
-			s.await("the commit", time.Second, func() bool { return committed(e) })
+			s.await("the commit is sent", time.Second, func() bool { return committed(e) })
 			s.table.down = true
 			s.advance(3 * time.Second)
-			s.require(c.result() == resultWhole, "told %q", c.result())
+			s.require(c.result() == resultWhole, "result %q", c.result())
 		},
 	}.run(t)
 }
 
-// A request takes ten seconds because its engine hangs for that long. Later requests with deadlines of a few seconds are
-// refused by what was learnt from it, but not for ever: after some tries one must run and show that the engine is well.
+// TestOneSlowRequest makes one request take ten seconds, because its engine hangs. Later requests with shorter deadlines are
+// refused because of the resulting service time estimate. The estimate must fade, so that after some tries a request runs.
 func TestOneSlowRequest(t *testing.T) {
 	guardTest{
 		guard:    guardEstimateFade,
@@ -219,14 +220,14 @@
 					return
 				}
 			}
-			s.require(false, "the last of many tries is told %q", c.result())
+			s.require(false, "the last of 15 tries got result %q", c.result())
 		},
 	}.run(t)
 }
 
-// An agent has ordered the unload of an idle model from an engine that ignores fencing numbers, the order hangs, and the
-// agent is stopped by plan. The next one finds the model loaded and serves it. The unload must not come then and cut its
-// requests: the planned stop has to see it through.
+// TestPlannedStopDuringAnUnload stops an agent while its unload order to an engine that ignores fencing tokens is delayed. The
+// next agent finds the model loaded and serves requests with it. The planned stop must wait for the unload; otherwise the
+// unload takes effect later and aborts these requests.
 func TestPlannedStopDuringAnUnload(t *testing.T) {
 	guardTest{
 		guard:    guardUnloadsAtStop,
@@ -236,11 +237,11 @@
 			h, e := s.current["e0"], s.entry(0)
 			s.awaitServed(s.chat(e, "a", 15*time.Second))
 			h.delayOrder(endpoint.OrderUnload, "a@1", 4*time.Second, false)
-			s.await("the unload", 20*time.Second, func() bool { return h.engine.orderHook == nil })
-			// The entry would take the slot back at once.
+			s.await("the unload is ordered", 20*time.Second, func() bool { return h.engine.orderHook == nil })
+			// With access to the table, the entry would revoke the slot at once.
 			e.table.cut = true
 			s.stopAgent(h)
-			s.await("the next agent", 10*time.Second, func() bool { return h.listening() && !h.agent.draining })
+			s.await("the next agent starts", 10*time.Second, func() bool { return h.listening() && !h.agent.draining })
 			h.engine.firstByteDelay = 3 * time.Second
 			for range 4 {
 				s.chat(e, "a", 14*time.Second)
--- a/internal/joined/settled_test.go
+++ b/internal/joined/settled_test.go
@@ -12,7 +12,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// able returns the engines that may hold a model, of a fleet without faults.
+// eligibleEngines returns the engines that may hold a model in the absence of faults.
 func (w *world) eligibleEngines(m *declarations.Model) []*host {
 	var list []*host
 	for _, h := range w.allHosts {
@@ -34,11 +34,11 @@
 	return list
 }
 
-// unsettled returns what is not yet as the declarations ask for, or is not known, or was not answered, some time after the
-// faults; or "".
+// unsettled describes a difference from the declared state, a replica in an unknown state or an unanswered call. It returns ""
+// if there is none and the faults ended at least minSettleTime ago.
 func (w *world) unsettled() string {
 	if w.elapsed < faultTime+minSettleTime {
-		return "the faults have just ended"
+		return "the faults ended too recently"
 	}
 	for _, m := range w.reference.Current().Models() {
 		row := w.rows[m.Name+"@1"]
@@ -46,7 +46,7 @@
 		want := min(int(max(m.MinReplicas, m.WarmReplicas)), int(m.MaxReplicas), len(eligible))
 		releasing := slices.ContainsFunc(row.GetSlots(), func(s *replicaspb.Slot) bool { return s.State == replicaspb.SlotState_RELEASING })
 		if len(row.GetSlots()) != want || releasing {
-			return fmt.Sprintf("%s has %s, want %d slots of %d able engines", m.Name, slotsText(row), want, len(eligible))
+			return fmt.Sprintf("%s has %s, want %d slots on %d eligible engines", m.Name, slotsText(row), want, len(eligible))
 		}
 	}
 	for _, h := range w.allHosts {
@@ -55,7 +55,7 @@
 		}
 		for _, r := range h.agent.core.machine.Status(h.agent.now()).Replicas {
 			if r.State == wirepb.ReplicaState_UNKNOWN {
-				return fmt.Sprintf("%s does not know of %s", h.endpoint, r.Model)
+				return fmt.Sprintf("the agent of %s does not know the state of %s", h.endpoint, r.Model)
 			}
 		}
 	}
@@ -67,16 +67,16 @@
 	return ""
 }
 
-// leastCalm is how long a run goes on after the faults at the least.
+// minSettleTime is the minimum time for which a run continues after the faults.
 const minSettleTime = 12 * time.Second
 
-// lastCall is a call that must be served in the end, tried again as its caller is told.
+// finalCall is a call that must eventually be served. It is retried after every other result.
 type finalCall struct {
 	model, service string
 	served         bool
 }
 
-// lastCalls makes a call for each target that can be served, one after the other.
+// makeFinalCalls makes a call for each target that can be served, one after the other.
 func (w *world) makeFinalCalls() {
 	for _, name := range requestedModels[1:] {
 		model, _, _ := strings.Cut(name, "-")
@@ -93,7 +93,7 @@
 	w.tryFinalCall(0)
 }
 
-// tryLast makes the call with a number until it is served, and then the next one.
+// tryFinalCall retries the final call with index i until it is served, and then makes the next one.
 func (w *world) tryFinalCall(i int) {
 	if i == len(w.finalCalls) {
 		return
@@ -115,11 +115,11 @@
 	c.send(pick(w.sim, w.readyEntries()))
 }
 
-// unserved returns a last call that was not served, or "".
+// unserved describes a final call that was not served, or returns "" if there is none.
 func (w *world) unserved() string {
 	for _, l := range w.finalCalls {
 		if !l.served {
-			return fmt.Sprintf("the last call for %s%s is not served", l.model, l.service)
+			return fmt.Sprintf("the final call for %s%s was not served", l.model, l.service)
 		}
 	}
 	return ""
--- a/internal/joined/shells_test.go
+++ b/internal/joined/shells_test.go
@@ -11,7 +11,7 @@
 	"balsamsail/internal/replicas"
 )
 
-// noMetrics takes metrics and drops them.
+// discardRegisterer is a prometheus.Registerer that registers nothing.
 type discardRegisterer struct{}
 
 func (discardRegisterer) Register(prometheus.Collector) error  { return nil }
@@ -20,7 +20,7 @@
 
 var discardLogger = slog.New(slog.DiscardHandler)
 
-// firedTimer has fired.
+// firedTimer is a clock.Timer that has already fired.
 type firedTimer struct{ c chan time.Time }
 
 func newFiredTimer(now time.Time) firedTimer {
@@ -33,8 +33,8 @@
 func (firedTimer) Stop() bool               { return false }
 func (firedTimer) Reset(time.Duration) bool { return false }
 
-// skippingClock lets a call that waits go on at once, as if the time had passed. Its time is that of the bubble, to which
-// the deadlines of contexts belong as well. It implements clock.Clock.
+// skippingClock is a clock.Clock whose timers fire at once and advance it by their duration. It is based on the time of the
+// synctest bubble, which the deadlines of contexts use too.
 type skippingClock struct{ skipped time.Duration }
 
 // Now implements clock.Clock.
@@ -46,11 +46,11 @@
 	return newFiredTimer(c.Now())
 }
 
-// roundClock lets a replicas.Manager do one round at a time: its timer ends the run when it is set for the next round. It
-// implements clock.Clock.
+// roundClock is a clock.Clock that lets a replicas.Manager run one round at a time: the manager's Run is ended when it sets the
+// timer for the next round.
 type roundClock struct {
 	process *process
-	// started is when the process started, which the manager reads first in each run.
+	// started is the start time of the process, which the manager reads first in each run.
 	started time.Time
 	fresh   bool
 	timers  int
@@ -67,7 +67,7 @@
 	return c.process.now()
 }
 
-// NewTimer implements clock.Clock. The first timer of a run is that between the rounds.
+// NewTimer implements clock.Clock. The first timer of a run is the one between rounds.
 func (c *roundClock) NewTimer(time.Duration) clock.Timer {
 	c.timers++
 	if c.timers == 1 {
@@ -86,8 +86,8 @@
 	return false
 }
 
-// round runs one round of a manager and returns the time until the next one. The manager is woken first, so that of the
-// things it waits for just one is there.
+// round runs one round of a manager and returns the time until the next one. The manager is notified before, so that exactly
+// one of the events for which it waits is pending.
 func (c *roundClock) round(m *replicas.Manager) time.Duration {
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
--- a/internal/joined/sim_test.go
+++ b/internal/joined/sim_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// sim is virtual time: events happen one after the other, in the order of their times.
+// sim is a discrete event simulation: it runs scheduled events one at a time, in order of their virtual times.
 type sim struct {
 	random  *rand.Rand
 	elapsed time.Duration
 	events  eventQueue
 	count   uint64
 	steps   int
-	// tracing keeps a trace of what happens.
+	// tracing enables the trace, which records what happens.
 	tracing bool
 	trace   []string
-	// broken is the first thing that must not happen.
+	// violation describes the first violation of an invariant.
 	violation string
 }
 
-// epoch is when virtual time begins.
+// epoch is the start of virtual time.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 type event struct {
@@ -47,13 +47,13 @@
 	return e
 }
 
-// after lets something happen after a time.
+// after schedules a function to run after a delay.
 func (s *sim) after(d time.Duration, run func()) {
 	s.count++
 	heap.Push(&s.events, event{at: s.elapsed + max(0, d), order: s.count, run: run})
 }
 
-// runUntil lets everything happen that is due before a time, or until something went wrong.
+// runUntil runs all events that are due by a time, with check after each. It stops early at the first violation.
 func (s *sim) runUntil(end time.Duration, check func()) {
 	for len(s.events) > 0 && s.events[0].at <= end && s.violation == "" {
 		e := heap.Pop(&s.events).(event)
@@ -71,7 +71,7 @@
 	}
 }
 
-// violated notes the first violation of a property.
+// violated records the violation of an invariant if it is the first one.
 func (s *sim) violated(property, format string, args ...any) {
 	if s.violation != "" {
 		return
@@ -80,40 +80,39 @@
 	s.logf("VIOLATED %s", s.violation)
 }
 
-// chance is true once in so many times.
+// oneIn returns true with probability 1/in.
 func (s *sim) oneIn(in int) bool { return s.random.IntN(in) == 0 }
 
-// between returns a time between two bounds.
+// between returns a random duration between two bounds.
 func (s *sim) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(s.random.Int64N(int64(high-low)+1))
 }
 
-// jitter returns a time between three quarters and five quarters of d.
+// jitter returns a random duration between 75% and 125% of d.
 func (s *sim) jitter(d time.Duration) time.Duration { return s.between(d*3/4, d*5/4) }
 
-// pick returns one of several.
+// pick returns a random item.
 func pick[T any](s *sim, items []T) T { return items[s.random.IntN(len(items))] }
 
-// process is one process of the system on its host. What it does is done by events that die with it and wait while it is
-// frozen.
+// process is one process of the system on its host. Its events are dropped when it ends and deferred while it is frozen.
 type process struct {
 	*sim
 	name string
-	// generation rises with each start and each end.
+	// generation increases with each start and each end.
 	generation int
 	alive      bool
 	frozen     bool
 	deferred   []func()
-	// skew is how far the host's clock is off.
+	// skew is the offset of the host's clock.
 	skew time.Duration
-	// started, frozenAt and thawedAt are when the process last did so.
+	// started, frozenAt and thawedAt are the times at which the process was last started, frozen and thawed.
 	started, frozenAt, thawedAt time.Duration
 }
 
-// now is the time of the process's clock.
+// now returns the time of the host's clock.
 func (p *process) now() time.Time { return epoch.Add(p.elapsed + p.skew) }
 
-// start begins a new life of the process.
+// start starts the process, with a new generation and clock skew.
 func (p *process) start() {
 	p.generation++
 	p.alive, p.frozen, p.deferred = true, false, nil
@@ -121,13 +120,13 @@
 	p.skew = p.between(-time.Hour, time.Hour)
 }
 
-// end ends the process: nothing that it was about to do happens.
+// end ends the process. Its scheduled events are dropped.
 func (p *process) end() {
 	p.generation++
 	p.alive, p.frozen, p.deferred = false, false, nil
 }
 
-// later does something after a time, unless the process has ended by then.
+// later runs a function after a delay, unless the process has ended by then.
 func (p *process) later(d time.Duration, run func()) {
 	if !p.alive {
 		return
@@ -136,7 +135,7 @@
 	p.sim.after(d, func() { p.do(generation, run) })
 }
 
-// soon does something when the scheduler gets to it.
+// soon runs a function after a short random scheduling delay.
 func (p *process) soon(run func()) { p.later(p.between(0, 200*time.Microsecond), run) }
 
 func (p *process) do(generation int, run func()) {
@@ -149,21 +148,21 @@
 	}
 }
 
-// freeze stops the process as SIGSTOP does.
+// freeze suspends the process, as SIGSTOP does.
 func (p *process) freeze() {
 	if p.alive && !p.frozen {
 		p.frozen, p.frozenAt = true, p.elapsed
-		p.logf("%s is frozen", p.name)
+		p.logf("%s freezes", p.name)
 	}
 }
 
-// thaw lets a frozen process go on. What has come due meanwhile happens in any order, as the scheduler likes; messages
-// keep their order within a stream, which delivers the next one whichever event brings it.
+// thaw resumes a frozen process. Deferred events run in random order, as a scheduler may run them. Messages stay in order
+// within a stream, because each delivery event takes the next message of its stream.
 func (p *process) thaw() {
 	if !p.frozen {
 		return
 	}
-	p.logf("%s goes on after %v", p.name, p.elapsed-p.frozenAt)
+	p.logf("%s resumes after %v", p.name, p.elapsed-p.frozenAt)
 	events := slices.Clone(p.deferred)
 	p.frozen, p.deferred, p.thawedAt = false, nil, p.elapsed
 	p.random.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
--- a/internal/joined/story_test.go
+++ b/internal/joined/story_test.go
@@ -12,10 +12,9 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// An agent orders its engine to load a model. The order hangs, the agent crashes, and the next one begins, loads another
-// model, and fills the memory. Then the first order arrives. The operator sees an engine that is out of memory, or a
-// model loaded that nobody decided, if the new agent does not wait out the order's life at an engine that ignores fencing
-// numbers, or does not fence it off at one that checks them.
+// TestLateLoadOfACrashedAgent delays a load order while its agent crashes and the next agent fills the memory with other models.
+// If the late order takes effect then, the engine runs out of memory or has a model that no agent accounts for. The new agent
+// must wait for the order's maximum life if the engine ignores fencing tokens, and otherwise fence the order.
 func TestLateLoadOfACrashedAgent(t *testing.T) {
 	for _, f := range []fencing{fencingIgnored, fencingDurable, fencingVolatile} {
 		t.Run(fmt.Sprint("fencing ", f), func(t *testing.T) {
@@ -25,23 +24,23 @@
 				h := s.current["e0"]
 				h.delayOrder(endpoint.OrderLoad, "a@1", 4*time.Second, true)
 				s.chat(s.entry(0), "a", 15*time.Second)
-				s.await("the order", 5*time.Second, func() bool { return h.engine.orderHook == nil })
+				s.await("the order is sent", 5*time.Second, func() bool { return h.engine.orderHook == nil })
 				h.crashAgent()
 				s.advance(100 * time.Millisecond)
 				h.startAgent()
 				s.advance(time.Second)
 				b, c := s.chat(s.entry(1), "b", 18*time.Second), s.chat(s.entry(1), "c", 18*time.Second)
 				s.advance(19 * time.Second)
-				s.require(b.result() != "" && c.result() != "", "told %q and %q", b.result(), c.result())
+				s.require(b.result() != "" && c.result() != "", "results %q and %q", b.result(), c.result())
 				s.awaitServed(s.chat(s.entry(0), "b", 15*time.Second))
 			})
 		})
 	}
 }
 
-// All that an agent orders hangs, and it orders again under higher fencing numbers. It crashes, and the next agent's orders
-// are carried out. Its numbers must be above all of the first one's, also those that the engine has not seen yet: else an
-// order that hung is taken for the newest one when it arrives, and loads or unloads behind the new agent's back.
+// TestFencingNumbersRiseFromAgentToAgent delays all orders of an agent, which sends further ones with higher fencing tokens and
+// crashes. The tokens of the next agent must be higher than all of these, including those that the engine has not seen yet.
+// Otherwise a late order is accepted as the newest one and changes the engine without the new agent's knowledge.
 func TestFencingNumbersRiseFromAgentToAgent(t *testing.T) {
 	for _, f := range []fencing{fencingDurable, fencingVolatile} {
 		t.Run(fmt.Sprint("fencing ", f), func(t *testing.T) {
@@ -72,9 +71,9 @@
 	}
 }
 
-// An agent has released the only replica of a model, which is now loaded elsewhere, and crashes. The next agent does not
-// reach the table, and an entry that does not reach it either tells it of the slot that its predecessor had. Under that
-// row it must load nothing, however its callers ask.
+// TestNewAgentIsToldOfAnOldSlot crashes an agent after it released the only replica of a model, which is now loaded elsewhere.
+// The next agent cannot read the table and gets the outdated row with the old slot from an entry that cannot read the table
+// either. It must not load the model because of that row, whatever requests arrive.
 func TestNewAgentIsToldOfAnOldSlot(t *testing.T) {
 	size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
 	runScenario(t, guardNone, size, keepWarm(modelFile("a", "endpoint = e0", 1)), func(s *scenario) {
@@ -97,15 +96,15 @@
 	})
 }
 
-// A model may have one replica. It is loaded on one engine, whose agent is frozen. The operator moves it to another one by
-// its selector. For as long as nobody knows what the frozen agent does the model must not be loaded twice, and callers are
-// told that their requests did not run; once the agent goes on, or its host is gone, the model moves.
+// TestOnlyReplicaMovesWhileItsAgentIsFrozen moves a model with at most one replica to another engine by its selector, while the
+// agent of its current engine is frozen. The model must not be loaded twice, so requests fail until the agent resumes or its
+// host is gone. Then the model moves.
 func TestOnlyReplicaMovesWhileItsAgentIsFrozen(t *testing.T) {
 	cases := []struct {
 		name string
 		end  func(s *scenario, h *host)
 	}{
-		{"the agent goes on", func(s *scenario, h *host) { s.thaw(h.agent.process) }},
+		{"the agent resumes", func(s *scenario, h *host) { s.thaw(h.agent.process) }},
 		{"the host is gone", func(s *scenario, h *host) { s.terminateHost(h) }},
 	}
 	for _, c := range cases {
@@ -121,7 +120,7 @@
 				s.require(!to.hasModel("a@1") && s.slot("a@1", "e1") == 0, "the second engine has a slot")
 				refused := s.chat(s.entry(0), "a", 2*time.Second)
 				s.advance(4 * time.Second)
-				s.require(refused.result() == resultNotRun || refused.result() == resultUnknown, "told %q", refused.result())
+				s.require(refused.result() == resultNotRun || refused.result() == resultUnknown, "result %q", refused.result())
 				c.end(s, from)
 				s.await("the slot moves", 25*time.Second, func() bool { return s.slot("a@1", "e1") == replicaspb.SlotState_GRANTED })
 				s.awaitServed(s.chat(s.entry(0), "a", 15*time.Second))
@@ -131,21 +130,20 @@
 	}
 }
 
-// A penalty notice is offered, the agent is ready, and the entry sends the commit. The link is cut in that moment. The
-// caller must not be told that the notice did not go out, and it must not go out later than the agent's patience: the
-// commit that comes through when the link is mended starts nothing. A repetition under the same key goes out once at the
-// most.
+// TestCommitOvertakenByACutLink blocks the link when the entry has sent the commit of a call that must not be repeated. The call
+// must not be reported as not run if it ran. A commit that arrives after the agent's commit timeout, when the link is unblocked,
+// must not start the call. Together with a repetition with the same key, the call runs at most once.
 func TestCommitOvertakenByACutLink(t *testing.T) {
 	cases := []struct {
-		name string
-		cut  []side
-		mend time.Duration
+		name   string
+		cut    []side
+		outage time.Duration
 	}{
-		{"towards the agent, mended at once", []side{atAgent}, 500 * time.Millisecond},
-		{"towards the agent, mended after the agent's patience", []side{atAgent}, commitTimeout + 300*time.Millisecond},
-		{"towards the agent, for long", []side{atAgent}, 6 * time.Second},
+		{"towards the agent, unblocked soon", []side{atAgent}, 500 * time.Millisecond},
+		{"towards the agent, unblocked after the commit timeout", []side{atAgent}, commitTimeout + 300*time.Millisecond},
+		{"towards the agent, long", []side{atAgent}, 6 * time.Second},
 		{"towards the entry", []side{atEntry}, 6 * time.Second},
-		{"both ways", []side{atAgent, atEntry}, 2 * time.Second},
+		{"both directions", []side{atAgent, atEntry}, 2 * time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -158,21 +156,21 @@
 				for _, to := range c.cut {
 					s.net.block(l, to, true)
 				}
-				s.advance(c.mend)
+				s.advance(c.outage)
 				s.net.block(l, atAgent, false)
 				s.net.block(l, atEntry, false)
 				s.advance(8 * time.Second)
-				s.require(first.result() != "", "the caller is told nothing")
+				s.require(first.result() != "", "the first caller got no result")
 				again := s.post(s.entry(1), "notice", 3*time.Second)
 				s.advance(4 * time.Second)
-				s.require(again.result() != "", "the second caller is told nothing")
-				s.require(first.runs+again.runs <= 1, "%d runs", first.runs+again.runs)
+				s.require(again.result() != "", "the second caller got no result")
+				s.require(first.runs+again.runs <= 1, "the call ran %d times", first.runs+again.runs)
 			})
 		})
 	}
 }
 
-// committed reports whether an entry has sent a commit that it waits for the end of.
+// committed reports whether an entry has a request in flight with a sent commit.
 func committed(e *entry) bool {
 	for r := range e.requests {
 		if r.current != nil && r.current.exchange.Committed() {
@@ -182,9 +180,8 @@
 	return false
 }
 
-// An entry crashes after it has committed a slot confirmation. The caller's connection breaks, and it tries again at
-// another entry under the same key, while the first run still goes on and when it has ended. It must be told that the
-// outcome is not known, and the confirmation must not be sent again.
+// TestEntryCrashesAfterTheCommit crashes an entry after the commit of a call. The caller retries at another entry with the same
+// key, both during the first run and after it. Each retry must get the result "unknown" and must not run.
 func TestEntryCrashesAfterTheCommit(t *testing.T) {
 	size := topology{entries: 2, engines: 0, services: 2, fencing: []fencing{fencingIgnored}}
 	runScenario(t, guardNone, size, ledgerService, func(s *scenario) {
@@ -195,14 +192,14 @@
 		for range 3 {
 			again := s.post(s.entry(1), "pad 4", 2*time.Second)
 			s.advance(3 * time.Second)
-			s.require(again.result() == resultUnknown && again.runs == 0, "told %q, runs %d", again.result(), again.runs)
+			s.require(again.result() == resultUnknown && again.runs == 0, "result %q, runs %d", again.result(), again.runs)
 		}
-		s.require(first.runs <= 1, "runs %d", first.runs)
+		s.require(first.runs <= 1, "the first call ran %d times", first.runs)
 	})
 }
 
-// Two operators lower and raise a model's maximum at two entries while the table loses answers. No grant that was decided
-// under the higher maximum may be written after the lower one was accepted.
+// TestGrantsKeepToTheMaximumInForce changes a model's maximum number of replicas at different entries while calls to the table
+// fail. A grant that was decided with a higher maximum must not be written after a lower one was accepted.
 func TestGrantsKeepToTheMaximumInForce(t *testing.T) {
 	size := topology{entries: 3, engines: 4, services: 0, fencing: []fencing{fencingDurable}}
 	runScenario(t, guardNone, size, modelFile("a", "", 1), func(s *scenario) {
@@ -216,8 +213,8 @@
 	})
 }
 
-// A host is replaced by one that runs an engine of the same name, while the slot of the old one is on its way out. The new
-// engine must not take the old host's slot for its own: it may be removed at any moment.
+// TestReplacementDoesNotUseTheOldHostsSlot replaces a host by one with an engine of the same name, before the slot of the old one
+// is removed. The new engine must not use the old host's slot, which can be removed at any time.
 func TestReplacementDoesNotUseTheOldHostsSlot(t *testing.T) {
 	size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
 	runScenario(t, guardNone, size, modelFile("a", "endpoint = e0", 1), func(s *scenario) {
@@ -230,13 +227,13 @@
 		s.advance(4 * time.Second)
 		old.state = backing.HostGone
 		s.publishHosts()
-		s.await("a slot", 20*time.Second, func() bool { return s.slot("a@1", "e0") == replicaspb.SlotState_GRANTED })
+		s.await("the new host has a slot", 20*time.Second, func() bool { return s.slot("a@1", "e0") == replicaspb.SlotState_GRANTED })
 		s.awaitServed(s.chat(s.entry(0), "a", 15*time.Second))
 	})
 }
 
-// An operator drains an engine while one entry is frozen. When that entry goes on it still believes the engine to be
-// there for work. Its requests must be served elsewhere, and the drained engine gets none after some seconds.
+// TestDrainMeetsAFrozenEntry drains an engine while one entry is frozen. When the entry resumes, its state still shows the engine
+// as available. Its requests must be served elsewhere, and after some seconds it must send none to the drained engine.
 func TestDrainMeetsAFrozenEntry(t *testing.T) {
 	size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
 	runScenario(t, guardNone, size, modelFile("a", "", 2), func(s *scenario) {
@@ -253,14 +250,14 @@
 	})
 }
 
-// engineLabel is the change that gives an engine a label.
+// engineLabel returns a change that sets an engine's pool label.
 func engineLabel(engine, pool string) declarations.ChangeFunc {
 	key := &pb.ObjectKey{Kind: declarations.KindEngine, Name: engine}
 	return declarations.SetLabels(key, map[string]string{"pool": pool}, nil)
 }
 
-// An engine's labels change to and fro while its agent is cut off from one entry and then from the other. Confirmations
-// of an earlier release must not free the slot of a later one.
+// TestConfirmationsOfEarlierReleases changes engines' labels back and forth while an agent is disconnected from one entry and
+// then from the other. A confirmation of an earlier release must not free the slot of a later one.
 func TestConfirmationsOfEarlierReleases(t *testing.T) {
 	size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
 	runScenario(t, guardNone, size, modelFile("a", "pool = x", 1), func(s *scenario) {
--- a/internal/joined/table_test.go
+++ b/internal/joined/table_test.go
@@ -10,17 +10,17 @@
 	"balsamsail/internal/backing"
 )
 
-// memoryTable is the platform's transactional table.
+// memoryTable simulates the platform's transactional table in memory.
 type memoryTable struct {
 	*sim
 	revision uint64
 	rows     map[string]backing.Row
-	// down is set in an outage; lossy is one in how many calls goes wrong, 0 for none.
+	// down is set during an outage. If failOneIn is not 0, calls fail with probability 1/failOneIn.
 	down      bool
 	failOneIn int
-	// late are the commits that are on their way although their senders have given up on them.
+	// late are delayed commits whose callers already got ErrOutcomeUnknown.
 	late []*lateCommit
-	// changed is told of each row that a commit changes.
+	// changed is called for each row that a commit changes.
 	changed func(before, after backing.Row)
 	faults  int
 }
@@ -34,14 +34,15 @@
 	return &memoryTable{sim: s, rows: map[string]backing.Row{}}
 }
 
-// tableClient is a process's way to the table. It implements backing.Table.
+// tableClient is a process's client of the table. It implements backing.Table.
 type tableClient struct {
 	*memoryTable
-	// cut is set while the process does not reach the table.
+	// cut is set while the process cannot reach the table.
 	cut bool
 }
 
-// unreachable decides whether a call goes wrong. Between the calls of a process those of others take effect.
+// callFails decides whether a call fails. It may first apply a late commit, so that other commits take effect between the calls
+// of a process.
 func (c *tableClient) callFails() bool {
 	if c.failOneIn > 0 && c.oneIn(c.failOneIn) {
 		c.runLate()
@@ -80,8 +81,8 @@
 	return listing, nil
 }
 
-// Commit implements backing.Table. A commit that goes wrong is refused, lost before it took effect, after it, or still to
-// take effect.
+// Commit implements backing.Table. A failed commit is rejected, or its outcome is unknown: it has no effect, takes effect at
+// once, or takes effect later.
 func (c *tableClient) Commit(_ context.Context, txn backing.Txn) (uint64, error) {
 	if !c.callFails() {
 		return c.commit(txn)
@@ -106,7 +107,7 @@
 	}
 }
 
-// runLate lets one late commit take effect.
+// runLate applies a random late commit.
 func (t *memoryTable) runLate() {
 	if len(t.late) > 0 {
 		t.applyLate(pick(t.sim, t.late))
--- a/internal/joined/tell_test.go
+++ b/internal/joined/tell_test.go
@@ -12,17 +12,18 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// story is a world in which only happens what a test tells; latencies differ from seed to seed.
+// scenario is a world with scripted calls and faults instead of random ones. Only latencies and other random delays differ from
+// seed to seed.
 type scenario struct {
 	*testing.T
 	*world
 }
 
-// storySeeds is how many seeds each story is told with.
+// scenarioSeeds is the number of seeds with which each scenario runs.
 const scenarioSeeds = 25
 
-// modelOf declares a model that only the engines matched by a selector may hold.
-func modelFile(name, selector string, maxReplicas int) string {
+// modelFile returns the declaration of a model with an engine selector and a fixed number of replicas.
+func modelFile(name, selector string, count int) string {
 	return fmt.Sprintf(`
 [model %q]
 versions = 1
@@ -34,10 +35,10 @@
 warm_replicas = 0
 max_concurrency = 2
 load_time = 1s
-`, name, selector, modelMemory[name], maxReplicas, maxReplicas)
+`, name, selector, modelMemory[name], count, count)
 }
 
-// kept declares that a model's replicas stay loaded.
+// keepWarm changes a model's declaration so that one replica stays loaded.
 func keepWarm(model string) string {
 	return strings.Replace(model, "warm_replicas = 0", "warm_replicas = 1", 1)
 }
@@ -49,7 +50,8 @@
 max_concurrency = 3
 `
 
-// tell tells a story with several seeds, with one of the guards left out if one is named. It returns the first violation.
+// runScenario runs a scenario with several seeds, with the named guard disabled unless it is guardNone. It returns the first
+// violation. A failed seed runs again with tracing.
 func runScenario(t *testing.T, disabled guard, top topology, file string, script func(*scenario)) (violation string) {
 	t.Helper()
 	for seed := range uint64(scenarioSeeds) {
@@ -80,30 +82,30 @@
 	return ""
 }
 
-// pass lets time pass.
+// advance runs the simulation for a duration.
 func (s *scenario) advance(d time.Duration) { s.runUntil(s.elapsed+d, s.check) }
 
-// await lets time pass until something is so.
+// await runs the simulation until a condition holds. It is a violation if that takes longer than the timeout.
 func (s *scenario) await(what string, timeout time.Duration, condition func() bool) {
 	const step = 5 * time.Millisecond
 	for end := s.elapsed + timeout; s.violation == "" && !condition(); {
 		if s.elapsed >= end {
-			s.violated("story", "%s does not happen within %v", what, timeout)
+			s.violated("scenario", "%s: timed out after %v", what, timeout)
 		}
 		s.runUntil(s.elapsed+step, s.check)
 	}
 }
 
-// want is a violation when something is not so.
+// require reports a violation if a condition does not hold.
 func (s *scenario) require(condition bool, format string, args ...any) {
 	if !condition {
-		s.violated("story", format, args...)
+		s.violated("scenario", format, args...)
 	}
 }
 
 func (s *scenario) entry(i int) *entry { return s.entries[s.entryNames[i]] }
 
-// chat makes a request for a model.
+// chat sends a chat completion request for a model.
 func (s *scenario) chat(e *entry, model string, left time.Duration) *call {
 	c := s.newCall()
 	c.model, c.timeout = model, left
@@ -111,7 +113,7 @@
 	return c
 }
 
-// post makes a call that must not be repeated.
+// post sends a call of the plain service with an idempotency key.
 func (s *scenario) post(e *entry, key string, left time.Duration) *call {
 	c := s.newCall()
 	c.service, c.key, c.timeout = serviceName, key, left
@@ -119,7 +121,7 @@
 	return c
 }
 
-// told is what a call's caller was told, "" when nothing yet.
+// result returns the call's result, "" if there is none yet.
 func (c *call) result() callResult {
 	if len(c.results) == 0 {
 		return ""
@@ -127,21 +129,21 @@
 	return c.results[0]
 }
 
-// served waits until a call is served.
+// awaitServed waits for the call's result and requires that it was served.
 func (s *scenario) awaitServed(c *call) {
-	s.await(c.token+" is told", 20*time.Second, func() bool { return c.result() != "" })
-	s.require(c.result() == resultWhole, "%s is told %q", c.token, c.result())
+	s.await("the result of "+c.token, 20*time.Second, func() bool { return c.result() != "" })
+	s.require(c.result() == resultWhole, "%s got result %q", c.token, c.result())
 }
 
-// holds reports whether an engine has a model in its memory.
+// hasModel reports whether an engine has a model in its memory.
 func (h *host) hasModel(model string) bool { return h.engine.models[model] != nil }
 
-// slot is the state of an endpoint's slot in a model's row.
+// slot returns the state of an endpoint's slot in a model's row.
 func (s *scenario) slot(model, endpoint string) replicaspb.SlotState {
 	return replicas.SlotOf(s.rows[model], endpoint, s.current[endpoint].id).GetState()
 }
 
-// late makes the next order of a kind for a model late, and perhaps loses its answer.
+// delayOrder delays the next order of a kind for a model; if lost is set, its answer is lost.
 func (h *host) delayOrder(kind endpoint.OrderKind, model string, d time.Duration, lost bool) {
 	h.engine.orderHook = func(o endpoint.Order) (time.Duration, bool) {
 		if o.Kind != kind || o.Model != model {
--- a/internal/joined/workload_test.go
+++ b/internal/joined/workload_test.go
@@ -12,7 +12,7 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// modelMemory is what the models take; not all fit into one engine.
+// modelMemory is the memory of each model. They do not all fit into one engine.
 var modelMemory = map[string]int64{"a": 40, "b": 50, "c": 30}
 
 var (
@@ -21,11 +21,11 @@
 	requestedModels = []string{"a", "a", "a-x", "a-y", "b", "b-x", "c"}
 )
 
-// someModel declares a model with new numbers.
+// randomModel returns the declaration of a model with random numbers of replicas and a random selector.
 func (w *world) randomModel(name string) string {
 	maxReplicas, warm := 1+w.random.IntN(3), w.random.IntN(4)/3
 	if w.healthy {
-		// Two models that stay loaded could leave no room for the third.
+		// Two models that stay loaded could leave no memory for the third.
 		warm = 0
 	}
 	return fmt.Sprintf(`
@@ -42,7 +42,7 @@
 `, name, pick(w.sim, selectors), modelMemory[name], 1+w.random.IntN(maxReplicas), maxReplicas, warm, 1+w.random.IntN(3))
 }
 
-// firstDeclarations is what is declared at the start.
+// firstDeclarations returns the declarations at the start of a run.
 func (w *world) firstDeclarations() string {
 	file := `
 [service "ledger"]
@@ -59,12 +59,12 @@
 	return file
 }
 
-// apply lets an operator apply a file at an entry.
+// apply applies a file of declarations at an entry.
 func (w *world) apply(e *entry, file string) {
 	w.edit(e, declarations.PutFile("file", []byte(file), nil))
 }
 
-// edit lets an operator make an edit at an entry.
+// edit makes an edit at an entry, unless it is down or frozen.
 func (w *world) edit(e *entry, change declarations.ChangeFunc) {
 	if !e.alive || e.frozen {
 		return
@@ -79,13 +79,13 @@
 		w.violated("test", "edit %d: %v", w.edits, err)
 	}
 	if err == nil && result.Revision > w.reference.Revision() {
-		w.violated("P9", "edit %d is told to be revision %d, the table has %d", w.edits, result.Revision, w.reference.Revision())
+		w.violated("P9", "edit %d was accepted as revision %d, but the table has %d", w.edits, result.Revision, w.reference.Revision())
 	}
 	w.counts["edits"]++
 	e.pushRevision()
 }
 
-// keepEditing lets operators change what is declared.
+// scheduleEdits makes a random edit and schedules the next one.
 func (w *world) scheduleEdits() {
 	if w.healthy {
 		return
@@ -106,14 +106,14 @@
 		key := &pb.ObjectKey{Kind: declarations.KindEngine, Name: engine}
 		w.edit(e, declarations.SetLabels(key, map[string]string{"pool": pick(w.sim, []string{"a", "b"})}, nil))
 	case n == 9:
-		// Model c has no adapters, so that it can be taken away and come back.
+		// Model c has no adapters, so that it can be deleted and declared again.
 		if _, ok := w.reference.Current().Model("c"); ok {
 			w.edit(e, declarations.PutObjects(nil, []*pb.ObjectKey{{Kind: declarations.KindModel, Name: "c"}}))
 		}
 	}
 }
 
-// keepCalling lets callers make calls, now and then many at once.
+// scheduleCalls makes a random call, or occasionally several at once, and schedules the next ones.
 func (w *world) scheduleCalls() {
 	if w.healthy {
 		return
@@ -157,8 +157,8 @@
 	c.send(pick(w.sim, entries))
 }
 
-// callable returns the entries to which the balancer sends callers: its checks are late, so that it also sends some to
-// entries that are frozen.
+// readyEntries returns the entries to which the load balancer sends calls. They include frozen entries, because its health
+// checks are delayed.
 func (w *world) readyEntries() []*entry {
 	var list []*entry
 	for _, e := range w.liveEntries() {
--- a/internal/joined/world_test.go
+++ b/internal/joined/world_test.go
@@ -26,31 +26,31 @@
 	serviceName = "ledger"
 )
 
-// guard names something that the joining of the machines rests on. A world can leave one out, to show that its checks see
-// what the guard prevents.
+// guard names a rule in the code that connects the state machines. A test can disable one guard to show that the checks
+// detect the fault that it prevents.
 type guard string
 
 const (
 	guardNone guard = ""
-	// guardNotLoaded: an engine's answer that it has not loaded the model is a refusal, not the answer to the request.
-	guardNotLoaded guard = "not loaded is a refusal"
-	// guardAnswerFirst: the caller's final answer does not wait for the record of the claim.
-	guardAnswerBeforeRecord guard = "answer first"
-	// guardDisplaced: what the machine asks for when displaced requests are taken away is carried out.
+	// guardNotLoaded: an engine's response that the model is not loaded is a refusal, not the answer to the request.
+	guardNotLoaded guard = "model-not-loaded response is a refusal"
+	// guardAnswerBeforeRecord: the caller's final answer does not wait until the outcome of the claim is recorded.
+	guardAnswerBeforeRecord guard = "answer before claim record"
+	// guardDisplacedActions: the loading machine's actions after the removal of displaced requests are executed.
 	guardDisplacedActions guard = "displaced requests' actions"
-	// guardReadID: an answer of the engine names the read that asked for it.
-	guardReadID guard = "number of the read"
-	// guardFirstByte: the patience with a streamed answer begins with its first byte, not with its head.
-	guardFirstByte guard = "first byte"
-	// guardStreams: an agent keeps all control streams of an entry, not the one that was taken up last.
+	// guardReadID: the result of an engine state read carries the ID of the read that requested it.
+	guardReadID guard = "ID of the read"
+	// guardFirstByte: the timeout for the rest of a streamed answer starts at its first byte, not at its head.
+	guardFirstByte guard = "timeout from first byte"
+	// guardAllStreams: an agent keeps all control streams of an entry, not only the one that was accepted last.
 	guardAllStreams guard = "all control streams"
-	// guardFade: an estimate that refuses all requests of a target at which nothing runs fades.
+	// guardEstimateFade: a service time estimate fades if it causes refusals although the target is idle.
 	guardEstimateFade guard = "estimates fade"
-	// guardUnloads: a planned stop of an agent waits for the unloads on their way.
+	// guardUnloadsAtStop: a planned stop of an agent waits for unload orders in flight.
 	guardUnloadsAtStop guard = "unloads at a stop"
 )
 
-// world is all processes with what surrounds them, and the truth about it.
+// world contains all simulated processes and their environment, and the reference state that the checks use.
 type world struct {
 	*sim
 	net           *network
@@ -64,7 +64,8 @@
 	entries       map[string]*entry
 	disabledGuard guard
 
-	// truth holds the declarations as accepted, acceptedAt when each revision was, and rows the grants.
+	// reference holds the accepted declarations, acceptedAt the time of each revision, and rows the current grants.
+	// drainedAt is the time since which each drained engine is drained.
 	reference  *declarations.Receiver
 	acceptedAt []time.Duration
 	rows       map[string]*replicaspb.Row
@@ -81,19 +82,20 @@
 	severity     int
 	healthy      bool
 	tableFaultAt time.Duration
-	// slowStore makes loads slow.
+	// slowStore makes loads from the weight store slow.
 	slowStore bool
 	counts    map[string]int
-	// mends end the faults that are there.
+	// recoveries end the current faults.
 	recoveries []func()
-	// last are the calls at the end of a run.
+	// finalCalls are the calls at the end of a run.
 	finalCalls []*finalCall
 }
 
-// faulty is true once in so many times while there are faults.
+// faulty returns true with probability severity/(3*in). It returns false once the world is healthy, which means that the faults
+// have ended.
 func (w *world) faulty(in int) bool { return !w.healthy && w.severity > 0 && w.oneIn(in*3/w.severity) }
 
-// shape is the size of a world.
+// topology holds the numbers of processes in a world, the engines' fencing modes and the severity of the faults.
 type topology struct {
 	entries, engines, services int
 	fencing                    []fencing
@@ -124,7 +126,7 @@
 
 func domainOf(i int) string { return []string{"north", "south"}[i%2] }
 
-// begin starts all processes.
+// startAll publishes the host list and starts all processes.
 func (w *world) startAll() {
 	w.publishHosts()
 	for _, name := range w.entryNames {
@@ -144,7 +146,7 @@
 	e.begin()
 }
 
-// addHost adds a live host for an endpoint's name.
+// addHost adds a live host for the named endpoint.
 func (w *world) addHost(endpoint, kind, domain string, f fencing) *host {
 	w.hostIDs++
 	h := &host{
@@ -162,7 +164,7 @@
 	return h
 }
 
-// labels are an endpoint's own labels.
+// labels returns the labels that the endpoint's agent reports.
 func (h *host) labels() map[string]string {
 	if h.kind == kindService {
 		return map[string]string{"pool": "ledger"}
@@ -170,7 +172,7 @@
 	return map[string]string{"pool": []string{"a", "b"}[h.endpoint[len(h.endpoint)-1]%2]}
 }
 
-// liveEntries returns the entries whose processes are there.
+// liveEntries returns the entries whose processes are running or frozen.
 func (w *world) liveEntries() []*entry {
 	var list []*entry
 	for _, name := range w.entryNames {
@@ -181,7 +183,7 @@
 	return list
 }
 
-// freeClaims lets claims do the work in the background that waits. The bubble of testing/synctest tells when it is done.
+// runClaims runs the pending background work of claims. It uses the bubble of testing/synctest to detect when that is done.
 func (w *world) runClaims(c *atmostonce.Claims) {
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -194,7 +196,7 @@
 	<-done
 }
 
-// changed follows each commit as it happens.
+// handleCommit checks each row that a commit changes and applies it to the reference state.
 func (w *world) handleCommit(before, after backing.Row) {
 	key := before.Key + after.Key
 	if after.Key != "" {
@@ -223,10 +225,10 @@
 	return row
 }
 
-// declared takes in an accepted edit.
+// applyAccepted applies an accepted edit to the reference state.
 func (w *world) applyAccepted(delta *pb.Delta) {
 	if applied, _ := w.reference.ApplyDelta(delta); !applied {
-		w.violated("P9", "revision %d follows %d in the table", delta.Revision, w.reference.Revision())
+		w.violated("P9", "revision %d was committed after %d", delta.Revision, w.reference.Revision())
 	}
 	w.acceptedAt = append(w.acceptedAt, w.elapsed)
 	w.logf("revision %d: %v", delta.Revision, delta)
@@ -240,8 +242,8 @@
 	}
 }
 
-// rowChanged checks a change of a grant: it keeps to the maximum that is in force, and a slot that is being released is
-// never granted again.
+// checkRowChange checks a change of a row of grants: a new grant respects the maximum in force, and a slot that is being
+// released is never granted again.
 func (w *world) checkRowChange(before, after *replicaspb.Row) {
 	w.dirty = true
 	w.counts["rows changed"]++
@@ -256,7 +258,7 @@
 			w.checkGrant(after)
 		}
 		if was.GetState() == replicaspb.SlotState_RELEASING && s.State == replicaspb.SlotState_GRANTED {
-			w.violated("P1", "%s: the slot of %s is granted again while it is released", after.Model, s.Engine)
+			w.violated("P1", "%s: the slot of %s is granted again while it is being released", after.Model, s.Engine)
 		}
 	}
 }
@@ -265,7 +267,7 @@
 	name, _, _ := strings.Cut(row.Model, "@")
 	model, ok := w.reference.Current().Model(name)
 	if !ok {
-		w.violated("P1", "%s is granted and not declared", row.Model)
+		w.violated("P1", "%s is granted but not declared", row.Model)
 		return
 	}
 	if len(row.Slots) > int(model.MaxReplicas) {
@@ -285,7 +287,7 @@
 	return "[" + strings.Join(texts, " ") + "]"
 }
 
-// check checks after each step what an engine or the table may have changed: whatever an engine holds, it has a slot for.
+// check checks, after each step that changed an engine or the table, that every engine has a slot for each of its models.
 func (w *world) check() {
 	if !w.dirty {
 		return
@@ -297,7 +299,7 @@
 		}
 		for _, model := range slices.Sorted(maps.Keys(h.engine.models)) {
 			if replicas.SlotOf(w.rows[model], h.endpoint, h.id) == nil {
-				w.violated("P1", "%s on %s holds %s, the row is %s", h.endpoint, h.id, model, slotsText(w.rows[model]))
+				w.violated("P1", "%s on %s holds %s without a slot, the row is %s", h.endpoint, h.id, model, slotsText(w.rows[model]))
 			}
 		}
 	}
