--- a/internal/capacity/control_test.go
+++ b/internal/capacity/control_test.go
@@ -50,7 +50,7 @@
 // BenchmarkViewMemory measures the memory of an entry's view of engines with slots of ten model versions each.
 func BenchmarkViewMemory(b *testing.B) {
 	benchmarkSizes(b, "held-bytes", engineCounts, func(b *testing.B, n int) float64 {
-		held := heldBytes(func() any { return viewOf(n, 10) })
+		held := retainedBytes(func() any { return viewOf(n, 10) })
 		for b.Loop() {
 			continue
 		}
--- a/internal/capacity/decision_test.go
+++ b/internal/capacity/decision_test.go
@@ -155,7 +155,7 @@
 			}
 			return row
 		}
-		held := heldBytes(func() any {
+		held := retainedBytes(func() any {
 			rows := make([]any, targetModels)
 			for i := range rows {
 				rows[i] = decode()
--- a/internal/capacity/declarations_test.go
+++ b/internal/capacity/declarations_test.go
@@ -64,7 +64,7 @@
 		b.Run(kind.name, func(b *testing.B) {
 			benchmarkSizes(b, "held-bytes", kind.sizes, func(b *testing.B, n int) float64 {
 				data := encode(b, kind.snapshot(n))
-				held := heldBytes(func() any { return decodedSet(b, data) })
+				held := retainedBytes(func() any { return decodedSet(b, data) })
 				for b.Loop() {
 					decodedSet(b, data)
 				}
--- a/internal/capacity/entry_run_test.go
+++ b/internal/capacity/entry_run_test.go
@@ -130,12 +130,12 @@
 	time.Sleep(*measureFor)
 	after, wireAfter, tableAfter := r.entry.read(r.t), r.agents.conns.traffic(), r.site.server.Truth().Table
 	seconds := after.at.Sub(before.at).Seconds()
-	moved := wireAfter.minus(wireBefore)
+	transferred := wireAfter.minus(wireBefore)
 	connected, _ := r.agents.countAt(0)
 	cpu = cpuShare(before, after)
 	r.t.Logf("%6d agents: idle %.2f%% of a core, rss %.1f MB, payload sent %.0f and received %.0f B/s per agent, on the wire %.0f B/s per agent and %.0f B/s in total, table %.2f reads/s %.2f writes/s, connected %d",
-		r.size, 100*cpu, after.rss/1e6, moved.sentPerConn(seconds, r.size), moved.receivedPerConn(seconds, r.size),
-		moved.onWire()/seconds/float64(r.size), moved.onWire()/seconds,
+		r.size, 100*cpu, after.rss/1e6, transferred.sentPerConn(seconds, r.size), transferred.receivedPerConn(seconds, r.size),
+		transferred.onWire()/seconds/float64(r.size), transferred.onWire()/seconds,
 		float64(tableAfter.Reads-table.Reads)/seconds, float64(tableAfter.Writes-table.Writes)/seconds, connected)
 	return cpu
 }
@@ -163,11 +163,11 @@
 		latencies = append(latencies, time.Since(begin).Seconds())
 	}
 	after := r.entry.read(r.t)
-	moved := r.agents.conns.traffic().minus(wireBefore)
+	transferred := r.agents.conns.traffic().minus(wireBefore)
 	cpu := after.cpu - before.cpu - idleCPU*after.at.Sub(before.at).Seconds()
 	slices.Sort(latencies)
 	r.t.Logf("%6d agents: time until an edit reaches all agents p50 %.0f ms, max of %d %.0f ms, %.2f ms of CPU time per edit, %.0f payload bytes received per agent in total",
-		r.size, 1000*latencies[count/2], count, 1000*latencies[count-1], 1000*cpu/count, moved.in/float64(r.size))
+		r.size, 1000*latencies[count/2], count, 1000*latencies[count-1], 1000*cpu/count, transferred.in/float64(r.size))
 }
 
 // reports measures the CPU time of load reports at the entry.
--- a/internal/capacity/fleet_run_test.go
+++ b/internal/capacity/fleet_run_test.go
@@ -169,9 +169,9 @@
 	time.Sleep(*measureFor)
 	agentCPU, agentRSS := f.processUsage(f.agents, agents)
 	entryCPU, entryRSS := f.processUsage(f.entries, entries)
-	moved, after := f.traffic().minus(wire), f.site.server.Truth().Table
+	transferred, after := f.traffic().minus(wire), f.site.server.Truth().Table
 	seconds := measureFor.Seconds()
-	perAgent := moved.onWire() / seconds / float64(len(f.agents))
+	perAgent := transferred.onWire() / seconds / float64(len(f.agents))
 	f.t.Logf("%4d agents, %d entries: agent %.2f%% of a core (max %.2f%%), %.1f MB (max %.1f), %.0f B/s on the wire; "+
 		"entry %.2f%% of a core (max %.2f%%), %.1f MB (max %.1f), %.0f B/s on the wire; table %.1f reads/s, %.2f writes/s",
 		len(f.agents), len(f.entries), agentCPU.median, agentCPU.max, agentRSS.median, agentRSS.max, perAgent,
--- a/internal/capacity/request_test.go
+++ b/internal/capacity/request_test.go
@@ -105,7 +105,7 @@
 	}
 	b.Run("memory", func(b *testing.B) {
 		benchmarkSizes(b, "held-bytes", sizes, func(b *testing.B, n int) float64 {
-			held := heldBytes(func() any { return fill(n) })
+			held := retainedBytes(func() any { return fill(n) })
 			for b.Loop() {
 				continue
 			}
@@ -186,7 +186,7 @@
 	sizes := []int{1024, 8192, 65536}
 	b.Run("memory", func(b *testing.B) {
 		benchmarkSizes(b, "held-bytes", sizes, func(b *testing.B, n int) float64 {
-			held := heldBytes(func() any { return fill(n) })
+			held := retainedBytes(func() any { return fill(n) })
 			for b.Loop() {
 				continue
 			}
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -100,9 +100,9 @@
 	return float64(cpuTime()-begin) / float64(i)
 }
 
-// heldBytes returns the heap and stack memory retained by the value that build returns. It is the minimum of three
+// retainedBytes returns the heap and stack memory retained by the value that build returns. It is the minimum of three
 // measurements, because other goroutines may allocate at the same time.
-func heldBytes(build func() any) float64 {
+func retainedBytes(build func() any) float64 {
 	smallest := math.Inf(1)
 	for range 3 {
 		before := memoryInUse()
--- a/internal/capacity/sums_test.go
+++ b/internal/capacity/sums_test.go
@@ -128,16 +128,16 @@
 	seconds         = "s"
 )
 
-func bytesEstimate(what, formula string, value float64, upTo string) estimate {
-	return estimate{name: what, formula: formula, value: value, limit: limitBytes, unit: bytesPerSecond, scalesTo: upTo}
+func bytesEstimate(name, formula string, value float64, scalesTo string) estimate {
+	return estimate{name: name, formula: formula, value: value, limit: limitBytes, unit: bytesPerSecond, scalesTo: scalesTo}
 }
 
-func cpuEstimate(what, formula string, value float64, upTo string) estimate {
-	return estimate{name: what, formula: formula, value: 100 * value, limit: 100 * limitCPU, unit: percent, scalesTo: upTo}
+func cpuEstimate(name, formula string, value float64, scalesTo string) estimate {
+	return estimate{name: name, formula: formula, value: 100 * value, limit: 100 * limitCPU, unit: percent, scalesTo: scalesTo}
 }
 
-func memoryEstimate(what, formula string, value float64, upTo string) estimate {
-	return estimate{name: what, formula: formula, value: value / 1e6, limit: limitMemory / 1e6, unit: megabytes, scalesTo: upTo}
+func memoryEstimate(name, formula string, value float64, scalesTo string) estimate {
+	return estimate{name: name, formula: formula, value: value / 1e6, limit: limitMemory / 1e6, unit: megabytes, scalesTo: scalesTo}
 }
 
 // agentsUpTo returns the number of agents per entry at which a cost per agent reaches a limit, as text for scalesTo.
@@ -240,23 +240,23 @@
 // scaledEntry estimates the cost of the scaled design to an entry that is also a reader of its domain.
 func scaledEntry() []estimate {
 	const (
-		message   = messageWireBytes
-		edit      = message + 172
-		change    = message + changeWireBytes
-		toHomes   = agentsPerHome * 2 * message / scaledHeartbeatSeconds
-		edits     = agentsPerHome * editsPerSecond * edit
-		passed    = fanOut * (editsPerSecond*edit + stateChangesPerSecond*change)
-		taken     = editsPerSecond*edit + stateChangesPerSecond*change
-		others    = stateChangesPerSecond / targetDomains * (targetDomains - 1) * change
-		perSecond = agentsPerHome*2/scaledHeartbeatSeconds + (agentsPerHome+fanOut+1)*editsPerSecond + (fanOut+2)*stateChangesPerSecond
+		message        = messageWireBytes
+		edit           = message + 172
+		change         = message + changeWireBytes
+		toHomes        = agentsPerHome * 2 * message / scaledHeartbeatSeconds
+		edits          = agentsPerHome * editsPerSecond * edit
+		forwarded      = fanOut * (editsPerSecond*edit + stateChangesPerSecond*change)
+		received       = editsPerSecond*edit + stateChangesPerSecond*change
+		toOtherDomains = stateChangesPerSecond / targetDomains * (targetDomains - 1) * change
+		perSecond      = agentsPerHome*2/scaledHeartbeatSeconds + (agentsPerHome+fanOut+1)*editsPerSecond + (fanOut+2)*stateChangesPerSecond
 	)
 	return []estimate{
 		bytesEstimate("heartbeats of 16.7 home agents, each way every 4 s", "16.7 × 2 × 113 B ÷ 4 s", toHomes, ""),
 		bytesEstimate("edits to home agents", "16.7 × 0.139/s × 285 B", edits, ""),
-		bytesEstimate("edits and changes of replicas taken in", "0.139/s × 285 B + 0.32/s × 173 B", taken, ""),
-		bytesEstimate("the same passed on to 6 entries of its domain", "6 × (0.139/s × 285 B + 0.32/s × 173 B)", passed, ""),
-		bytesEstimate("its domain's changes to the readers of the others", "0.32/s ÷ 35 × 34 × 173 B", others, ""),
-		bytesEstimate("**all of these**", "sum", toHomes+edits+taken+passed+others, ""),
+		bytesEstimate("edits and changes of replicas taken in", "0.139/s × 285 B + 0.32/s × 173 B", received, ""),
+		bytesEstimate("the same passed on to 6 entries of its domain", "6 × (0.139/s × 285 B + 0.32/s × 173 B)", forwarded, ""),
+		bytesEstimate("its domain's changes to the readers of the others", "0.32/s ÷ 35 × 34 × 173 B", toOtherDomains, ""),
+		bytesEstimate("**all of these**", "sum", toHomes+edits+received+forwarded+toOtherDomains, ""),
 		cpuEstimate("messages of all of these", "14.9/s × 185 µs", perSecond*(entryPeerCPU+reportCPU), ""),
 		cpuEstimate("choices by index", "91.7/s × 3 × 0.4 µs", requestsPerNode*3*indexCPU, ""),
 		cpuEstimate("decisions", "1.7 µs × 10,000 × 0.027/s", decisionEngineCPU*targetEngines*engineChangesPerSecond, ""),
@@ -287,13 +287,13 @@
 
 // twoTierLookup applies the two-tier design of the related paper, S = c_s M + c_p N / M, to the measured sizes.
 func twoTierLookup() []estimate {
-	held := func(m float64) float64 { return entryPeerMemory*m + viewMemory*targetEngines/m }
+	memory := func(m float64) float64 { return entryPeerMemory*m + viewMemory*targetEngines/m }
 	best := math.Sqrt(viewMemory * targetEngines / entryPeerMemory)
 	rate := func(m float64) float64 { return 2 * targetRequests / m }
 	return []estimate{
 		memoryEstimate("full knowledge, c_p N", "3,738 B × 10,000", viewMemory*targetEngines, ""),
-		memoryEstimate("two tiers, M = 70", "93 kB × 70 + 3,738 B × 10,000 ÷ 70", held(70), ""),
-		memoryEstimate("two tiers, best M = "+formatNumber(math.Round(best)), "2 √(93 kB × 3,738 B × 10,000)", held(best), ""),
+		memoryEstimate("two tiers, M = 70", "93 kB × 70 + 3,738 B × 10,000 ÷ 70", memory(70), ""),
+		memoryEstimate("two tiers, best M = "+formatNumber(math.Round(best)), "2 √(93 kB × 3,738 B × 10,000)", memory(best), ""),
 		cpuEstimate("a lookup for each request, M = 70", "2 × 110,000/s ÷ 70 × 45 µs", rate(70)*reportCPU,
 			"needs M of at least "+formatNumber(math.Ceil(2*targetRequests*reportCPU/limitCPU))),
 	}
--- a/internal/joined/inforce_test.go
+++ b/internal/joined/inforce_test.go
@@ -61,8 +61,8 @@
 	}
 	for _, e := range w.liveEntries() {
 		since, ok := e.healthySince()
-		if held := e.store.Current().Revision(); ok && w.elapsed-since > inForceBound && held < due {
-			w.violated("P9", "%s has revision %d, %d was accepted %v ago", e.name, held, due, w.elapsed-w.acceptedAt[due])
+		if revision := e.store.Current().Revision(); ok && w.elapsed-since > inForceBound && revision < due {
+			w.violated("P9", "%s has revision %d, %d was accepted %v ago", e.name, revision, due, w.elapsed-w.acceptedAt[due])
 		}
 	}
 	for _, e := range w.liveEntries() {
@@ -73,8 +73,8 @@
 			continue
 		}
 		since, ok := h.agent.reachableSince()
-		if held := h.agent.receiver.Revision(); ok && w.elapsed-since > inForceBound && held < due {
-			w.violated("P9", "%s has revision %d, %d was accepted %v ago", h.agent.name, held, due, w.elapsed-w.acceptedAt[due])
+		if revision := h.agent.receiver.Revision(); ok && w.elapsed-since > inForceBound && revision < due {
+			w.violated("P9", "%s has revision %d, %d was accepted %v ago", h.agent.name, revision, due, w.elapsed-w.acceptedAt[due])
 		}
 	}
 }
--- a/internal/joined/request_test.go
+++ b/internal/joined/request_test.go
@@ -54,21 +54,21 @@
 
 // request is a caller's request at an entry.
 type request struct {
-	entry      *entry
-	call       *call
-	id         string
-	number     int
-	target     admission.Target
-	class      wirepb.Class
-	deadline   time.Time
-	streamed   bool
-	idempotent bool
-	state      *routing.RequestState
-	tried      []string
-	response   *responseBuffer
-	current    *attempt
-	held       atmostonce.Held
-	claimed    bool
+	entry       *entry
+	call        *call
+	id          string
+	number      int
+	target      admission.Target
+	class       wirepb.Class
+	deadline    time.Time
+	streamed    bool
+	idempotent  bool
+	state       *routing.RequestState
+	tried       []string
+	response    *responseBuffer
+	current     *attempt
+	claimHandle atmostonce.Held
+	claimed     bool
 	// pickDeadline is the time until which the request waits for an endpoint; slotRequested is set once a slot was
 	// requested.
 	pickDeadline  time.Time
@@ -138,20 +138,20 @@
 func (r *request) claim() {
 	e := r.entry
 	began := time.Now()
-	held, outcome, err := e.claims.Claim(context.Background(), atmostonce.ClaimRequest{
+	handle, outcome, err := e.claims.Claim(context.Background(), atmostonce.ClaimRequest{
 		Service: r.target.Service, Key: r.call.key, Owner: r.id, Fingerprint: 1, Deadline: began.Add(r.deadline.Sub(e.now())),
 	})
-	took := time.Since(began) + e.w.net.latency()
-	e.logf("%s claims %s for %s: %v %v after %v", e.name, r.call.key, r.id, outcome, errors.Cause(err), took)
-	e.later(took, func() {
+	elapsed := time.Since(began) + e.w.net.latency()
+	e.logf("%s claims %s for %s: %v %v after %v", e.name, r.call.key, r.id, outcome, errors.Cause(err), elapsed)
+	e.later(elapsed, func() {
 		switch {
 		case err != nil:
 			r.conclude(resultNotRun, "")
 		case outcome == atmostonce.ClaimGranted:
-			r.held, r.claimed = held, true
+			r.claimHandle, r.claimed = handle, true
 			r.forward()
 		case outcome == atmostonce.ClaimAnswered:
-			r.conclude(resultReplayed, string(held.Claim.Body))
+			r.conclude(resultReplayed, string(handle.Claim.Body))
 		default:
 			r.conclude(resultUnknown, "")
 		}
@@ -289,8 +289,8 @@
 	case last != nil && last.exchange.Open():
 		last.onSettled = func(f settlement) { r.settleClaim(f, false, "") }
 	case r.entry.w.disabledGuard == guardAnswerBeforeRecord:
-		took := r.settleClaim(f, true, body)
-		r.entry.later(took, func() { r.conclude(result, body) })
+		elapsed := r.settleClaim(f, true, body)
+		r.entry.later(elapsed, func() { r.conclude(result, body) })
 		return
 	default:
 		r.settleClaim(f, true, body)
@@ -304,11 +304,11 @@
 	var err error
 	switch {
 	case f == settledNotRun:
-		err = r.entry.claims.Free(ctx, r.held)
+		err = r.entry.claims.Free(ctx, r.claimHandle)
 	case f == settledServed && kept:
-		err = r.entry.claims.Finish(ctx, r.held, atmostonce.ClaimDone, atmostonce.Answer{Status: 200, Body: []byte(body)})
+		err = r.entry.claims.Finish(ctx, r.claimHandle, atmostonce.ClaimDone, atmostonce.Answer{Status: 200, Body: []byte(body)})
 	default:
-		err = r.entry.claims.Finish(ctx, r.held, atmostonce.ClaimUnknown, atmostonce.Answer{})
+		err = r.entry.claims.Finish(ctx, r.claimHandle, atmostonce.ClaimUnknown, atmostonce.Answer{})
 	}
 	r.entry.logf("%s settles the claim of %s as %d: %v", r.entry.name, r.id, f, errors.Cause(err))
 	return time.Since(began)
--- a/internal/joined/tell_test.go
+++ b/internal/joined/tell_test.go
@@ -131,7 +131,7 @@
 
 // awaitServed waits for the call's result and requires that it was served.
 func (s *scenario) awaitServed(c *call) {
-	s.await("the result of "+c.token, 20*time.Second, func() bool { return c.result() != "" })
+	s.await(c.token+" gets a result", 20*time.Second, func() bool { return c.result() != "" })
 	s.require(c.result() == resultWhole, "%s got result %q", c.token, c.result())
 }
 
