--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,5 +1,5 @@
-// Package examples holds the settings and declarations of two example sites. Its tests check that the files of each site are
-// valid and consistent with each other.
+// Package examples holds the settings and declarations of two example sites. Its tests check that the files of each site
+// are valid and consistent with each other.
 package examples
 
 import (
@@ -196,8 +196,8 @@
 	return all
 }
 
-// TestSelectorsFindEndpoints checks that each declared engine is in the host list, that each model's selector matches engines
-// in at least two failure domains, so that the model survives the loss of one, and that each service has endpoints.
+// TestSelectorsFindEndpoints checks that each declared engine is in the host list, that each model's selector matches
+// engines in at least two failure domains, so that the model survives the loss of one, and that each service has endpoints.
 func TestSelectorsFindEndpoints(t *testing.T) {
 	for _, s := range sites {
 		t.Run(s.name, func(t *testing.T) {
--- a/internal/app/dev_test.go
+++ b/internal/app/dev_test.go
@@ -81,8 +81,8 @@
 	return response, string(text)
 }
 
-// TestDevServes sends the requests of dev's ready message. The first request loads an idle model, the second uses an adapter
-// of the loaded model, and a call that is sent twice with the same idempotency key runs once.
+// TestDevServes sends the requests of dev's ready message. The first request loads an idle model, the second uses an
+// adapter of the loaded model, and a call that is sent twice with the same idempotency key runs once.
 func TestDevServes(t *testing.T) {
 	base := startDevSystem(t)
 	chat := base + "/v1/chat/completions"
--- a/internal/capacity/agent_run_test.go
+++ b/internal/capacity/agent_run_test.go
@@ -160,8 +160,8 @@
 // requestsPerEngine is the request rate of one engine at the target size's peak.
 const requestsPerEngine = targetRequests / targetEngines
 
-// TestAgentPeers measures the cost of each connected entry to a real agent, idle and at the target request rate. The entries
-// are stubs.
+// TestAgentPeers measures the cost of each connected entry to a real agent, idle and at the target request rate. The
+// entries are stubs.
 func TestAgentPeers(t *testing.T) {
 	skipUnlessRun(t)
 	for _, n := range sizesOr(t, 1, 3, 10, 100, 400, 1200) {
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,8 +1,8 @@
 // Package capacity measures how the cost of the system's components scales, and estimates the total cost at the size for
 // which the system is designed. It contains only tests and benchmarks. docs/CAPACITY.md is based on their results.
 //
-// Each benchmark measures one slope (bytes or CPU time per additional model, peer, report or request) at three or more sizes
-// and reports the fitted line:
+// Each benchmark measures one slope (bytes or CPU time per additional model, peer, report or request) at three or more
+// sizes and reports the fitted line:
 //
 //	go test ./internal/capacity -run '^$' -bench .
 //
--- a/internal/capacity/peers_test.go
+++ b/internal/capacity/peers_test.go
@@ -26,8 +26,8 @@
 	HeaderTimeout: 5 * time.Second,
 }
 
-// stubAgents simulates many agents in the test process behind one address, with one connection per agent. They report on the
-// control stream like real agents and answer each request with a short fixed body.
+// stubAgents simulates many agents in the test process behind one address, with one connection per agent. They report on
+// the control stream like real agents and answer each request with a short fixed body.
 type stubAgents struct {
 	conns   conns
 	address string
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -35,8 +35,8 @@
 	return l
 }
 
-// growthExponent returns the exponent of the value's growth between the two largest sizes: 0 if it is constant, 1 if linear,
-// 2 if quadratic.
+// growthExponent returns the exponent of the value's growth between the two largest sizes: 0 if it is constant, 1 if
+// linear, 2 if quadratic.
 func growthExponent(points []point) float64 {
 	a, b := points[len(points)-2], points[len(points)-1]
 	return math.Log(b.value/a.value) / math.Log(b.size/a.size)
--- a/internal/capacity/sums_test.go
+++ b/internal/capacity/sums_test.go
@@ -34,8 +34,8 @@
 	deltaWireBytes = 390.0
 	editCPU        = 2.2e-3
 	editPeerCPU    = 39e-6
-	// Grants: bytes and memory of a slot in a row, CPU time of a decision per engine, and CPU time of the decision after the
-	// loss of a failure domain.
+	// Grants: bytes and memory of a slot in a row, CPU time of a decision per engine, and CPU time of the decision after
+	// the loss of a failure domain.
 	slotWireBytes, slotMemory = 53.0, 180.0
 	decisionEngineCPU         = 1.7e-6
 	domainDecisionCPU         = 0.158
@@ -55,8 +55,8 @@
 	// Table reads per second of an entry, and table writes of one idempotency claim.
 	entryReadRate = 4.0
 	claimWrites   = 2.0
-	// messageWireBytes is the size of a small message and its acknowledgement if header and body are sent in one segment and
-	// yamux sends no keep-alives. It comes from a trial, not from the current code.
+	// messageWireBytes is the size of a small message and its acknowledgement if header and body are sent in one segment
+	// and yamux sends no keep-alives. It comes from a trial, not from the current code.
 	messageWireBytes = 113.0
 )
 
@@ -196,8 +196,8 @@
 	}
 }
 
-// rowChangesPerSecond is the rate of changes of one row: 170 failed engines per day with two slots each and three writes per
-// slot.
+// rowChangesPerSecond is the rate of changes of one row: 170 failed engines per day with two slots each and three writes
+// per slot.
 const rowChangesPerSecond = dailyHostFailures * slotsPerEngine * 3 / targetModels / 86400
 
 // currentTable estimates the load of the current design on the table.
@@ -218,8 +218,8 @@
 	}
 }
 
-// The scaled design: each agent connects to a few home entries in its failure domain, two entries per domain read the table,
-// and entries keep connections to only a few engines of each model.
+// The scaled design: each agent connects to a few home entries in its failure domain, two entries per domain read the
+// table, and entries keep connections to only a few engines of each model.
 const (
 	homesPerAgent          = 2.0
 	readersPerDomain       = 2.0
@@ -229,8 +229,8 @@
 	fanOut        = 6.0
 	agentsPerHome = targetEngines * homesPerAgent / targetNodes
 	totalReaders  = readersPerDomain * targetDomains
-	// stateChangesPerSecond is the rate of changes of replicas and adapters in the whole fleet: 195 loads and unloads per hour
-	// with two steps at two engines each, and two slots with two steps each for every host that leaves or joins.
+	// stateChangesPerSecond is the rate of changes of replicas and adapters in the whole fleet: 195 loads and unloads per
+	// hour with two steps at two engines each, and two slots with two steps each for every host that leaves or joins.
 	stateChangesPerSecond = (targetModels+targetAdapters)*targetTurnover*4/3600 + engineChangesPerSecond*4
 	changeWireBytes       = 60.0
 	// engineDigestMemory is the memory of a decider's summary of an engine: its labels, memory and reachability.
--- a/internal/joined/agent_test.go
+++ b/internal/joined/agent_test.go
@@ -28,7 +28,8 @@
 	maxTickInterval   = 250 * time.Millisecond
 )
 
-// agent is the process next to an endpoint. It connects the state machines in the same way as the I/O code of package agent.
+// agent is the process next to an endpoint. It connects the state machines in the same way as the I/O code of package
+// agent.
 type agent struct {
 	*process
 	w *world
--- a/internal/joined/calls_test.go
+++ b/internal/joined/calls_test.go
@@ -19,8 +19,8 @@
 	resultCut callResult = "cut"
 )
 
-// answerGrace is the time after the deadline within which a request must get its final answer. It leaves time for the agent's
-// confirmation of a request that was withdrawn at the deadline.
+// answerGrace is the time after the deadline within which a request must get its final answer. It leaves time for the
+// agent's confirmation of a request that was withdrawn at the deadline.
 const answerGrace = 200 * time.Millisecond
 
 // call is one call of a caller.
@@ -152,8 +152,8 @@
 	}
 }
 
-// checkAnswered checks that the caller has its final answer within answerGrace of the deadline, or that a streamed answer has
-// begun. After a freeze the entry gets the same time again.
+// checkAnswered checks that the caller has its final answer within answerGrace of the deadline, or that a streamed answer
+// has begun. After a freeze the entry gets the same time again.
 func (c *call) checkAnswered() {
 	w := c.w
 	switch {
--- a/internal/joined/core_test.go
+++ b/internal/joined/core_test.go
@@ -84,8 +84,8 @@
 	return nil, append(actions, c.enqueueDemand(now, w)...)
 }
 
-// fadeEstimate fades a target's service time estimate if it causes a refusal although the target is idle. Otherwise a single
-// slow request could cause the refusal of all later ones, and no shorter time would ever be observed.
+// fadeEstimate fades a target's service time estimate if it causes a refusal although the target is idle. Otherwise a
+// single slow request could cause the refusal of all later ones, and no shorter time would ever be observed.
 func (c *core) fadeEstimate(t admission.Target, refusal *admission.Refusal) {
 	alone := c.runningOf(t) == 0 && c.queue.Waiting(t) == 0
 	if alone && refusal.Reason == wirepb.RefusalReason_DEADLINE && c.w.disabledGuard != guardEstimateFade {
--- a/internal/joined/doc.go
+++ b/internal/joined/doc.go
@@ -1,14 +1,14 @@
 // Package joined contains deterministic simulation tests of the whole system. It has no code other than tests.
 //
 // The tests of the other packages check each state machine on its own. This package checks their interaction: a release
-// confirmation that crosses a grant, a drain while an entry is frozen, an order that arrives after its agent was replaced. It
-// simulates several entries, agents, engines and plain services in virtual time in one goroutine, with one seeded random
+// confirmation that crosses a grant, a drain while an entry is frozen, an order that arrives after its agent was replaced.
+// It simulates several entries, agents, engines and plain services in virtual time in one goroutine, with one seeded random
 // source, and connects the state machines in the same way as the I/O code of packages agent and entry.
 //
 // The production code under test is admission.Queue and Limiter, atmostonce.Exchange, Execution and Claims,
 // declarations.Store and Receiver, loading.Machine with its permits and idle policy, membership.View, replicas.Manager with
-// its Decider and proposals, and routing.Router, Decide and RetryBudget. The network, the table, the host list, the engines,
-// the plain services, the callers and the code that connects the state machines are simulated here.
+// its Decider and proposals, and routing.Router, Decide and RetryBudget. The network, the table, the host list, the
+// engines, the plain services, the callers and the code that connects the state machines are simulated here.
 //
 // After each step the tests check the invariants P1 to P9:
 //
--- a/internal/joined/engine_test.go
+++ b/internal/joined/engine_test.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// abortRuns aborts running requests. It is a violation if an order causes this, unless the order's sender crashed: a new agent
-// may serve requests with loaded models before all orders of its crashed predecessor have ended.
+// abortRuns aborts running requests. It is a violation if an order causes this, unless the order's sender crashed: a new
+// agent may serve requests with loaded models before all orders of its crashed predecessor have ended.
 func (e *engine) abortRuns(match func(*run) bool, by *engineOrder) {
 	for _, r := range sortedRuns(e.runs) {
 		if !match(r) {
--- a/internal/joined/entry_test.go
+++ b/internal/joined/entry_test.go
@@ -71,8 +71,8 @@
 	tableReachableAt time.Duration
 }
 
-// reachability is an endpoint's reachability, the time since which it has not changed, and the other reported fields on which
-// grants depend.
+// reachability is an endpoint's reachability, the time since which it has not changed, and the other reported fields on
+// which grants depend.
 type reachability struct {
 	reachable, leaving bool
 	since              time.Time
@@ -345,8 +345,8 @@
 	e.w.net.closeProcessConns(e.process, false)
 }
 
-// stop starts a planned stop: the load balancer sends new calls elsewhere, requests in flight are finished, then the process
-// ends.
+// stop starts a planned stop: the load balancer sends new calls elsewhere, requests in flight are finished, then the
+// process ends.
 func (e *entry) stop() {
 	if e.draining || !e.alive {
 		return
--- a/internal/joined/execution_test.go
+++ b/internal/joined/execution_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// readyNoticeDelay is the minimum wait in the queue after which the entry is notified that a request without a commit starts.
+// readyNoticeDelay is the minimum wait in the queue after which the entry is notified that a request without a commit
+// starts.
 const readyNoticeDelay = 50 * time.Millisecond
 
 // decide handles the queue's decision.
@@ -236,8 +237,8 @@
 	x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Body{Body: &wirepb.BodyChunk{Data: data}}})
 }
 
-// callEnded handles the end of the call. A stream that ends without its last event is truncated, even if the engine closed it
-// without an error.
+// callEnded handles the end of the call. A stream that ends without its last event is truncated, even if the engine closed
+// it without an error.
 func (x *exchange) callEnded(err error) {
 	x.run.cancelled, x.deadlineArmed = true, false
 	if err == nil && x.offer.Stream && !strings.HasSuffix(x.tail, lastEvent) {
--- a/internal/joined/hold_test.go
+++ b/internal/joined/hold_test.go
@@ -11,7 +11,8 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// enqueueDemand reports a queued request to the loading machine, or holds a batch request, and starts requests that can run.
+// enqueueDemand reports a queued request to the loading machine, or holds a batch request, and starts requests that can
+// run.
 func (c *core) enqueueDemand(now time.Time, w *queuedRequest) []loading.Action {
 	if c.machine == nil {
 		return c.startReady(now)
--- a/internal/joined/hosts_test.go
+++ b/internal/joined/hosts_test.go
@@ -99,8 +99,8 @@
 	l.versions = append(l.versions, hostListVersion{at: l.elapsed, hosts: hosts})
 }
 
-// Hosts implements backing.HostList. A read may return an older version than the previous one, like reads from replicas with
-// different lags.
+// Hosts implements backing.HostList. A read may return an older version than the previous one, like reads from replicas
+// with different lags.
 func (l *hostList) Hosts(context.Context) ([]backing.Host, uint64, error) {
 	oldest := l.elapsed - l.between(0, hostListLag)
 	if l.lastReadStale = !l.lastReadStale && l.oneIn(12); l.lastReadStale {
--- a/internal/joined/inforce_test.go
+++ b/internal/joined/inforce_test.go
@@ -36,8 +36,8 @@
 	return max(e.started, e.thawedAt, e.tableReachableAt, w.tableFaultAt+checkInterval), true
 }
 
-// reachableSince returns the time since which an agent has been reachable from an entry that can reach the table, or false if
-// it is not.
+// reachableSince returns the time since which an agent has been reachable from an entry that can reach the table, or false
+// if it is not.
 func (a *agent) reachableSince() (time.Duration, bool) {
 	first, found := time.Duration(0), false
 	for _, e := range a.w.liveEntries() {
@@ -115,8 +115,8 @@
 	}
 }
 
-// checkOffer checks that an entry offers no requests to an endpoint that has been listed as leaving for some time, even if the
-// agent would refuse them.
+// checkOffer checks that an entry offers no requests to an endpoint that has been listed as leaving for some time, even if
+// the agent would refuse them.
 func (w *world) checkOffer(e *entry, h *host) {
 	known := w.elapsed-max(e.started, e.thawedAt) > leavingBound
 	if known && h.listedLeavingAt > 0 && w.elapsed-h.listedLeavingAt > leavingBound {
--- a/internal/joined/network_test.go
+++ b/internal/joined/network_test.go
@@ -22,7 +22,8 @@
 
 const (
 	dialTimeout = time.Second
-	// minKeepAliveTimeout and maxKeepAliveTimeout bound the time after which a connection to an unresponsive peer is closed.
+	// minKeepAliveTimeout and maxKeepAliveTimeout bound the time after which a connection to an unresponsive peer is
+	// closed.
 	minKeepAliveTimeout = 2 * time.Second
 	maxKeepAliveTimeout = 3500 * time.Millisecond
 )
@@ -74,8 +75,8 @@
 	n.checkConns()
 }
 
-// dial opens a connection and calls done with it, or with nil if that fails. A connection to a frozen process succeeds, because
-// the kernel accepts it.
+// dial opens a connection and calls done with it, or with nil if that fails. A connection to a frozen process succeeds,
+// because the kernel accepts it.
 func (n *network) dial(from *process, l *link, to *host, done func(*conn)) {
 	fail := func(d time.Duration) { from.later(d, func() { done(nil) }) }
 	switch {
--- a/internal/joined/property_test.go
+++ b/internal/joined/property_test.go
@@ -77,8 +77,8 @@
 }
 
 // TestNinePropertiesHoldJoined simulates the whole system under random load, edits and faults: processes crash, freeze and
-// stop, links break, the table fails and hosts are replaced. It checks that the invariants P1 to P9 hold after each step, and
-// that the system reaches the declared state and serves calls after the faults have ended.
+// stop, links break, the table fails and hosts are replaced. It checks that the invariants P1 to P9 hold after each step,
+// and that the system reaches the declared state and serves calls after the faults have ended.
 func TestNinePropertiesHoldJoined(t *testing.T) {
 	total := newTally()
 	runSeeds(t, func(t *testing.T, seed uint64) {
--- a/internal/joined/request_test.go
+++ b/internal/joined/request_test.go
@@ -209,7 +209,8 @@
 	}
 }
 
-// endUnrouted ends a request for which no endpoint is left. The result is "not run" only if no earlier attempt may have run.
+// endUnrouted ends a request for which no endpoint is left. The result is "not run" only if no earlier attempt may have
+// run.
 func (r *request) endUnrouted() {
 	if r.state.MayHaveRun {
 		r.end(resultUnknown, settledUnknown, nil)
--- a/internal/joined/seam_test.go
+++ b/internal/joined/seam_test.go
@@ -32,8 +32,8 @@
 	t.Logf("without the guard %q: %s", m.guard, broken)
 }
 
-// TestHeadWithoutFirstToken blocks the link towards the entry between the head and the first token of a streamed answer. The
-// caller must get the result "unknown" at its deadline, not only when the connection times out.
+// TestHeadWithoutFirstToken blocks the link towards the entry between the head and the first token of a streamed answer.
+// The caller must get the result "unknown" at its deadline, not only when the connection times out.
 func TestHeadWithoutFirstToken(t *testing.T) {
 	guardTest{
 		guard:    guardFirstByte,
@@ -86,8 +86,8 @@
 }
 
 // TestOrderGivenWhenARequestIsDisplaced fills an engine's queue, so that batch requests are displaced by interactive ones.
-// Their removal ends the demand for their model, and the loading machine orders the load of another one. If that order is not
-// executed, the other model counts as loading until the agent restarts, and its requests time out.
+// Their removal ends the demand for their model, and the loading machine orders the load of another one. If that order is
+// not executed, the other model counts as loading until the agent restarts, and its requests time out.
 func TestOrderGivenWhenARequestIsDisplaced(t *testing.T) {
 	guardTest{
 		guard:    guardDisplacedActions,
@@ -130,9 +130,10 @@
 	}.run(t)
 }
 
-// TestReadThatNobodyWaitsFor freezes an agent during a read of its engine's state, for longer than the loading machine's read
-// timeout. When the agent resumes, it reads twice, and a model is loaded during the second read, which started before the load.
-// If that result is taken for the result of a later read, the model counts as not loaded and its memory is assigned again.
+// TestReadThatNobodyWaitsFor freezes an agent during a read of its engine's state, for longer than the loading machine's
+// read timeout. When the agent resumes, it reads twice, and a model is loaded during the second read, which started before
+// the load. If that result is taken for the result of a later read, the model counts as not loaded and its memory is
+// assigned again.
 func TestReadThatNobodyWaitsFor(t *testing.T) {
 	guardTest{
 		guard:    guardReadID,
@@ -182,8 +183,8 @@
 	}.run(t)
 }
 
-// TestTableGoesDownBeforeTheClaimIsRecorded takes the table down after the commit of a call with an idempotency key, before the
-// outcome of the claim is recorded. The caller must still get the answer by its deadline.
+// TestTableGoesDownBeforeTheClaimIsRecorded takes the table down after the commit of a call with an idempotency key, before
+// the outcome of the claim is recorded. The caller must still get the answer by its deadline.
 func TestTableGoesDownBeforeTheClaimIsRecorded(t *testing.T) {
 	guardTest{
 		guard:    guardAnswerBeforeRecord,
@@ -200,8 +201,9 @@
 	}.run(t)
 }
 
-// TestOneSlowRequest makes one request take ten seconds, because its engine hangs. Later requests with shorter deadlines are
-// refused because of the resulting service time estimate. The estimate must fade, so that after some tries a request runs.
+// TestOneSlowRequest makes one request take ten seconds, because its engine hangs. Later requests with shorter deadlines
+// are refused because of the resulting service time estimate. The estimate must fade, so that after some tries a request
+// runs.
 func TestOneSlowRequest(t *testing.T) {
 	guardTest{
 		guard:    guardEstimateFade,
@@ -225,9 +227,9 @@
 	}.run(t)
 }
 
-// TestPlannedStopDuringAnUnload stops an agent while its unload order to an engine that ignores fencing tokens is delayed. The
-// next agent finds the model loaded and serves requests with it. The planned stop must wait for the unload; otherwise the
-// unload takes effect later and aborts these requests.
+// TestPlannedStopDuringAnUnload stops an agent while its unload order to an engine that ignores fencing tokens is delayed.
+// The next agent finds the model loaded and serves requests with it. The planned stop must wait for the unload; otherwise
+// the unload takes effect later and aborts these requests.
 func TestPlannedStopDuringAnUnload(t *testing.T) {
 	guardTest{
 		guard:    guardUnloadsAtStop,
--- a/internal/joined/settled_test.go
+++ b/internal/joined/settled_test.go
@@ -34,8 +34,8 @@
 	return list
 }
 
-// unsettled describes a difference from the declared state, a replica in an unknown state or an unanswered call. It returns ""
-// if there is none and the faults ended at least minSettleTime ago.
+// unsettled describes a difference from the declared state, a replica in an unknown state or an unanswered call. It returns
+// "" if there is none and the faults ended at least minSettleTime ago.
 func (w *world) unsettled() string {
 	if w.elapsed < faultTime+minSettleTime {
 		return "the faults ended too recently"
--- a/internal/joined/shells_test.go
+++ b/internal/joined/shells_test.go
@@ -46,8 +46,8 @@
 	return newFiredTimer(c.Now())
 }
 
-// roundClock is a clock.Clock that lets a replicas.Manager run one round at a time: the manager's Run is ended when it sets the
-// timer for the next round.
+// roundClock is a clock.Clock that lets a replicas.Manager run one round at a time: the manager's Run is ended when it sets
+// the timer for the next round.
 type roundClock struct {
 	process *process
 	// started is the start time of the process, which the manager reads first in each run.
@@ -86,8 +86,8 @@
 	return false
 }
 
-// round runs one round of a manager and returns the time until the next one. The manager is notified before, so that exactly
-// one of the events for which it waits is pending.
+// round runs one round of a manager and returns the time until the next one. The manager is notified before, so that
+// exactly one of the events for which it waits is pending.
 func (c *roundClock) round(m *replicas.Manager) time.Duration {
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
--- a/internal/joined/story_test.go
+++ b/internal/joined/story_test.go
@@ -12,9 +12,9 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// TestLateLoadOfACrashedAgent delays a load order while its agent crashes and the next agent fills the memory with other models.
-// If the late order takes effect then, the engine runs out of memory or has a model that no agent accounts for. The new agent
-// must wait for the order's maximum life if the engine ignores fencing tokens, and otherwise fence the order.
+// TestLateLoadOfACrashedAgent delays a load order while its agent crashes and the next agent fills the memory with other
+// models. If the late order takes effect then, the engine runs out of memory or has a model that no agent accounts for. The
+// new agent must wait for the order's maximum life if the engine ignores fencing tokens, and otherwise fence the order.
 func TestLateLoadOfACrashedAgent(t *testing.T) {
 	for _, f := range []fencing{fencingIgnored, fencingDurable, fencingVolatile} {
 		t.Run(fmt.Sprint("fencing ", f), func(t *testing.T) {
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestFencingNumbersRiseFromAgentToAgent delays all orders of an agent, which sends further ones with higher fencing tokens and
-// crashes. The tokens of the next agent must be higher than all of these, including those that the engine has not seen yet.
-// Otherwise a late order is accepted as the newest one and changes the engine without the new agent's knowledge.
+// TestFencingNumbersRiseFromAgentToAgent delays all orders of an agent, which sends further ones with higher fencing tokens
+// and crashes. The tokens of the next agent must be higher than all of these, including those that the engine has not seen
+// yet. Otherwise a late order is accepted as the newest one and changes the engine without the new agent's knowledge.
 func TestFencingNumbersRiseFromAgentToAgent(t *testing.T) {
 	for _, f := range []fencing{fencingDurable, fencingVolatile} {
 		t.Run(fmt.Sprint("fencing ", f), func(t *testing.T) {
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestNewAgentIsToldOfAnOldSlot crashes an agent after it released the only replica of a model, which is now loaded elsewhere.
-// The next agent cannot read the table and gets the outdated row with the old slot from an entry that cannot read the table
-// either. It must not load the model because of that row, whatever requests arrive.
+// TestNewAgentIsToldOfAnOldSlot crashes an agent after it released the only replica of a model, which is now loaded
+// elsewhere. The next agent cannot read the table and gets the outdated row with the old slot from an entry that cannot
+// read the table either. It must not load the model because of that row, whatever requests arrive.
 func TestNewAgentIsToldOfAnOldSlot(t *testing.T) {
 	size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
 	runScenario(t, guardNone, size, keepWarm(modelFile("a", "endpoint = e0", 1)), func(s *scenario) {
@@ -96,9 +96,9 @@
 	})
 }
 
-// TestOnlyReplicaMovesWhileItsAgentIsFrozen moves a model with at most one replica to another engine by its selector, while the
-// agent of its current engine is frozen. The model must not be loaded twice, so requests fail until the agent resumes or its
-// host is gone. Then the model moves.
+// TestOnlyReplicaMovesWhileItsAgentIsFrozen moves a model with at most one replica to another engine by its selector, while
+// the agent of its current engine is frozen. The model must not be loaded twice, so requests fail until the agent resumes
+// or its host is gone. Then the model moves.
 func TestOnlyReplicaMovesWhileItsAgentIsFrozen(t *testing.T) {
 	cases := []struct {
 		name string
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestCommitOvertakenByACutLink blocks the link when the entry has sent the commit of a call that must not be repeated. The call
-// must not be reported as not run if it ran. A commit that arrives after the agent's commit timeout, when the link is unblocked,
-// must not start the call. Together with a repetition with the same key, the call runs at most once.
+// TestCommitOvertakenByACutLink blocks the link when the entry has sent the commit of a call that must not be repeated. The
+// call must not be reported as not run if it ran. A commit that arrives after the agent's commit timeout, when the link is
+// unblocked, must not start the call. Together with a repetition with the same key, the call runs at most once.
 func TestCommitOvertakenByACutLink(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -180,8 +180,8 @@
 	return false
 }
 
-// TestEntryCrashesAfterTheCommit crashes an entry after the commit of a call. The caller retries at another entry with the same
-// key, both during the first run and after it. Each retry must get the result "unknown" and must not run.
+// TestEntryCrashesAfterTheCommit crashes an entry after the commit of a call. The caller retries at another entry with the
+// same key, both during the first run and after it. Each retry must get the result "unknown" and must not run.
 func TestEntryCrashesAfterTheCommit(t *testing.T) {
 	size := topology{entries: 2, engines: 0, services: 2, fencing: []fencing{fencingIgnored}}
 	runScenario(t, guardNone, size, ledgerService, func(s *scenario) {
@@ -198,8 +198,8 @@
 	})
 }
 
-// TestGrantsKeepToTheMaximumInForce changes a model's maximum number of replicas at different entries while calls to the table
-// fail. A grant that was decided with a higher maximum must not be written after a lower one was accepted.
+// TestGrantsKeepToTheMaximumInForce changes a model's maximum number of replicas at different entries while calls to the
+// table fail. A grant that was decided with a higher maximum must not be written after a lower one was accepted.
 func TestGrantsKeepToTheMaximumInForce(t *testing.T) {
 	size := topology{entries: 3, engines: 4, services: 0, fencing: []fencing{fencingDurable}}
 	runScenario(t, guardNone, size, modelFile("a", "", 1), func(s *scenario) {
@@ -213,8 +213,8 @@
 	})
 }
 
-// TestReplacementDoesNotUseTheOldHostsSlot replaces a host by one with an engine of the same name, before the slot of the old one
-// is removed. The new engine must not use the old host's slot, which can be removed at any time.
+// TestReplacementDoesNotUseTheOldHostsSlot replaces a host by one with an engine of the same name, before the slot of the
+// old one is removed. The new engine must not use the old host's slot, which can be removed at any time.
 func TestReplacementDoesNotUseTheOldHostsSlot(t *testing.T) {
 	size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
 	runScenario(t, guardNone, size, modelFile("a", "endpoint = e0", 1), func(s *scenario) {
@@ -232,8 +232,9 @@
 	})
 }
 
-// TestDrainMeetsAFrozenEntry drains an engine while one entry is frozen. When the entry resumes, its state still shows the engine
-// as available. Its requests must be served elsewhere, and after some seconds it must send none to the drained engine.
+// TestDrainMeetsAFrozenEntry drains an engine while one entry is frozen. When the entry resumes, its state still shows the
+// engine as available. Its requests must be served elsewhere, and after some seconds it must send none to the drained
+// engine.
 func TestDrainMeetsAFrozenEntry(t *testing.T) {
 	size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
 	runScenario(t, guardNone, size, modelFile("a", "", 2), func(s *scenario) {
@@ -256,8 +257,8 @@
 	return declarations.SetLabels(key, map[string]string{"pool": pool}, nil)
 }
 
-// TestConfirmationsOfEarlierReleases changes engines' labels back and forth while an agent is disconnected from one entry and
-// then from the other. A confirmation of an earlier release must not free the slot of a later one.
+// TestConfirmationsOfEarlierReleases changes engines' labels back and forth while an agent is disconnected from one entry
+// and then from the other. A confirmation of an earlier release must not free the slot of a later one.
 func TestConfirmationsOfEarlierReleases(t *testing.T) {
 	size := topology{entries: 2, engines: 2, services: 0, fencing: []fencing{fencingIgnored}}
 	runScenario(t, guardNone, size, modelFile("a", "pool = x", 1), func(s *scenario) {
--- a/internal/joined/table_test.go
+++ b/internal/joined/table_test.go
@@ -41,8 +41,8 @@
 	cut bool
 }
 
-// callFails decides whether a call fails. It may first apply a late commit, so that other commits take effect between the calls
-// of a process.
+// callFails decides whether a call fails. It may first apply a late commit, so that other commits take effect between the
+// calls of a process.
 func (c *tableClient) callFails() bool {
 	if c.failOneIn > 0 && c.oneIn(c.failOneIn) {
 		c.runLate()
@@ -81,8 +81,8 @@
 	return listing, nil
 }
 
-// Commit implements backing.Table. A failed commit is rejected, or its outcome is unknown: it has no effect, takes effect at
-// once, or takes effect later.
+// Commit implements backing.Table. A failed commit is rejected, or its outcome is unknown: it has no effect, takes effect
+// at once, or takes effect later.
 func (c *tableClient) Commit(_ context.Context, txn backing.Txn) (uint64, error) {
 	if !c.callFails() {
 		return c.commit(txn)
--- a/internal/joined/tell_test.go
+++ b/internal/joined/tell_test.go
@@ -12,8 +12,8 @@
 	"balsamsail/internal/replicas/replicaspb"
 )
 
-// scenario is a world with scripted calls and faults instead of random ones. Only latencies and other random delays differ from
-// seed to seed.
+// scenario is a world with scripted calls and faults instead of random ones. Only latencies and other random delays differ
+// from seed to seed.
 type scenario struct {
 	*testing.T
 	*world
@@ -50,8 +50,8 @@
 max_concurrency = 3
 `
 
-// runScenario runs a scenario with several seeds, with the named guard disabled unless it is guardNone. It returns the first
-// violation. A failed seed runs again with tracing.
+// runScenario runs a scenario with several seeds, with the named guard disabled unless it is guardNone. It returns the
+// first violation. A failed seed runs again with tracing.
 func runScenario(t *testing.T, disabled guard, top topology, file string, script func(*scenario)) (violation string) {
 	t.Helper()
 	for seed := range uint64(scenarioSeeds) {
--- a/internal/joined/world_test.go
+++ b/internal/joined/world_test.go
@@ -91,8 +91,8 @@
 	finalCalls []*finalCall
 }
 
-// faulty returns true with probability severity/(3*in). It returns false once the world is healthy, which means that the faults
-// have ended.
+// faulty returns true with probability severity/(3*in). It returns false once the world is healthy, which means that the
+// faults have ended.
 func (w *world) faulty(in int) bool { return !w.healthy && w.severity > 0 && w.oneIn(in*3/w.severity) }
 
 // topology holds the numbers of processes in a world, the engines' fencing modes and the severity of the faults.
--- a/internal/trace/curve_test.go
+++ b/internal/trace/curve_test.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// testCurve compares the policy with the fixed keep-alive times for all seeds, at the deployment's weight and at each weight
-// of weightSweep.
+// testCurve compares the policy with the fixed keep-alive times for all seeds, at the deployment's weight and at each
+// weight of weightSweep.
 func testCurve(t *testing.T, profile Profile, weight float64, days int) {
 	var savings []float64
 	bySweep := make([][]float64, len(weightSweep))
--- a/internal/trace/replay.go
+++ b/internal/trace/replay.go
@@ -90,7 +90,8 @@
 	return r.result
 }
 
-// advance applies a model's scheduled events up to now: the load for held batch requests, unloads and loads ahead of demand.
+// advance applies a model's scheduled events up to now: the load for held batch requests, unloads and loads ahead of
+// demand.
 func (r *replayer) advance(m int, now time.Time) {
 	s := &r.replicas[m]
 	if len(s.held) > 0 && !s.loadAt.After(now) {
