--- a/internal/joined/agent_test.go
+++ b/internal/joined/agent_test.go
@@ -25,30 +25,32 @@
 	commitTimeout     = 2 * time.Second
 	maxAnswer         = 15 * time.Second
 	drainLinger       = 500 * time.Millisecond
-	longestWait       = 250 * time.Millisecond
+	maxTickInterval   = 250 * time.Millisecond
 )
 
-// agent is the process beside an endpoint: the machines of package agent, joined as its shell joins them.
+// agent is the process next to an endpoint. It connects the state machines in the same way as the I/O code of package
+// agent.
 type agent struct {
 	*process
 	w *world
-	// number rises from agent to agent.
+	// number identifies the agent; later agents have higher numbers.
 	number   int
 	host     *host
 	core     *core
 	table    *tableClient
 	receiver *declarations.Receiver
-	// declaredAt is when the declarations last changed here.
+	// declaredAt is the time at which the agent's declarations last changed.
 	declaredAt time.Duration
-	// streams are the control streams: an entry that gave one up may have another one taken up before it ends here.
+	// streams are the control streams. An entry may have several, because a new one can be accepted before an abandoned
+	// one ends here.
 	streams []*controlStream
-	// readAsked and rowsAsked are the shell's channels of capacity one; reading and readingRows are set while it reads.
-	readAsked, rowsAsked bool
-	readID               uint64
-	reading, readingRows bool
-	// inflight counts the request streams, offers the offers.
+	// readRequested and rowsRequested stand for channels of capacity one; reading and readingRows are set during a read.
+	readRequested, rowsRequested bool
+	readID                       uint64
+	reading, readingRows         bool
+	// inflight is the number of open request streams, offers the number of all offers.
 	inflight, offers int
-	// unloads counts the unload orders on their way.
+	// unloads is the number of unload orders in flight.
 	unloads  int
 	draining bool
 }
@@ -73,11 +75,11 @@
 	return a
 }
 
-// begin starts the process.
+// begin starts the process and its periodic tasks.
 func (a *agent) begin() {
 	a.start()
 	a.logf("%s starts", a.name)
-	a.w.net.notice()
+	a.w.net.checkConns()
 	if a.core.machine == nil {
 		a.probe()
 	} else {
@@ -86,29 +88,29 @@
 	a.tick()
 }
 
-// tick is the shell's timer.
+// tick handles expirations and schedules the next tick.
 func (a *agent) tick() {
-	wait := longestWait
+	wait := maxTickInterval
 	if next := a.core.expire(); !next.IsZero() {
-		wait = min(longestWait, max(time.Millisecond, next.Sub(a.now())))
+		wait = min(maxTickInterval, max(time.Millisecond, next.Sub(a.now())))
 	}
 	a.later(wait, a.tick)
 }
 
-// probe checks that a plain service answers.
+// probe checks periodically whether a plain service responds.
 func (a *agent) probe() {
 	up := a.host.service.up && !a.w.faulty(30)
 	if a.core.up != up {
 		a.core.up = up
 		if up {
-			a.perform(a.core.pump(a.now()))
+			a.perform(a.core.startReady(a.now()))
 		}
-		a.stir()
+		a.scheduleWrites()
 	}
 	a.later(probeInterval, a.probe)
 }
 
-// perform carries out the machine's actions.
+// perform executes the loading machine's actions.
 func (a *agent) perform(actions []loading.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -116,13 +118,13 @@
 			if isUnload(action.Order) {
 				a.unloads++
 			}
-			a.soon(func() { a.order(action.Order) })
+			a.soon(func() { a.sendOrder(action.Order) })
 		case loading.ReadEngine:
-			a.askRead(action.ID)
+			a.requestRead(action.ID)
 		case loading.ReadRows:
-			a.askRows()
+			a.requestRows()
 		case loading.AskPermit:
-			a.askPermit(action)
+			a.requestPermit(action)
 		case loading.EndPermit:
 			a.broadcast(func(up *wirepb.ControlUp) { up.PermitsDone = append(up.PermitsDone, action.ID) })
 		case loading.ConfirmRelease:
@@ -135,8 +137,8 @@
 	}
 }
 
-// order gives an order; its answer is taken whenever it comes.
-func (a *agent) order(o endpoint.Order) {
+// sendOrder sends an order to the engine. The loading machine gets the result whenever it arrives.
+func (a *agent) sendOrder(o endpoint.Order) {
 	done := func(err error) {
 		a.later(0, func() {
 			a.core.step(loading.OrderDone{ID: o.ID, Err: err})
@@ -149,81 +151,81 @@
 		done(endpoint.ErrUnreachable)
 		return
 	}
-	a.host.engine.give(a, o, done)
+	a.host.engine.submit(a, o, done)
 }
 
 func isUnload(o endpoint.Order) bool {
 	return o.Kind == endpoint.OrderUnload || o.Kind == endpoint.OrderUnloadAdapter
 }
 
-func (a *agent) askRead(id uint64) {
-	a.readAsked, a.readID = true, id
+func (a *agent) requestRead(id uint64) {
+	a.readRequested, a.readID = true, id
 	a.readEngine()
 }
 
-// readEngine reads the engine's state when that was asked for and no read is under way.
+// readEngine reads the engine's state if a read was requested and none is in progress.
 func (a *agent) readEngine() {
-	if a.reading || !a.readAsked {
+	if a.reading || !a.readRequested {
 		return
 	}
-	a.reading, a.readAsked = true, false
-	ended := func(e loading.Event) {
+	a.reading, a.readRequested = true, false
+	finish := func(e loading.Event) {
 		a.reading = false
 		a.core.step(e)
 		a.readEngine()
 	}
 	a.soon(func() {
 		id, e := a.readID, a.host.engine
-		if a.w.without == guardReadID {
+		if a.w.disabledGuard == guardReadID {
 			id = 0
 		}
-		slow := a.between(200*time.Microsecond, 2*time.Millisecond)
+		duration := a.between(200*time.Microsecond, 2*time.Millisecond)
 		if a.w.faulty(10) {
-			slow = a.between(0, 2*time.Second)
+			duration = a.between(0, 2*time.Second)
 		}
 		lost := a.w.faulty(20)
-		looked := a.between(0, slow)
-		if e.readTime > 0 {
-			slow, looked = e.readTime, 0
+		sampledAt := a.between(0, duration)
+		if e.readDelay > 0 {
+			duration, sampledAt = e.readDelay, 0
 		}
-		a.w.after(looked, func() {
+		a.w.after(sampledAt, func() {
 			if !e.up || lost {
-				a.later(slow-looked, func() { ended(loading.EngineLost{ID: id}) })
+				a.later(duration-sampledAt, func() { finish(loading.EngineLost{ID: id}) })
 				return
 			}
 			state := e.state()
-			a.later(slow-looked, func() { ended(loading.EngineRead{ID: id, State: state}) })
+			a.later(duration-sampledAt, func() { finish(loading.EngineRead{ID: id, State: state}) })
 		})
 	})
 }
 
-func (a *agent) askRows() {
-	a.rowsAsked = true
+func (a *agent) requestRows() {
+	a.rowsRequested = true
 	a.readRows()
 }
 
-// readRows registers the agent in the table and reads its grants, again until both are done.
+// readRows registers the agent in the table and reads its grants. It retries until both succeed.
 func (a *agent) readRows() {
-	if a.readingRows || !a.rowsAsked {
+	if a.readingRows || !a.rowsRequested {
 		return
 	}
-	a.readingRows, a.rowsAsked = true, false
-	again := func() {
+	a.readingRows, a.rowsRequested = true, false
+	retry := func() {
 		a.later(tableRetry, func() {
-			a.readingRows, a.rowsAsked = false, true
+			a.readingRows, a.rowsRequested = false, true
 			a.readRows()
 		})
 	}
 	a.later(a.w.net.latency(), func() {
 		put := backing.Put{Key: "agents/" + a.host.endpoint, Value: []byte(a.name)}
 		if _, err := a.table.Commit(context.Background(), backing.Txn{Puts: []backing.Put{put}}); err != nil {
-			again()
+			retry()
 			return
 		}
 		a.later(a.w.net.latency(), func() {
 			listing, err := a.table.List(context.Background(), replicas.KeyPrefix, 0)
 			if err != nil {
-				again()
+				retry()
 				return
 			}
 			a.later(a.w.net.latency(), func() {
@@ -250,31 +252,31 @@
 	return read
 }
 
-// leave stops the taking of new work.
+// leave stops accepting new requests.
 func (a *agent) leave() { a.core.leave() }
 
-// stop is the planned stop: no new work, what runs is finished, then the process ends.
+// stop starts a planned stop: the agent accepts no new requests, finishes the running ones and then ends.
 func (a *agent) stop() {
 	if a.draining || !a.alive {
 		return
 	}
-	a.logf("%s stops by plan", a.name)
+	a.logf("%s begins a planned stop", a.name)
 	a.draining = true
 	a.leave()
-	a.awaitEnd()
+	a.awaitIdle()
 }
 
-func (a *agent) awaitEnd() {
+func (a *agent) awaitIdle() {
 	if a.inflight > 0 {
-		a.later(10*time.Millisecond, a.awaitEnd)
+		a.later(10*time.Millisecond, a.awaitIdle)
 		return
 	}
 	a.later(drainLinger, a.awaitUnloads)
 }
 
-// awaitUnloads waits for the unloads on their way, and ends the process.
+// awaitUnloads waits for unload orders in flight and then ends the process.
 func (a *agent) awaitUnloads() {
-	if a.unloads > 0 && a.w.without != guardUnloads {
+	if a.unloads > 0 && a.w.disabledGuard != guardUnloadsAtStop {
 		a.later(10*time.Millisecond, a.awaitUnloads)
 		return
 	}
--- a/internal/joined/calls_test.go
+++ b/internal/joined/calls_test.go
@@ -7,136 +7,136 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// told is what a caller gets as the final answer.
-type told string
+// callResult is the final result that a caller gets.
+type callResult string
 
 const (
-	toldWhole    told = "whole"
-	toldReplayed told = "replayed"
-	toldNotRun   told = "not run"
-	toldUnknown  told = "unknown"
-	// toldCut: the connection broke in the middle, so that the caller knows that the answer is not whole.
-	toldCut told = "cut"
+	resultWhole    callResult = "whole"
+	resultReplayed callResult = "replayed"
+	resultNotRun   callResult = "not run"
+	resultUnknown  callResult = "unknown"
+	// resultCut: the connection broke during the answer, so that the caller can tell that it is incomplete.
+	resultCut callResult = "cut"
 )
 
-// answerBound is how long after its deadline a request may still get its final answer: the agent's word on a request that
-// was withdrawn at the deadline has to come.
-const answerBound = 200 * time.Millisecond
+// answerGrace is the time after the deadline within which a request must get its final answer. It leaves time for the
+// agent's confirmation of a request that was withdrawn at the deadline.
+const answerGrace = 200 * time.Millisecond
 
 // call is one call of a caller.
 type call struct {
 	w      *world
 	number int
 	token  string
-	// service is set for calls of the plain service; key names those that the caller repeats.
+	// service is set for calls of the plain service; key is the idempotency key of those that the caller may repeat.
 	service, key, model string
-	// idempotent calls of the plain service may run more than once, as requests for models may.
+	// idempotent is set for calls of the plain service that may run more than once, like requests for models.
 	idempotent bool
 	class      wirepb.Class
 	caller     string
-	left       time.Duration
-	// leaves is when the caller goes away; 0 when it stays.
-	leaves   time.Duration
-	streamed bool
-	// patient callers repeat a call with a key until it is told to have run.
+	timeout    time.Duration
+	// disconnectAfter is the time after which the caller disconnects; 0 if it does not.
+	disconnectAfter time.Duration
+	streamed        bool
+	// repeats is how often the caller repeats a call with a key that is not reported as having run.
 	repeats int
 
-	// at is when the entry took the call up, which is when its deadline begins to count.
-	at       time.Duration
-	entry    *entry
-	received string
-	words    []told
-	gone     bool
-	runs     int
-	// answered, when set, is told of the final answer.
-	answered func(told)
+	// at is the time at which the call arrived at the entry, from which its timeout counts.
+	at           time.Duration
+	entry        *entry
+	received     string
+	results      []callResult
+	disconnected bool
+	runs         int
+	// onResult, if set, is called with the final result.
+	onResult func(callResult)
 }
 
-// newCall returns a call that has not been made yet.
+// newCall returns a call that has not been sent yet.
 func (w *world) newCall() *call {
 	c := &call{w: w, number: len(w.calls), token: fmt.Sprint("call", len(w.calls)), class: wirepb.Class_INTERACTIVE, caller: "someone"}
 	w.calls = append(w.calls, c)
 	return c
 }
 
-// make sends the call to an entry.
-func (c *call) make(e *entry) {
+// send sends the call to an entry.
+func (c *call) send(e *entry) {
 	c.entry = e
 	c.w.counts["calls"]++
 	e.later(c.w.net.latency(), func() {
-		c.at = c.w.at
-		c.w.after(c.left+answerBound, c.checkTold)
-		e.take(c)
+		c.at = c.w.elapsed
+		c.w.after(c.timeout+answerGrace, c.checkAnswered)
+		e.handleCall(c)
 	})
 }
 
-// newRequestID names a call at an entry.
+// newRequestID returns the request ID of a call at an entry.
 func (w *world) newRequestID(e *entry, c *call) string {
 	id := fmt.Sprintf("%s-%d-%d", e.name, e.started, e.sequence)
 	w.callOf[id] = c
 	return id
 }
 
-// receive takes a part of the answer.
+// receive appends a part of the answer.
 func (c *call) receive(data []byte) { c.received += string(data) }
 
-// tell takes the final answer.
-func (c *call) tell(_ *entry, word told, body string) {
+// deliver handles the final result of the call and checks it.
+func (c *call) deliver(_ *entry, result callResult, body string) {
 	w := c.w
-	c.words = append(c.words, word)
-	w.counts["told "+string(word)]++
-	w.logf("%s is told %q after %v", c.token, word, w.at-c.at)
-	if len(c.words) > 1 {
-		w.violated("P3", "%s is told %v", c.token, c.words)
+	c.results = append(c.results, result)
+	w.counts["result "+string(result)]++
+	w.logf("%s gets result %q after %v", c.token, result, w.elapsed-c.at)
+	if len(c.results) > 1 {
+		w.violated("P3", "%s gets several results: %v", c.token, c.results)
 	}
-	switch word {
-	case toldWhole:
-		if c.received != content(c, c.streamed) {
-			w.violated("P4", "%s gets %q", c.token, c.received)
+	switch result {
+	case resultWhole:
+		if c.received != answerContent(c, c.streamed) {
+			w.violated("P4", "%s gets the wrong answer %q", c.token, c.received)
 		}
-	case toldReplayed:
+	case resultReplayed:
 		c.checkReplay(body)
-	case toldNotRun:
+	case resultNotRun:
 		if c.runs > 0 {
-			w.violated("P5", "%s is told that it did not run, and did", c.token)
+			w.violated("P5", "%s is reported as not run, but has run", c.token)
 		}
 	}
-	if c.answered != nil {
-		c.answered(word)
+	if c.onResult != nil {
+		c.onResult(result)
 	}
-	if c.key != "" && c.repeats > 0 && word != toldWhole && word != toldReplayed && !w.calm {
+	if c.key != "" && c.repeats > 0 && result != resultWhole && result != resultReplayed && !w.healthy {
 		w.after(w.between(10*time.Millisecond, 2*time.Second), c.repeat)
 	}
 }
 
-// checkReplay checks that a recorded answer belongs to the call under the same key that ran.
+// checkReplay checks that a replayed answer belongs to a call with the same key that ran.
 func (c *call) checkReplay(body string) {
 	for _, other := range c.w.calls {
-		if other.key == c.key && other.runs > 0 && body == content(other, false) {
+		if other.key == c.key && other.runs > 0 && body == answerContent(other, false) {
 			return
 		}
 	}
-	c.w.violated("P4", "%s gets the recorded answer %q", c.token, body)
+	c.w.violated("P4", "%s gets the wrong replayed answer %q", c.token, body)
 }
 
-// repeat makes the call again under the same key.
+// repeat sends the call again with the same key.
 func (c *call) repeat() {
 	entries := c.w.liveEntries()
 	if len(entries) == 0 {
 		return
 	}
-	again := c.w.newCall()
-	again.service, again.key, again.left, again.repeats = c.service, c.key, c.left, c.repeats-1
-	again.make(pick(c.w.sim, entries))
+	next := c.w.newCall()
+	next.service, next.key, next.timeout, next.repeats = c.service, c.key, c.timeout, c.repeats-1
+	next.send(pick(c.w.sim, entries))
 }
 
-// ran takes in that an endpoint runs the call.
-func (c *call) ran(h *host, request string) {
+// recordRun records and checks that an endpoint runs the call.
+func (c *call) recordRun(h *host, request string) {
 	w := c.w
 	c.runs++
 	w.logf("%s runs %s for %s", h.endpoint, request, c.token)
-	if len(c.words) > 0 && c.words[0] == toldNotRun {
-		w.violated("P5", "%s was told that it did not run, and runs", c.token)
+	if len(c.results) > 0 && c.results[0] == resultNotRun {
+		w.violated("P5", "%s was reported as not run, but runs now", c.token)
 	}
 	if c.service == "" || c.idempotent {
 		return
@@ -147,27 +147,27 @@
 	if c.key != "" {
 		w.keyRuns[c.key]++
 		if w.keyRuns[c.key] > 1 {
-			w.violated("P6", "the calls under %s run %d times", c.key, w.keyRuns[c.key])
+			w.violated("P6", "the calls with key %s run %d times", c.key, w.keyRuns[c.key])
 		}
 	}
 }
 
-// checkTold checks that the caller got its final answer by the deadline and a bound, or that a streamed one had begun. A
-// frozen entry has the same time once it goes on.
-func (c *call) checkTold() {
+// checkAnswered checks that the caller has its final answer within answerGrace of the deadline, or that a streamed answer
+// has begun. After a freeze the entry gets the same time again.
+func (c *call) checkAnswered() {
 	w := c.w
 	switch {
-	case len(c.words) > 0 || !c.entry.alive || c.gone:
+	case len(c.results) > 0 || !c.entry.alive || c.disconnected:
 		return
 	case c.entry.frozen:
-		w.after(answerBound, c.checkTold)
+		w.after(answerGrace, c.checkAnswered)
 		return
-	case w.at-c.entry.thawedAt < answerBound:
-		w.after(answerBound, c.checkTold)
+	case w.elapsed-c.entry.thawedAt < answerGrace:
+		w.after(answerGrace, c.checkAnswered)
 		return
-	case c.streamed && c.received != "" && w.at < c.at+c.left+maxAnswer:
-		w.after(time.Second, c.checkTold)
+	case c.streamed && c.received != "" && w.elapsed < c.at+c.timeout+maxAnswer:
+		w.after(time.Second, c.checkAnswered)
 		return
 	}
-	w.violated("P3", "%s has no final answer %v after its deadline", c.token, w.at-c.at-c.left)
+	w.violated("P3", "%s has no final answer %v after its deadline", c.token, w.elapsed-c.at-c.timeout)
 }
--- a/internal/joined/coordinator_test.go
+++ b/internal/joined/coordinator_test.go
@@ -15,42 +15,42 @@
 	"balsamsail/internal/wire/wirepb"
 )
 
-// connectedTo begins a new connection to an agent with the grants and what is known of its host. The declarations follow its
-// first report.
-func (e *entry) connectedTo(endpoint string) {
-	delete(e.told, endpoint)
+// handleConnected sends an agent its grants and its host's state on a new connection. The declarations follow after the
+// agent's first report.
+func (e *entry) handleConnected(endpoint string) {
+	delete(e.sentRevision, endpoint)
 	e.send(endpoint, &wirepb.ControlDown{
 		Rows: e.grants.RowsOf(endpoint), HostState: e.hostState(endpoint), WantState: !e.store.Ready(),
 	})
 }
 
-// reported takes an agent's batch.
-func (e *entry) reported(l *entryLink, up *wirepb.ControlUp) {
+// handleReport handles an agent's batch.
+func (e *entry) handleReport(l *entryLink, up *wirepb.ControlUp) {
 	now, name := e.now(), l.name
 	e.view.Reported(now, name, up.Status)
 	ep := e.endpoint(name)
 	for _, r := range up.Releases {
 		if ep != nil {
 			e.grants.Released(replicas.Release{Engine: name, Host: ep.HostID, Model: r.Model, Revision: r.Revision})
-			e.wakeGrants(grantSettle)
+			e.scheduleGrantRound(grantSettle)
 		}
 	}
 	for _, w := range up.Wanted {
 		e.grants.Wanted(name, w.Model, w.Reason, int(w.Demand))
-		e.wakeGrants(grantSettle)
+		e.scheduleGrantRound(grantSettle)
 	}
 	if up.Snapshot != nil {
 		_ = e.store.Learn(up.Snapshot, nil)
-		e.declarationsRead()
+		e.pushRevision()
 	}
 	if up.WantSnapshot {
 		e.send(name, &wirepb.ControlDown{Snapshot: e.store.Current().Snapshot()})
 	}
 	if ep != nil && ep.Connected {
-		e.told[name] = max(e.told[name], up.Status.DeclarationsRevision)
-		e.pushTo(name)
+		e.sentRevision[name] = max(e.sentRevision[name], up.Status.DeclarationsRevision)
+		e.pushDeclarations(name)
 	}
-	e.catchUp(name, up.Status)
+	e.checkBehind(name, up.Status)
 	for _, id := range up.PermitsDone {
 		e.permits.Done(now, name, id)
 	}
@@ -59,24 +59,24 @@
 		e.permits.Request(now, name, r)
 	}
 	if len(up.PermitRequests)+len(up.PermitsDone) > 0 {
-		e.givePermits()
+		e.grantPermits()
 	}
-	e.noteReachability(name)
-	e.announce()
+	e.updateReachability(name)
+	e.wakeRequests()
 }
 
-// lost takes the end of a connection.
-func (e *entry) lost(l *entryLink) {
+// handleConnectionLost handles the end of a connection.
+func (e *entry) handleConnectionLost(l *entryLink) {
 	if e.links[l.name] == l {
 		e.view.Lost(l.name)
 	}
 	e.permits.AgentGone(e.now(), l.name)
-	delete(e.told, l.name)
-	e.noteReachability(l.name)
-	e.announce()
+	delete(e.sentRevision, l.name)
+	e.updateReachability(l.name)
+	e.wakeRequests()
 }
 
-// hostsChanged takes a new host list.
+// hostsChanged handles a new host list.
 func (e *entry) hostsChanged() {
 	e.version++
 	for _, name := range e.endpoints() {
@@ -88,18 +88,18 @@
 			e.send(name, &wirepb.ControlDown{HostState: wirepb.HostState_HOST_LEAVING})
 		}
 	}
-	e.wakeGrants(grantSettle)
-	e.announce()
+	e.scheduleGrantRound(grantSettle)
+	e.wakeRequests()
 }
 
-// noteReachability keeps since when an endpoint answers or not, and what else of its report the grants are decided from.
-func (e *entry) noteReachability(endpoint string) {
+// updateReachability updates an endpoint's reachability, its time, and the other reported fields on which grants depend.
+func (e *entry) updateReachability(endpoint string) {
 	next := reachability{since: e.now()}
 	if ep := e.endpoint(endpoint); ep != nil {
 		next.reachable, next.leaving = ep.Connected && ep.Status.GetReady(), ep.Leaving
 		next.memory, next.kind, next.labels = ep.Status.GetMemoryBytes(), ep.Status.GetKind(), ep.Status.GetLabels()
 	}
-	old, known := e.since[endpoint]
+	old, known := e.reachabilityOf[endpoint]
 	same := old.reachable == next.reachable && old.leaving == next.leaving && old.memory == next.memory &&
 		old.kind == next.kind && maps.Equal(old.labels, next.labels)
 	if known && same {
@@ -108,21 +108,21 @@
 	if known && old.reachable == next.reachable {
 		next.since = old.since
 	}
-	e.since[endpoint] = next
+	e.reachabilityOf[endpoint] = next
 	e.version++
-	e.wakeGrants(grantSettle)
+	e.scheduleGrantRound(grantSettle)
 }
 
-// pushTo sends an agent the deltas since what it was last sent or said that it holds, or a snapshot.
-func (e *entry) pushTo(endpoint string) {
+// pushDeclarations sends an agent the deltas since the revision that it was last sent or has reported, or a snapshot.
+func (e *entry) pushDeclarations(endpoint string) {
 	set := e.store.Current()
-	told, known := e.told[endpoint]
-	if !known || told >= set.Revision() {
+	sent, known := e.sentRevision[endpoint]
+	if !known || sent >= set.Revision() {
 		return
 	}
-	e.told[endpoint] = set.Revision()
-	deltas, ok := e.store.DeltasSince(told)
-	if !ok || told == 0 {
+	e.sentRevision[endpoint] = set.Revision()
+	deltas, ok := e.store.DeltasSince(sent)
+	if !ok || sent == 0 {
 		e.send(endpoint, &wirepb.ControlDown{Snapshot: set.Snapshot()})
 		return
 	}
@@ -130,12 +130,13 @@
 }
 
 const (
-	behindPatience = time.Second
-	behindAgain    = time.Second
+	behindTimeout        = time.Second
+	stateRequestInterval = time.Second
 )
 
-// catchUp asks an agent for the declarations when it holds higher ones and the table does not show them.
-func (e *entry) catchUp(endpoint string, status *wirepb.Status) {
+// checkBehind requests the declarations from an agent that has had a higher revision for longer than behindTimeout. That
+// happens when the entry cannot read the table.
+func (e *entry) checkBehind(endpoint string, status *wirepb.Status) {
 	now := e.now()
 	if status.DeclarationsRevision <= e.store.Current().Revision() {
 		return
@@ -143,22 +144,22 @@
 	if e.behindSince.IsZero() {
 		e.behindSince = now
 	}
-	if now.Sub(e.behindSince) >= behindPatience && now.Sub(e.behindAsked) >= behindAgain {
-		e.behindAsked = now
+	if now.Sub(e.behindSince) >= behindTimeout && now.Sub(e.stateRequestedAt) >= stateRequestInterval {
+		e.stateRequestedAt = now
 		e.send(endpoint, &wirepb.ControlDown{WantState: true})
 	}
 }
 
-// pushRows sends changed rows to the agents that they name or have named.
+// pushRows sends changed rows to the agents that have a slot in the new or the previous version.
 func (e *entry) pushRows() {
-	rows, deleted, next := e.grants.Changed(e.point)
-	e.point = next
+	rows, deleted, next := e.grants.Changed(e.rowsCursor)
+	e.rowsCursor = next
 	for _, row := range rows {
-		before, now := e.named[row.Model], map[string]bool{}
+		before, now := e.rowEngines[row.Model], map[string]bool{}
 		for _, s := range row.Slots {
 			now[s.Engine] = true
 		}
-		e.named[row.Model] = now
+		e.rowEngines[row.Model] = now
 		down := &wirepb.ControlDown{Rows: []*replicaspb.Row{row}}
 		for _, name := range e.endpoints() {
 			if now[name] || before[name] {
@@ -167,31 +168,31 @@
 		}
 	}
 	for _, model := range deleted {
-		delete(e.named, model)
+		delete(e.rowEngines, model)
 	}
 	if len(rows) > 0 {
-		e.announce()
+		e.wakeRequests()
 	}
 }
 
-// pushPermits answers the agents' asking for permits as time passes.
+// pushPermits decides pending permit requests periodically.
 func (e *entry) pushPermits() {
 	wait := time.Second
-	if next := e.givePermits(); !next.IsZero() {
+	if next := e.grantPermits(); !next.IsZero() {
 		wait = min(wait, max(10*time.Millisecond, next.Sub(e.now())))
 	}
 	e.later(wait, e.pushPermits)
 }
 
-func (e *entry) givePermits() time.Time {
+func (e *entry) grantPermits() time.Time {
 	for _, g := range e.permits.Decide(e.now()) {
 		e.send(g.Agent, &wirepb.ControlDown{Permits: []*wirepb.Permit{g.Permit}})
 	}
 	return e.permits.Next()
 }
 
-// announce wakes the requests that wait for an endpoint.
-func (e *entry) announce() {
+// wakeRequests wakes the requests that wait for an endpoint.
+func (e *entry) wakeRequests() {
 	for _, r := range sortedRequests(e.picking) {
 		e.soon(r.repick())
 	}
@@ -231,7 +232,7 @@
 		}
 		views = append(views, replicas.EngineView{
 			Name: name, FailureDomain: ep.FailureDomain, Host: ep.HostID, Labels: e.labels(ep),
-			MemoryBytes: ep.Status.GetMemoryBytes(), Reachable: e.since[name].reachable, Since: e.since[name].since,
+			MemoryBytes: ep.Status.GetMemoryBytes(), Reachable: e.reachabilityOf[name].reachable, Since: e.reachabilityOf[name].since,
 			Leaving: ep.Leaving, Drain: e.drained(name),
 		})
 	}
@@ -275,7 +276,7 @@
 	return used, loaded
 }
 
-// labels returns an endpoint's labels.
+// labels returns an endpoint's reported, declared and built-in labels.
 func (e *entry) labels(ep *membership.Endpoint) map[string]string {
 	labels := maps.Clone(ep.Status.GetLabels())
 	if labels == nil {
@@ -288,13 +289,13 @@
 	return labels
 }
 
-// drained reports whether an operator drains an endpoint.
+// drained reports whether an endpoint is declared as drained.
 func (e *entry) drained(endpoint string) bool {
 	declared, ok := e.store.Current().Engine(endpoint)
 	return ok && declared.Drain
 }
 
-// candidates returns the endpoints that may serve a target.
+// candidates returns the endpoints that can serve a target.
 func (e *entry) candidates(t admission.Target) []routing.Candidate {
 	if t.Service != "" {
 		return e.serviceCandidates(t.Service)
@@ -316,7 +317,7 @@
 	return list
 }
 
-// reportedCandidates are the engines that say they hold a slot, for an entry that has not read the rows.
+// reportedCandidates returns the engines that report a slot. It is used while the entry has not read the rows.
 func (e *entry) reportedCandidates(t admission.Target) []routing.Candidate {
 	var list []routing.Candidate
 	if e.grants.Complete() {
@@ -333,7 +334,7 @@
 func (e *entry) candidate(ep *membership.Endpoint, t admission.Target, index int) routing.Candidate {
 	c := routing.Candidate{
 		Endpoint: ep.Name, FailureDomain: ep.FailureDomain, SlotIndex: index, HasAdapter: t.Adapter == "",
-		ReportedAt: ep.ReportedAt, Sent: e.sent[ep.Name], Leaving: ep.Leaving || e.drained(ep.Name),
+		ReportedAt: ep.ReportedAt, Sent: e.inFlight[ep.Name], Leaving: ep.Leaving || e.drained(ep.Name),
 		Reachable: ep.Connected && ep.Status.GetReady(), Wait: micros(ep.Status.GetLoad().GetWaitMicros()),
 		Cached: slices.Contains(ep.Status.GetCached(), t.Model),
 	}
@@ -344,7 +345,7 @@
 	return c
 }
 
-// serviceCandidates are the endpoints that a plain service's selector matches.
+// serviceCandidates returns the endpoints that a plain service's selector matches.
 func (e *entry) serviceCandidates(service string) []routing.Candidate {
 	declared, ok := e.store.Current().Service(service)
 	if !ok {
--- a/internal/joined/entry_test.go
+++ b/internal/joined/entry_test.go
@@ -20,57 +20,59 @@
 )
 
 const (
-	listInterval  = time.Second
-	redialDelay   = 300 * time.Millisecond
-	pollInterval  = 500 * time.Millisecond
-	mostBackoff   = 2 * time.Second
-	grantSettle   = 20 * time.Millisecond
-	readinessTime = 500 * time.Millisecond
+	listInterval   = time.Second
+	redialDelay    = 300 * time.Millisecond
+	pollInterval   = 500 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	grantSettle    = 20 * time.Millisecond
+	readinessDelay = 500 * time.Millisecond
 )
 
-// entry is the process on an entry host: the machines of package entry, joined as its shell joins them.
+// entry is the process on an entry host. It connects the state machines in the same way as the I/O code of package entry.
 type entry struct {
 	*process
-	w        *world
-	table    *tableClient
-	view     *membership.View
-	store    *declarations.Store
-	skipping *skippingClock
-	grants   *replicas.Manager
-	rounds   *roundClock
-	claims   *atmostonce.Claims
-	router   *routing.Router
-	budget   *routing.RetryBudget
-	limiter  *admission.Limiter
-	permits  *permits.Budget
+	w         *world
+	table     *tableClient
+	view      *membership.View
+	store     *declarations.Store
+	skipClock *skippingClock
+	grants    *replicas.Manager
+	rounds    *roundClock
+	claims    *atmostonce.Claims
+	router    *routing.Router
+	budget    *routing.RetryBudget
+	limiter   *admission.Limiter
+	permits   *permits.Budget
 
 	links map[string]*entryLink
-	// told is the declarations' revision that each connected agent was last sent, since since when endpoints answer or not.
-	told    map[string]uint64
-	since   map[string]reachability
-	version uint64
-	// views are the engines as of viewsVersion.
+	// sentRevision is the revision of the declarations that each connected agent was last sent or has reported.
+	sentRevision   map[string]uint64
+	reachabilityOf map[string]reachability
+	version        uint64
+	// views caches the engine views of viewsVersion.
 	views        []replicas.EngineView
 	viewsVersion uint64
-	// behindSince is when an agent was first heard to hold a higher revision, behindAsked when one was last asked for it.
-	behindSince, behindAsked time.Time
-	named                    map[string]map[string]bool
-	point                    uint64
-	sent                     map[string]int
-	picking                  map[*request]bool
-	// requests are those in flight, committed those whose fate is awaited in the background.
-	requests map[*request]bool
-	sequence int
-	roundAt  time.Duration
-	failures int
-	revision uint64
-	listed   bool
-	draining bool
-	// tableFreed is when the way to the table was last freed.
-	tableFreed time.Duration
+	// behindSince is the time since which an agent has reported a higher revision, stateRequestedAt the time at which an
+	// agent was last asked for its declarations.
+	behindSince, stateRequestedAt time.Time
+	rowEngines                    map[string]map[string]bool
+	rowsCursor                    uint64
+	inFlight                      map[string]int
+	picking                       map[*request]bool
+	// requests are the requests in flight.
+	requests    map[*request]bool
+	sequence    int
+	roundAt     time.Duration
+	failures    int
+	revision    uint64
+	hostsListed bool
+	draining    bool
+	// tableReachableAt is the time at which the table last became reachable again.
+	tableReachableAt time.Duration
 }
 
-// reachability is whether an endpoint answers and since when, and what else of its report the grants are decided from.
+// reachability is an endpoint's reachability, the time since which it has not changed, and the other reported fields on
+// which grants depend.
 type reachability struct {
 	reachable, leaving bool
 	since              time.Time
@@ -79,7 +81,7 @@
 	labels             map[string]string
 }
 
-// grantPolicy has short times, so that slots come and go within a run.
+// grantPolicy returns a policy with short times, so that slots change often within a run.
 func grantPolicy() replicas.Policy {
 	p := replicas.DefaultPolicy()
 	p.SilentAfter, p.FailingAfter = 5*time.Second, 5*time.Second
@@ -95,53 +97,53 @@
 		budget:  routing.NewRetryBudget(routing.BudgetOptions{}),
 		limiter: admission.NewLimiter(admission.LimiterOptions{MaxInFlight: 40, MaxBatch: 20, Seed: w.random.Uint64()}),
 		permits: permits.NewBudget(permits.Options{LoadsPerSecond: 4, LoadsAtOnce: 2, Lease: 4 * time.Second, MaxRetry: time.Second / 2}),
-		links:   map[string]*entryLink{}, told: map[string]uint64{}, since: map[string]reachability{},
-		named: map[string]map[string]bool{}, sent: map[string]int{}, picking: map[*request]bool{}, requests: map[*request]bool{},
+		links:   map[string]*entryLink{}, sentRevision: map[string]uint64{}, reachabilityOf: map[string]reachability{},
+		rowEngines: map[string]map[string]bool{}, inFlight: map[string]int{}, picking: map[*request]bool{}, requests: map[*request]bool{},
 	}
 	e.start()
-	e.skipping = &skippingClock{}
+	e.skipClock = &skippingClock{}
 	e.store = declarations.NewStore(declarations.Options{LogKeep: 16, EditTimeout: 3 * time.Second, Seed: w.random.Uint64()},
-		e.table, e.skipping, noLog, noMetrics{})
-	e.claims = atmostonce.NewClaims(e.table, atmostonce.ClaimsOptions{Patience: claimPatience, Seed: w.random.Uint64()})
+		e.table, e.skipClock, discardLogger, discardRegisterer{})
+	e.claims = atmostonce.NewClaims(e.table, atmostonce.ClaimsOptions{Patience: claimTimeout, Seed: w.random.Uint64()})
 	e.rounds = &roundClock{process: e.process, started: e.now()}
 	options := replicas.DefaultOptions()
 	options.Policy, options.Incarnation, options.Seed = grantPolicy(), w.random.Uint64(), w.random.Uint64()
 	options.FullInterval = 5 * time.Second
 	options.WritesPerSecond, options.ParallelWrites = float64(rate.Inf), 1
 	inputs := replicas.Inputs{Declarations: e, Engines: e, Peers: e, Usage: e}
-	e.grants = replicas.NewManager(options, e.table, inputs, e.rounds, noLog, noMetrics{}, nil)
+	e.grants = replicas.NewManager(options, e.table, inputs, e.rounds, discardLogger, discardRegisterer{}, nil)
 	return e
 }
 
-// begin starts the process's work.
+// begin starts the process's periodic tasks.
 func (e *entry) begin() {
 	e.logf("%s starts", e.name)
 	e.poll()
 	e.readHosts()
-	e.wakeGrants(0)
+	e.scheduleGrantRound(0)
 	e.pushPermits()
-	e.keepClaims()
+	e.maintainClaims()
 }
 
-// poll reads the declarations from the table.
+// poll reads the declarations from the table periodically.
 func (e *entry) poll() {
 	wait := pollInterval
 	if _, _, err := e.store.Operation(context.Background(), "none", 0); err != nil {
 		e.failures = min(e.failures+1, 2)
-		wait = min(wait<<e.failures, mostBackoff)
+		wait = min(wait<<e.failures, maxBackoff)
 	} else {
 		e.failures = 0
 	}
-	e.skipping.skipped = 0
-	e.declarationsRead()
+	e.skipClock.skipped = 0
+	e.pushRevision()
 	e.later(e.jitter(wait), e.poll)
 }
 
-// declarationsRead pushes a new revision to the agents.
-func (e *entry) declarationsRead() {
+// pushRevision sends a new revision to the agents.
+func (e *entry) pushRevision() {
 	revision := e.store.Current().Revision()
 	if revision < e.revision {
-		e.violated("P9", "%s goes back from revision %d to %d", e.name, e.revision, revision)
+		e.violated("P9", "%s went back from revision %d to %d", e.name, e.revision, revision)
 	}
 	if revision == e.revision {
 		return
@@ -151,26 +153,26 @@
 	e.soon(func() {
 		for _, name := range e.endpoints() {
 			if e.endpoint(name).Connected {
-				e.pushTo(name)
+				e.pushDeclarations(name)
 			}
 		}
-		e.wakeGrants(grantSettle)
-		e.announce()
+		e.scheduleGrantRound(grantSettle)
+		e.wakeRequests()
 	})
 }
 
-// keepClaims lets the claims that were given up be freed in the background.
-func (e *entry) keepClaims() {
-	if !e.w.table.down && !e.table.cut && e.w.table.lossy == 0 {
-		e.w.freeClaims(e.claims)
+// maintainClaims periodically frees abandoned claims.
+func (e *entry) maintainClaims() {
+	if !e.w.table.down && !e.table.cut && e.w.table.failOneIn == 0 {
+		e.w.runClaims(e.claims)
 	}
-	e.later(e.jitter(2*time.Second), e.keepClaims)
+	e.later(e.jitter(2*time.Second), e.maintainClaims)
 }
 
-// wakeGrants lets the manager of the grants do a round within a time.
-func (e *entry) wakeGrants(d time.Duration) {
-	at := e.at + d
-	if e.roundAt > e.at && e.roundAt <= at {
+// scheduleGrantRound schedules a round of the replica manager after d, unless an earlier one is scheduled.
+func (e *entry) scheduleGrantRound(d time.Duration) {
+	at := e.elapsed + d
+	if e.roundAt > e.elapsed && e.roundAt <= at {
 		return
 	}
 	e.roundAt = at
@@ -181,25 +183,25 @@
 		e.roundAt = 0
 		next := e.rounds.round(e.grants)
 		e.pushRows()
-		e.wakeGrants(next)
+		e.scheduleGrantRound(next)
 	})
 }
 
-// readHosts reads the host list.
+// readHosts reads the host list periodically.
 func (e *entry) readHosts() {
 	hosts, version, _ := e.w.hosts.Hosts(context.Background())
-	// The answer takes its time, and another read may be answered before.
+	// The answer is delayed, and a later read may be answered before.
 	e.later(e.w.net.latency(), func() {
 		if e.view.HostsRead(hosts, version) {
 			e.adjustLinks()
 			e.hostsChanged()
 		}
-		e.listed = true
+		e.hostsListed = true
 	})
 	e.later(e.jitter(listInterval), e.readHosts)
 }
 
-// adjustLinks starts a link to each listed endpoint and stops those to hosts that are gone or replaced.
+// adjustLinks starts a link to each listed endpoint and stops the links to hosts that are gone or replaced.
 func (e *entry) adjustLinks() {
 	for _, name := range e.endpoints() {
 		ep := e.endpoint(name)
@@ -224,7 +226,7 @@
 	return ep
 }
 
-// entryLink keeps the connection to one agent.
+// entryLink maintains the connection to one agent.
 type entryLink struct {
 	e       *entry
 	name    string
@@ -257,16 +259,16 @@
 func (l *entryLink) connected(c *conn) {
 	l.conn, l.pending = c, nil
 	l.control = c.openStream(
-		func(m any) { l.e.reported(l, m.(*wirepb.ControlUp)) },
+		func(m any) { l.e.handleReport(l, m.(*wirepb.ControlUp)) },
 		func() { c.fail(atEntry) },
 	)
 	_ = l.control.write(atEntry, &wirepb.StreamHeader{Kind: wirepb.StreamKind_CONTROL, Entry: l.e.name})
-	c.closed = func() {
+	c.onClose = func() {
 		l.conn, l.control = nil, nil
-		l.e.lost(l)
+		l.e.handleConnectionLost(l)
 		l.redial()
 	}
-	l.e.connectedTo(l.name)
+	l.e.handleConnected(l.name)
 	l.heartbeat(c)
 }
 
@@ -277,7 +279,7 @@
 	}
 }
 
-// stop ends the link for good.
+// stop closes the link permanently.
 func (l *entryLink) stop() {
 	l.stopped = true
 	if l.conn != nil {
@@ -285,7 +287,7 @@
 	}
 }
 
-// send queues a batch; without a connection it is dropped, because a new one starts with the whole state.
+// send queues a batch. Without a connection the batch is dropped, because a new connection starts with the full state.
 func (l *entryLink) send(down *wirepb.ControlDown) {
 	if l.conn == nil {
 		return
@@ -296,7 +298,7 @@
 	}
 }
 
-// flush sends what is queued as one batch.
+// flush sends the queued batches as one.
 func (l *entryLink) flush() {
 	if l.conn == nil {
 		return
@@ -329,7 +331,7 @@
 	}
 }
 
-// crash kills the process. Its callers' connections break.
+// crash kills the process. Its callers' connections are lost.
 func (e *entry) crash() {
 	if !e.alive {
 		return
@@ -340,35 +342,36 @@
 
 func (e *entry) finish() {
 	e.end()
-	e.w.net.exited(e.process, false)
+	e.w.net.closeProcessConns(e.process, false)
 }
 
-// stop is the planned stop: the balancer sends callers elsewhere, what is in flight is finished, then the process ends.
+// stop starts a planned stop: the load balancer sends new calls elsewhere, requests in flight are finished, then the
+// process ends.
 func (e *entry) stop() {
 	if e.draining || !e.alive {
 		return
 	}
-	e.logf("%s stops by plan", e.name)
+	e.logf("%s begins a planned stop", e.name)
 	e.draining = true
-	e.later(readinessTime, e.awaitEnd)
+	e.later(readinessDelay, e.awaitIdle)
 }
 
-func (e *entry) awaitEnd() {
+func (e *entry) awaitIdle() {
 	if len(e.requests) > 0 {
-		e.later(10*time.Millisecond, e.awaitEnd)
+		e.later(10*time.Millisecond, e.awaitIdle)
 		return
 	}
 	e.logf("%s has stopped", e.name)
 	e.finish()
 }
 
-// ready reports whether callers may be sent here.
+// ready reports whether the load balancer may send calls to the entry.
 func (e *entry) ready() bool {
-	return e.alive && !e.draining && e.listed && (e.store.Ready() || e.learned())
+	return e.alive && !e.draining && e.hostsListed && (e.store.Ready() || e.caughtUp())
 }
 
-// learned reports whether an entry that cannot read the table holds the highest revision that the agents it reaches hold.
-func (e *entry) learned() bool {
+// caughtUp reports whether an entry that cannot read the table has the highest revision of its connected agents.
+func (e *entry) caughtUp() bool {
 	revision := e.store.Current().Revision()
 	for _, name := range e.endpoints() {
 		if ep := e.endpoint(name); ep.Connected && ep.Status.GetDeclarationsRevision() > revision {
@@ -378,7 +381,7 @@
 	return revision > 0
 }
 
-// hostState is what an agent is told of its own host.
+// hostState returns the host state that is sent to an agent.
 func (e *entry) hostState(endpoint string) wirepb.HostState {
 	if ep := e.endpoint(endpoint); ep != nil && ep.Listed == backing.HostLeaving {
 		return wirepb.HostState_HOST_LEAVING
--- a/internal/joined/network_test.go
+++ b/internal/joined/network_test.go
@@ -17,17 +17,18 @@
 
 func (s side) other() side { return 1 - s }
 
-// errBroken is the error of a write to a stream that has ended.
-var errBroken = errors.New("joined: stream broken")
+// errBroken is returned by a write to a closed stream.
+var errBroken = errors.New("joined: write to a closed stream")
 
 const (
 	dialTimeout = time.Second
-	// leastKeepAlive and mostKeepAlive bound the time until a connection to a frozen or cut-off peer is given up.
-	leastKeepAlive = 2 * time.Second
-	mostKeepAlive  = 3500 * time.Millisecond
+	// minKeepAliveTimeout and maxKeepAliveTimeout bound the time after which a connection to an unresponsive peer is
+	// closed.
+	minKeepAliveTimeout = 2 * time.Second
+	maxKeepAliveTimeout = 3500 * time.Millisecond
 )
 
-// network joins entry hosts with endpoint hosts.
+// network connects entry hosts with endpoint hosts.
 type network struct {
 	*sim
 	links map[[2]string]*link
@@ -36,12 +37,12 @@
 
 func newNetwork(s *sim) *network { return &network{sim: s, links: map[[2]string]*link{}} }
 
-// link is the way between two hosts. What is sent towards a blocked side waits until the way is free again.
+// link is the network path between two hosts. Messages towards a blocked side wait until it is unblocked.
 type link struct {
 	blocked [2]bool
-	parked  [2][]func()
-	// freed is when the way was last freed.
-	freed time.Duration
+	waiting [2][]func()
+	// unblockedAt is the time at which the link was last unblocked.
+	unblockedAt time.Duration
 }
 
 func (n *network) link(entry, host string) *link {
@@ -52,29 +53,30 @@
 	return n.links[key]
 }
 
-// latency is usually short, and at times long enough for one stream to overtake another.
+// latency returns a random latency. It is usually short, but sometimes long enough for one stream to overtake another.
 func (n *network) latency() time.Duration {
-	if n.chance(20) {
+	if n.oneIn(20) {
 		return n.between(time.Millisecond, 80*time.Millisecond)
 	}
 	return n.between(100*time.Microsecond, 2*time.Millisecond)
 }
 
-// block stops or frees the way towards a side.
+// block blocks or unblocks the link towards a side.
 func (n *network) block(l *link, to side, blocked bool) {
 	l.blocked[to] = blocked
 	if !blocked {
-		l.freed = n.at
-		parked := l.parked[to]
-		l.parked[to] = nil
+		l.unblockedAt = n.elapsed
+		parked := l.waiting[to]
+		l.waiting[to] = nil
 		for _, run := range parked {
 			n.after(n.latency(), run)
 		}
 	}
-	n.notice()
+	n.checkConns()
 }
 
-// dial makes a connection; done gets nil when it fails. A frozen process takes it: its kernel does.
+// dial opens a connection and calls done with it, or with nil if that fails. A connection to a frozen process succeeds,
+// because the kernel accepts it.
 func (n *network) dial(from *process, l *link, to *host, done func(*conn)) {
 	fail := func(d time.Duration) { from.later(d, func() { done(nil) }) }
 	switch {
@@ -94,7 +96,7 @@
 		}
 		done(c)
 	})
-	n.notice()
+	n.checkConns()
 }
 
 // conn is one connection between an entry and an agent, with its streams.
@@ -106,17 +108,17 @@
 	agent     *agent
 	open      [2]bool
 	streams   []*stream
-	// closed is called when the connection has ended at the entry.
-	closed func()
-	// troubled is set while the connection does not work and an end does not know; trouble counts how often.
-	troubled bool
-	trouble  int
-	// planned is set when a planned stop of the agent ended the connection.
+	// onClose is called when the connection is closed at the entry.
+	onClose func()
+	// unhealthy is set while the connection passes no messages but is not closed yet; outages counts the changes of that.
+	unhealthy bool
+	outages   int
+	// planned is set if the connection was closed by a planned stop of the agent.
 	planned bool
 }
 
-// works reports whether the connection passes messages and answers.
-func (c *conn) works() bool {
+// healthy reports whether the connection passes messages in both directions and both processes respond.
+func (c *conn) healthy() bool {
 	for _, p := range c.processes {
 		if !p.alive || p.frozen {
 			return false
@@ -125,58 +127,58 @@
 	return c.host.up && c.link.blocked == [2]bool{}
 }
 
-// notice starts the ends' patience with connections that stopped working.
-func (n *network) notice() {
+// checkConns starts the keep-alive timeouts of connections that became unhealthy.
+func (n *network) checkConns() {
 	n.conns = slices.DeleteFunc(n.conns, func(c *conn) bool { return c.open == [2]bool{} })
 	for _, c := range n.conns {
-		if troubled := !c.works(); troubled != c.troubled {
-			c.troubled = troubled
-			c.trouble++
-			if troubled {
-				c.watch(atEntry)
-				c.watch(atAgent)
+		if unhealthy := !c.healthy(); unhealthy != c.unhealthy {
+			c.unhealthy = unhealthy
+			c.outages++
+			if unhealthy {
+				c.startKeepAliveTimeout(atEntry)
+				c.startKeepAliveTimeout(atAgent)
 			}
 		}
 	}
 }
 
-// watch gives the connection up at one end if it does not work again in time.
-func (c *conn) watch(at side) {
-	trouble := c.trouble
-	c.processes[at].later(c.between(leastKeepAlive, mostKeepAlive), func() {
-		if c.troubled && c.trouble == trouble {
+// startKeepAliveTimeout closes the connection at one end if it does not become healthy in time.
+func (c *conn) startKeepAliveTimeout(at side) {
+	outages := c.outages
+	c.processes[at].later(c.between(minKeepAliveTimeout, maxKeepAliveTimeout), func() {
+		if c.unhealthy && c.outages == outages {
 			c.fail(at)
 		}
 	})
 }
 
-// thawed lets a process that was frozen for long find some of its connections timed out.
-func (n *network) thawed(p *process, frozen time.Duration) {
+// handleThaw times out some of the connections of a process that was frozen for longer than the keep-alive timeout.
+func (n *network) handleThaw(p *process, frozen time.Duration) {
 	for _, c := range n.conns {
 		for _, at := range []side{atEntry, atAgent} {
-			if c.processes[at] == p && frozen > leastKeepAlive && n.chance(2) {
+			if c.processes[at] == p && frozen > minKeepAliveTimeout && n.oneIn(2) {
 				p.soon(func() { c.fail(at) })
 			}
 		}
 	}
-	n.notice()
+	n.checkConns()
 }
 
-// exited ends the connections of a process that has ended; its kernel tells the peers.
-func (n *network) exited(p *process, planned bool) {
+// closeProcessConns closes the connections of an ended process; its kernel resets them at the peers.
+func (n *network) closeProcessConns(p *process, planned bool) {
 	for _, c := range n.conns {
 		for _, at := range []side{atEntry, atAgent} {
 			if c.processes[at] == p && c.open[at] {
 				c.open[at] = false
-				c.planned = planned && c.trouble == 0
+				c.planned = planned && c.outages == 0
 				c.reset(at.other())
 			}
 		}
 	}
-	n.notice()
+	n.checkConns()
 }
 
-// fail ends the connection at one end, and tells the other one.
+// fail closes the connection at one end and resets it at the other.
 func (c *conn) fail(at side) {
 	if !c.open[at] {
 		return
@@ -184,23 +186,23 @@
 	c.open[at] = false
 	for _, s := range c.streams {
 		s.pipes[at].queue = nil
-		s.lose(at)
+		s.closeEnd(at)
 	}
-	if at == atEntry && c.closed != nil {
-		c.closed()
+	if at == atEntry && c.onClose != nil {
+		c.onClose()
 	}
 	c.reset(at.other())
-	c.notice()
+	c.checkConns()
 }
 
-// reset tells an end that the other one has gone. What is on its way may be lost.
+// reset closes the connection at an end after a latency. Messages in transit may be lost.
 func (c *conn) reset(at side) {
 	if !c.open[at] || !c.host.up {
 		return
 	}
 	c.after(c.latency(), func() {
 		if c.link.blocked[at] {
-			c.link.parked[at] = append(c.link.parked[at], func() { c.reset(at) })
+			c.link.waiting[at] = append(c.link.waiting[at], func() { c.reset(at) })
 			return
 		}
 		p := c.processes[at]
@@ -208,38 +210,38 @@
 	})
 }
 
-// stream is one ordered exchange of messages within a connection. Streams overtake each other.
+// stream is an ordered bidirectional message stream within a connection. Different streams are not ordered with each other.
 type stream struct {
 	conn  *conn
 	ends  [2]streamEnd
 	pipes [2]pipe
 }
 
-// streamEnd is what an end does with what comes.
+// streamEnd holds the callbacks of one end of a stream.
 type streamEnd struct {
-	got    func(message any)
-	lost   func()
-	closed bool
+	onMessage func(message any)
+	onClose   func()
+	closed    bool
 }
 
-// pipe is what is on its way towards an end.
+// pipe holds the messages in transit towards an end.
 type pipe struct{ queue []any }
 
-// endOfStream is sent after the last message of an end that closed its stream.
+// endOfStream is sent after the last message when an end closes the stream.
 type endOfStream struct{}
 
-// openStream opens a stream at the entry. The agent takes it up with the first message.
-func (c *conn) openStream(got func(any), lost func()) *stream {
+// openStream opens a stream at the entry. The agent accepts it when the first message arrives.
+func (c *conn) openStream(onMessage func(any), onClose func()) *stream {
 	s := &stream{conn: c}
-	s.ends[atEntry] = streamEnd{got: got, lost: lost}
+	s.ends[atEntry] = streamEnd{onMessage: onMessage, onClose: onClose}
 	s.ends[atAgent] = streamEnd{}
-	s.ends[atAgent].got = func(first any) { c.agent.accept(s, first) }
+	s.ends[atAgent].onMessage = func(first any) { c.agent.accept(s, first) }
 	c.streams = slices.DeleteFunc(c.streams, func(s *stream) bool { return s.ends[atEntry].closed && s.ends[atAgent].closed })
 	c.streams = append(c.streams, s)
 	return s
 }
 
-// write sends a message from an end.
+// write sends a message from one end to the other.
 func (s *stream) write(from side, message any) error {
 	c := s.conn
 	if !c.open[from] || s.ends[from].closed {
@@ -251,14 +253,14 @@
 	return nil
 }
 
-// arrive lets the next message reach an end's process.
+// arrive passes the next message to the process at an end.
 func (s *stream) arrive(to side) {
 	c := s.conn
 	if !c.open[to] {
 		return
 	}
 	if c.link.blocked[to] {
-		c.link.parked[to] = append(c.link.parked[to], func() { s.arrive(to) })
+		c.link.waiting[to] = append(c.link.waiting[to], func() { s.arrive(to) })
 		return
 	}
 	p := c.processes[to]
@@ -273,25 +275,25 @@
 	message := queue[0]
 	s.pipes[to].queue = queue[1:]
 	if _, ended := message.(endOfStream); ended {
-		s.lose(to)
+		s.closeEnd(to)
 		return
 	}
-	s.ends[to].got(message)
+	s.ends[to].onMessage(message)
 }
 
-// lose tells an end that nothing more comes.
-func (s *stream) lose(at side) {
+// closeEnd marks an end as closed and notifies it.
+func (s *stream) closeEnd(at side) {
 	end := &s.ends[at]
 	if end.closed {
 		return
 	}
 	end.closed = true
-	if end.lost != nil {
-		end.lost()
+	if end.onClose != nil {
+		end.onClose()
 	}
 }
 
-// close ends the stream at an end, which hears nothing more.
+// close closes the stream at an end, which gets no further messages and no notification.
 func (s *stream) close(at side) {
 	if s.ends[at].closed {
 		return
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -22,77 +22,79 @@
 	west = "west"
 )
 
-// entryHost is an entry's host.
+// entryHost is the host of an entry.
 type entryHost struct {
 	name, domain, ip string
 	process          *process
 }
 
-func (e *entryHost) callersURL() string   { return "http://" + at(e.ip, portCallers) }
-func (e *entryHost) operatorsURL() string { return "http://" + at(e.ip, portOperators) }
+func (e *entryHost) callersURL() string   { return "http://" + hostPort(e.ip, portCaller) }
+func (e *entryHost) operatorsURL() string { return "http://" + hostPort(e.ip, portOperator) }
 
-// host is the entry's line in the host list.
+// host returns the entry's record in the host list.
 func (e *entryHost) host() backing.Host {
 	return backing.Host{
 		ID:            e.name,
 		Role:          backing.RoleEntry,
 		State:         backing.HostLive,
 		FailureDomain: e.domain,
-		Address:       at(e.ip, portOperators),
+		Address:       hostPort(e.ip, portOperator),
 	}
 }
 
-// endpointHost is an endpoint's host: the endpoint and the agent beside it.
+// endpointHost is the host of an endpoint and its agent.
 type endpointHost struct {
 	name, kind, domain, ip string
-	// fences says that the engine refuses orders with old fencing numbers, guarded that it checks credentials, and crowded
-	// that idle models stay until their memory is needed.
-	fences, guarded, crowded bool
-	server, agent            *process
-	// gone says that the host was taken away; last is its truth before.
-	gone bool
-	last *truth
+	// checksFencing makes the engine refuse orders with old fencing numbers, requiresCredentials makes it check
+	// credentials. keepsIdleModels makes the agent keep idle models loaded until their memory is needed.
+	checksFencing, requiresCredentials, keepsIdleModels bool
+	server, agent                                       *process
+	// gone reports that the host was removed; finalTruth is the endpoint's truth just before.
+	gone       bool
+	finalTruth *truth
 }
 
-func (e *endpointHost) url() string      { return "http://" + at(e.ip, portEndpoint) }
-func (e *endpointHost) agentURL() string { return "http://" + at(e.ip, portAgentHTTP) }
+func (e *endpointHost) url() string      { return "http://" + hostPort(e.ip, portEndpoint) }
+func (e *endpointHost) agentURL() string { return "http://" + hostPort(e.ip, portAgentHTTP) }
 
-// host is the endpoint's line in the host list.
+// host returns the endpoint's record in the host list.
 func (e *endpointHost) host() backing.Host {
 	return backing.Host{
 		ID:            "host-" + e.name,
 		Role:          backing.RoleEndpoint,
 		State:         backing.HostLive,
 		FailureDomain: e.domain,
-		Address:       at(e.ip, portAgent),
+		Address:       hostPort(e.ip, portAgent),
 		Endpoint:      e.name,
 	}
 }
 
-// cluster is a whole system of real processes.
+// cluster is a complete system: real processes, the links between them, and the platform's stand-in in the test
+// process.
 type cluster struct {
-	t         *testing.T
-	dir       string
-	platform  *platformHost
-	entries   []*entryHost
-	endpoints []*endpointHost
-	links     map[linkID]*faultlink.Link
-	linkIP    string
-	operators *operator.Client
-	// declared is the first revision, and begun when the cluster began to start.
-	declared uint64
-	begun    time.Time
-	// background is what a failure does while it lasts.
+	t              *testing.T
+	dir            string
+	platform       *platform
+	entries        []*entryHost
+	endpoints      []*endpointHost
+	links          map[linkID]*faultlink.Link
+	linkIP         string
+	operatorClient *operator.Client
+	// initialRevision is the revision of the first declarations, startedAt the time at which the cluster began to
+	// start.
+	initialRevision uint64
+	startedAt       time.Time
+	// background runs the repeated actions of a failure between inject and heal.
 	background background
-	// edits are those that failures made; guarded by editsMu.
+	// edits are the edits made by failures; editsMu guards them.
 	editsMu sync.Mutex
 	edits   []*edit
 }
 
-// linkID names a link by the process that connects and the one that it reaches.
+// linkID identifies a link by the connecting process and its peer.
 type linkID struct{ from, to string }
 
-// The other ends of links that are no process of the binary.
+// The peers of links that are not processes of the binary.
 const (
 	platformEnd = "platform"
 	weightsEnd  = "weights"
@@ -100,17 +102,17 @@
 
 func agentName(endpoint string) string { return "agent-" + endpoint }
 
-// newCluster starts three entries, four engines, of which two check fencing numbers, and two plain services in two
-// failure domains, and waits until all of them are ready and the first declarations are in force.
+// newCluster starts three entries, four engines (two of them check fencing numbers) and two plain services in two
+// failure domains. It waits until all of them are ready and the first declarations are in force.
 func newCluster(t *testing.T) *cluster {
 	t.Helper()
 	c := &cluster{
-		t:        t,
-		dir:      t.TempDir(),
-		links:    map[linkID]*faultlink.Link{},
-		linkIP:   takeAddress(t),
-		platform: startPlatform(t),
-		begun:    time.Now(),
+		t:         t,
+		dir:       t.TempDir(),
+		links:     map[linkID]*faultlink.Link{},
+		linkIP:    allocateAddress(t),
+		platform:  startPlatform(t),
+		startedAt: time.Now(),
 	}
 	t.Cleanup(c.closeLinks)
 	t.Cleanup(c.report)
@@ -121,9 +123,9 @@
 		{name: "entry-3", domain: east},
 	}
 	c.endpoints = []*endpointHost{
-		{name: "engine-1", kind: settings.KindEngine, domain: east, fences: true, guarded: true},
-		{name: "engine-2", kind: settings.KindEngine, domain: west, fences: true, crowded: true},
-		{name: "engine-3", kind: settings.KindEngine, domain: east, crowded: true},
+		{name: "engine-1", kind: settings.KindEngine, domain: east, checksFencing: true, requiresCredentials: true},
+		{name: "engine-2", kind: settings.KindEngine, domain: west, checksFencing: true, keepsIdleModels: true},
+		{name: "engine-3", kind: settings.KindEngine, domain: east, keepsIdleModels: true},
 		{name: "engine-4", kind: settings.KindEngine, domain: west},
 		{name: "ledger-1", kind: settings.KindService, domain: east},
 		{name: "ledger-2", kind: settings.KindService, domain: west},
@@ -132,15 +134,15 @@
 	return c
 }
 
-// start lists the hosts, starts all processes and declares.
+// start adds the hosts to the host list, starts all processes and applies the first declarations.
 func (c *cluster) start() {
 	c.t.Helper()
 	for _, e := range c.entries {
-		e.ip = takeAddress(c.t)
+		e.ip = allocateAddress(c.t)
 		c.platform.server.PutHost(e.host())
 	}
 	for _, e := range c.endpoints {
-		e.ip = takeAddress(c.t)
+		e.ip = allocateAddress(c.t)
 		c.platform.server.PutHost(e.host())
 	}
 	for _, e := range c.endpoints {
@@ -155,47 +157,47 @@
 	for _, p := range c.processes() {
 		p.awaitReady()
 	}
-	c.declare()
+	c.applyDeclarations()
 }
 
-// prepareEndpoint makes an endpoint's links, settings and processes.
+// prepareEndpoint creates the links, settings files and processes of an endpoint and its agent, without starting them.
 func (c *cluster) prepareEndpoint(e *endpointHost) {
 	agent := agentName(e.name)
-	c.addLink(agent, e.name, at(e.ip, portEndpoint))
-	c.addLink(agent, platformEnd, c.platform.front(agent))
-	c.addLink(e.name, weightsEnd, c.platform.front(e.name))
+	c.addLink(agent, e.name, hostPort(e.ip, portEndpoint))
+	c.addLink(agent, platformEnd, c.platform.listenFor(agent))
+	c.addLink(e.name, weightsEnd, c.platform.listenFor(e.name))
 	values := endpointSettings{
 		Name:        e.name,
 		Host:        e.host().ID,
 		Domain:      e.domain,
 		Kind:        e.kind,
 		Labels:      "pool=models",
-		Endpoint:    at(e.ip, portEndpoint),
+		Endpoint:    hostPort(e.ip, portEndpoint),
 		EndpointURL: "http://" + c.link(agent, e.name).Address(),
-		Agent:       at(e.ip, portAgent),
-		AgentHTTP:   at(e.ip, portAgentHTTP),
+		Agent:       hostPort(e.ip, portAgent),
+		AgentHTTP:   hostPort(e.ip, portAgentHTTP),
 		PlatformURL: "http://" + c.link(agent, platformEnd).Address(),
 		WeightsURL:  "http://" + c.link(e.name, weightsEnd).Address(),
-		Fences:      e.fences,
+		Fences:      e.checksFencing,
 		IdleMin:     100 * time.Millisecond,
 		IdleMax:     300 * time.Millisecond,
 	}
-	if e.crowded {
+	if e.keepsIdleModels {
 		values.IdleMin, values.IdleMax = time.Minute, time.Hour
 	}
 	if e.kind == settings.KindService {
 		values.Labels = "pool=ledger"
 	}
-	if e.guarded {
+	if e.requiresCredentials {
 		values.Credentials = writeFile(c.t, c.dir, e.name+".token", "token-of-"+e.name+"\n")
 	}
-	server := writeSettings(c.t, c.dir, e.kind, e.name, values)
-	e.server = newProcess(c.t, c.dir, e.name, e.url()+"/truth", "standin", e.kind, "-config", server)
-	beside := writeSettings(c.t, c.dir, "agent", agent, values)
-	e.agent = newProcess(c.t, c.dir, agent, e.agentURL()+"/readyz", "agent", "-config", beside)
+	endpointFile := writeSettings(c.t, c.dir, e.kind, e.name, values)
+	e.server = newProcess(c.t, c.dir, e.name, e.url()+"/truth", "standin", e.kind, "-config", endpointFile)
+	agentFile := writeSettings(c.t, c.dir, "agent", agent, values)
+	e.agent = newProcess(c.t, c.dir, agent, e.agentURL()+"/readyz", "agent", "-config", agentFile)
 }
 
-// endpointSettings are the values of an endpoint's settings templates.
+// endpointSettings are the values for the settings templates of an endpoint and its agent.
 type endpointSettings struct {
 	Name, Host, Domain, Kind, Labels string
 	Endpoint, EndpointURL            string
@@ -206,30 +208,30 @@
 	IdleMin, IdleMax                 time.Duration
 }
 
-// entrySettings are the values of an entry's settings template.
+// entrySettings are the values for the settings template of an entry.
 type entrySettings struct {
 	Name, Domain, Callers, Operators, PlatformURL string
 }
 
-// prepareEntry makes an entry's links, settings and process.
+// prepareEntry creates the links, settings file and process of an entry, without starting it.
 func (c *cluster) prepareEntry(e *entryHost) {
-	c.addLink(e.name, platformEnd, c.platform.front(e.name))
+	c.addLink(e.name, platformEnd, c.platform.listenFor(e.name))
 	for _, endpoint := range c.endpoints {
-		c.addLink(e.name, endpoint.name, at(endpoint.ip, portAgent))
-		c.platform.route(e.name, endpoint.host().ID, c.link(e.name, endpoint.name).Address())
+		c.addLink(e.name, endpoint.name, hostPort(endpoint.ip, portAgent))
+		c.platform.overrideAddress(e.name, endpoint.host().ID, c.link(e.name, endpoint.name).Address())
 	}
 	for _, other := range c.entries {
 		if other == e {
 			continue
 		}
-		c.addLink(e.name, other.name, at(other.ip, portOperators))
-		c.platform.route(e.name, other.name, c.link(e.name, other.name).Address())
+		c.addLink(e.name, other.name, hostPort(other.ip, portOperator))
+		c.platform.overrideAddress(e.name, other.name, c.link(e.name, other.name).Address())
 	}
 	file := writeSettings(c.t, c.dir, "entry", e.name, entrySettings{
 		Name:        e.name,
 		Domain:      e.domain,
-		Callers:     at(e.ip, portCallers),
-		Operators:   at(e.ip, portOperators),
+		Callers:     hostPort(e.ip, portCaller),
+		Operators:   hostPort(e.ip, portOperator),
 		PlatformURL: "http://" + c.link(e.name, platformEnd).Address(),
 	})
 	e.process = newProcess(c.t, c.dir, e.name, e.operatorsURL()+"/readyz", "entry", "-config", file)
@@ -237,19 +239,19 @@
 
 func (c *cluster) addLink(from, to, target string) {
 	c.t.Helper()
-	l, err := faultlink.New(at(c.linkIP, 0), target)
+	l, err := faultlink.New(hostPort(c.linkIP, 0), target)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	c.links[linkID{from, to}] = l
 }
 
-// link returns the link over which one process reaches another.
+// link returns the link from one process to another.
 func (c *cluster) link(from, to string) *faultlink.Link {
 	c.t.Helper()
 	l, ok := c.links[linkID{from, to}]
 	if !ok {
-		c.t.Fatalf("there is no link from %s to %s", from, to)
+		c.t.Fatalf("no link from %s to %s", from, to)
 	}
 	return l
 }
@@ -272,33 +274,33 @@
 	return list
 }
 
-// declare applies the first declarations and waits until they are in force everywhere.
-func (c *cluster) declare() {
+// applyDeclarations applies the first declarations and waits until they are in force everywhere.
+func (c *cluster) applyDeclarations() {
 	c.t.Helper()
 	var urls []string
 	for _, e := range c.entries {
 		urls = append(urls, e.operatorsURL())
 	}
-	c.operators = operator.NewClient(urls, &http.Client{Timeout: 10 * time.Second})
-	ctx, cancel := context.WithTimeout(c.t.Context(), readyPatience)
+	c.operatorClient = operator.NewClient(urls, &http.Client{Timeout: 10 * time.Second})
+	ctx, cancel := context.WithTimeout(c.t.Context(), readyTimeout)
 	defer cancel()
-	accepted, err := c.operators.Apply(ctx, operator.ApplyRequest{
+	accepted, err := c.operatorClient.Apply(ctx, operator.ApplyRequest{
 		INI:  declarationsText,
 		File: "first.ini",
 		Edit: operator.Edit{Author: "test"},
 	})
 	if err != nil {
-		c.t.Fatalf("first declarations: %v", err)
+		c.t.Fatalf("apply the first declarations: %v", err)
 	}
-	c.declared = accepted.Revision
-	// The host list lags, so that an entry may not know yet of all processes that it should wait for.
-	eventually(c.t, readyPatience, "the first declarations are in force everywhere", func() bool {
-		return c.inForceAtAll(accepted.Revision)
+	c.initialRevision = accepted.Revision
+	// The host list lags, so an entry's list of live processes may still be incomplete.
+	eventually(c.t, readyTimeout, "the first declarations are in force in all processes", func() bool {
+		return c.inForceEverywhere(accepted.Revision)
 	})
 }
 
-// inForceAtAll reports whether each entry sees every process with a revision in force.
-func (c *cluster) inForceAtAll(revision uint64) bool {
+// inForceEverywhere reports whether each entry lists every process of the cluster as having a revision in force.
+func (c *cluster) inForceEverywhere(revision uint64) bool {
 	for _, e := range c.entries {
 		client := operator.NewClient([]string{e.operatorsURL()}, controlClient)
 		seen, err := client.InForce(c.t.Context(), revision)
@@ -316,7 +318,7 @@
 			return e
 		}
 	}
-	c.t.Fatalf("there is no entry %q", name)
+	c.t.Fatalf("no entry %q", name)
 	return nil
 }
 
@@ -327,14 +329,14 @@
 			return e
 		}
 	}
-	c.t.Fatalf("there is no endpoint %q", name)
+	c.t.Fatalf("no endpoint %q", name)
 	return nil
 }
 
-// logLines is how much of each log a failed test shows.
+// logLines is the number of lines of each process log that a failed test shows.
 const logLines = 15
 
-// report shows the ends of all logs of a failed test, and keeps the logs if asked to.
+// report shows the last lines of all process logs of a failed test. With -keep-logs it copies the logs.
 func (c *cluster) report() {
 	if !c.t.Failed() {
 		return
@@ -349,6 +351,6 @@
 	}
 	target := filepath.Join(*keepLogs, filepath.Base(c.t.Name())+fmt.Sprintf("-%d", time.Now().UnixNano()))
 	if err := os.CopyFS(target, os.DirFS(c.dir)); err != nil {
-		c.t.Logf("logs not kept: %v", err)
+		c.t.Logf("copy the logs: %v", err)
 	}
 }
