--- a/test/workload_test.go
+++ b/test/workload_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// targets are the models that callers ask for, by the names that callers and engines use.
+// targets are the models that callers request, by the names that callers and engines use.
 var targets = []struct{ model, engineModel string }{
 	{"crack", "crack@v1"},
 	{"compaction", "compaction@v1"},
@@ -28,30 +28,30 @@
 	{"mover", "mover@v1"},
 }
 
-// mix is the order of the kinds in a workload.
-var mix = []kind{
+// kindSequence is the sequence of request kinds in a workload, repeated from its start.
+var kindSequence = []kind{
 	chatStream, chatWhole, keyedCall, chatStream, chatWhole, onceCall, chatStream, readCall, chatWhole, chatStream,
 	keyedCall, chatWhole, onceCall,
 }
 
-// The settings of a workload.
+// The parameters of a workload.
 const (
 	requestInterval = 10 * time.Millisecond
-	// phaseRequests is the number of requests after which callers turn to other models, so that models fall idle, are
-	// unloaded, and are woken again all the time; awake is the number of models that are asked for in one phase.
-	phaseRequests = 24
-	awake         = 4
-	chatDeadline  = 2500 * time.Millisecond
-	callDeadline  = 2 * time.Second
-	shortAnswer   = 8
-	longAnswer    = 60
-	// maxOpen bounds the requests that are open at once.
-	maxOpen = 1000
-	// keyAttempts bounds how often a caller sends one keyed call.
+	// requestsPerPhase is the number of requests after which callers request other models, so that models become idle,
+	// are unloaded and are loaded again all the time. modelsPerPhase is the number of models requested in one phase.
+	requestsPerPhase = 24
+	modelsPerPhase   = 4
+	chatDeadline     = 2500 * time.Millisecond
+	callDeadline     = 2 * time.Second
+	shortAnswer      = 8
+	longAnswer       = 60
+	// maxInFlight bounds the requests in flight; requests over it are not sent.
+	maxInFlight = 1000
+	// keyAttempts is the maximum number of times that a caller sends one keyed call.
 	keyAttempts = 4
 )
 
-// workload is a steady load of requests on all entries that are ready, as a balancer and its clients make it.
+// workload is a steady load of requests, distributed by a balancer over all ready entries.
 type workload struct {
 	cluster  *cluster
 	balancer *balancer
@@ -59,28 +59,28 @@
 	stopped  chan struct{}
 	stopOnce sync.Once
 	running  sync.WaitGroup
-	open     chan struct{}
+	inFlight chan struct{}
 
 	mu        sync.Mutex
 	exchanges []*exchange
 	served    map[kind]int
 }
 
-// startWorkload begins the load; stop ends it.
+// startWorkload starts the load, which runs until stop.
 func startWorkload(c *cluster) *workload {
 	w := &workload{
 		cluster:  c,
 		balancer: startBalancer(c),
 		caller:   newCaller(),
 		stopped:  make(chan struct{}),
-		open:     make(chan struct{}, maxOpen),
+		inFlight: make(chan struct{}, maxInFlight),
 		served:   map[kind]int{},
 	}
 	w.running.Go(w.run)
 	return w
 }
 
-// run sends one request after another, without waiting for answers.
+// run starts a request at each interval, without waiting for the previous ones.
 func (w *workload) run() {
 	ticker := time.NewTicker(requestInterval)
 	defer ticker.Stop()
@@ -91,18 +91,18 @@
 		case <-ticker.C:
 		}
 		select {
-		case w.open <- struct{}{}:
+		case w.inFlight <- struct{}{}:
 		default:
 			continue
 		}
 		w.running.Go(func() {
-			defer func() { <-w.open }()
-			w.serve(i)
+			defer func() { <-w.inFlight }()
+			w.sendWithRetries(i)
 		})
 	}
 }
 
-// stop ends the load and returns all exchanges once the last one has ended.
+// stop ends the load, waits for the requests in flight and returns all exchanges.
 func (w *workload) stop() []*exchange {
 	w.stopOnce.Do(func() {
 		close(w.stopped)
@@ -114,12 +114,12 @@
 	return w.exchanges
 }
 
-// newRequest returns the i-th request.
+// newRequest returns the i-th request of the workload.
 func newRequest(i int) request {
-	phase := i / phaseRequests
-	target := targets[(3*phase+i%awake)%len(targets)]
+	phase := i / requestsPerPhase
+	target := targets[(3*phase+i%modelsPerPhase)%len(targets)]
 	r := request{
-		kind:     mix[i%len(mix)],
+		kind:     kindSequence[i%len(kindSequence)],
 		marker:   fmt.Sprintf("m%d", i),
 		deadline: callDeadline,
 	}
@@ -137,8 +137,9 @@
 	return r
 }
 
-// serve sends the i-th request. A keyed call that got no definite answer is sent again under its key, as its caller may.
-func (w *workload) serve(i int) {
+// sendWithRetries sends the i-th request. A keyed call that is not served is sent again with the same key, up to
+// keyAttempts times in all.
+func (w *workload) sendWithRetries(i int) {
 	r := newRequest(i)
 	for attempt := range keyAttempts {
 		x := w.send(r, i+attempt)
@@ -148,7 +149,7 @@
 	}
 }
 
-// send sends a request to a ready entry, and to the next one as long as nothing of it went out.
+// send sends a request to a ready entry, and to the next one as long as no byte of the request was sent.
 func (w *workload) send(r request, turn int) *exchange {
 	for try := range len(w.cluster.entries) {
 		e := w.balancer.pick(turn + try)
@@ -156,15 +157,15 @@
 			return nil
 		}
 		x := w.caller.do(e.name, e.callersURL(), r)
-		w.note(x)
-		if !x.unsent {
+		w.record(x)
+		if !x.notSent {
 			return x
 		}
 	}
 	return nil
 }
 
-func (w *workload) note(x *exchange) {
+func (w *workload) record(x *exchange) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.exchanges = append(w.exchanges, x)
@@ -173,13 +174,13 @@
 	}
 }
 
-// awaitServed waits until n more requests of each kind were served.
-func (w *workload) awaitServed(n int, patience time.Duration) {
+// awaitServed waits until n more requests of each kind have been served.
+func (w *workload) awaitServed(n int, timeout time.Duration) {
 	w.cluster.t.Helper()
 	w.mu.Lock()
 	before := maps.Clone(w.served)
 	w.mu.Unlock()
-	eventually(w.cluster.t, patience, fmt.Sprintf("%d more requests of each kind are served", n), func() bool {
+	eventually(w.cluster.t, timeout, fmt.Sprintf("%d more requests of each kind are served", n), func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, k := range []kind{chatStream, chatWhole, readCall, onceCall, keyedCall} {
@@ -191,11 +192,11 @@
 	})
 }
 
-// summarize counts exchanges by kind and class.
+// summarize counts exchanges by kind and result.
 func summarize(exchanges []*exchange) string {
 	counts := map[string]int{}
 	for _, x := range exchanges {
-		counts[string(x.kind)+": "+x.class()]++
+		counts[string(x.kind)+": "+x.result()]++
 	}
 	var lines []string
 	for _, class := range slices.Sorted(maps.Keys(counts)) {
@@ -204,12 +205,12 @@
 	return strings.Join(lines, ", ")
 }
 
-// balancer knows which entries are ready, as the platform's balancer does by asking each for its readiness.
+// balancer polls the entries' readiness, as the platform's load balancer does, and picks ready entries in turn.
 type balancer struct {
-	cluster *cluster
-	done    chan struct{}
-	asking  sync.WaitGroup
-	first   sync.WaitGroup
+	cluster    *cluster
+	done       chan struct{}
+	probing    sync.WaitGroup
+	firstProbe sync.WaitGroup
 
 	mu    sync.Mutex
 	ready map[string]bool
@@ -217,22 +218,22 @@
 
 const (
 	healthInterval = 50 * time.Millisecond
-	healthPatience = 500 * time.Millisecond
+	healthTimeout  = 500 * time.Millisecond
 )
 
 func startBalancer(c *cluster) *balancer {
 	b := &balancer{cluster: c, done: make(chan struct{}), ready: map[string]bool{}}
 	for _, e := range c.entries {
-		b.first.Add(1)
-		b.asking.Go(func() { b.watch(e) })
+		b.firstProbe.Add(1)
+		b.probing.Go(func() { b.watch(e) })
 	}
-	b.first.Wait()
+	b.firstProbe.Wait()
 	return b
 }
 
-// watch asks one entry for its readiness until the balancer stops.
+// watch polls one entry's readiness until the balancer stops.
 func (b *balancer) watch(e *entryHost) {
-	client := &http.Client{Timeout: healthPatience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for asked := false; ; {
 		response, err := client.Get(e.operatorsURL() + "/readyz")
 		if err == nil {
@@ -243,7 +244,7 @@
 		b.mu.Unlock()
 		if !asked {
 			asked = true
-			b.first.Done()
+			b.firstProbe.Done()
 		}
 		select {
 		case <-b.done:
@@ -255,10 +256,10 @@
 
 func (b *balancer) stop() {
 	close(b.done)
-	b.asking.Wait()
+	b.probing.Wait()
 }
 
-// pick returns the ready entry whose turn it is, or nil while there is none.
+// pick returns the turn-th ready entry, modulo their number, or nil if none is ready.
 func (b *balancer) pick(turn int) *entryHost {
 	b.mu.Lock()
 	defer b.mu.Unlock()
