--- a/cmd/balsamsail/edits.go
+++ b/cmd/balsamsail/edits.go
@@ -74,7 +74,7 @@
 	fmt.Fprintln(os.Stderr, "balsamsail: the answer was lost; looking the edit up")
 	ctx, cancel := context.WithTimeout(ctx, f.patient)
 	defer cancel()
-	operation := operator.Settle(ctx, client, unknown.OperationID)
+	operation := operator.AwaitOperation(ctx, client, unknown.OperationID)
 	if operation.State != operator.OperationApplied {
 		return tell(unknown)
 	}
--- a/cmd/balsamsail/timeline.go
+++ b/cmd/balsamsail/timeline.go
@@ -63,21 +63,21 @@
 	if causes > 0 && len(filter.Requests) == 0 {
 		return errors.Wrap(errUsage, "-causes needs -request")
 	}
-	var lines timeline.LogLines
+	var logs timeline.LogReader
 	for _, name := range files {
-		if err := readLog(&lines, name); err != nil {
+		if err := readLog(&logs, name); err != nil {
 			return err
 		}
 	}
 	if causes == 0 {
-		return printer.Print(lines.Collection(lines.Matching(filter)))
+		return printer.Print(logs.Collection(logs.Matching(filter)))
 	}
 	for _, request := range filter.Requests {
-		events := lines.Causes(request, causes)
+		events := logs.RelatedEvents(request, causes)
 		if events == nil {
 			return errors.Errorf("no line on request %s: was its line left out, or is a log missing?", request)
 		}
-		if err := printer.Print(lines.Collection(events)); err != nil {
+		if err := printer.Print(logs.Collection(events)); err != nil {
 			return err
 		}
 	}
@@ -85,16 +85,16 @@
 }
 
 // readLog reads a log file, or standard input.
-func readLog(lines *timeline.LogLines, name string) error {
+func readLog(logs *timeline.LogReader, name string) error {
 	if name == "-" {
-		return lines.Read(os.Stdin)
+		return logs.Read(os.Stdin)
 	}
 	file, err := os.Open(name)
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	defer func() { _ = file.Close() }()
-	return errors.Wrap(lines.Read(file), name)
+	return errors.Wrap(logs.Read(file), name)
 }
 
 func processURLs(ctx context.Context, client *operator.Client) ([]string, error) {
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -46,12 +46,12 @@
 	ReadyIn time.Duration
 	// Service is the mean time of one request, Concurrency is how many requests run at once, and Running is how many
 	// run now.
-	Service     time.Duration
-	Concurrency int
-	Running     int
+	MeanServiceTime time.Duration
+	Concurrency     int
+	Running         int
 	// First and Whole are conservative estimates of the time from the start of a request to its first token and to its
 	// end; 0 means Service.
-	First, Whole time.Duration
+	TimeToFirstToken, TotalTime time.Duration
 }
 
 // Options are the settings of a Queue.
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -32,7 +32,7 @@
 	return q, requests
 }
 
-var instant = Estimate{Ready: true, Service: time.Microsecond, Concurrency: 16, Running: 16}
+var instant = Estimate{Ready: true, MeanServiceTime: time.Microsecond, Concurrency: 16, Running: 16}
 
 // BenchmarkQueue measures one Offer and one Remove in a queue of constant length. With adapters, all target queues
 // share one replica.
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -15,7 +15,7 @@
 
 // spacing returns the mean time between two starts under full load.
 func (e Estimate) spacing() time.Duration {
-	return e.Service / time.Duration(max(1, e.Concurrency))
+	return e.MeanServiceTime / time.Duration(max(1, e.Concurrency))
 }
 
 // defaultSpacing is the time between two retries while the service time is unknown. Without it, all refused requests of
@@ -42,9 +42,9 @@
 // streams, or to its end.
 func (e Estimate) requiredTime(stream bool) time.Duration {
 	if stream {
-		return cmp.Or(e.First, e.Service)
+		return cmp.Or(e.TimeToFirstToken, e.MeanServiceTime)
 	}
-	return cmp.Or(e.Whole, e.Service)
+	return cmp.Or(e.TotalTime, e.MeanServiceTime)
 }
 
 // meetsDeadline reports whether a request that starts after delay can meet its deadline.
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -74,7 +74,7 @@
 	for _, seen := range []Target{target, adapter} {
 		var e Estimate
 		s.Fill(seen, &e)
-		if e.Service != 2*time.Second || e.Whole < e.Service || e.First < 100*time.Millisecond || e.First > 110*time.Millisecond {
+		if e.MeanServiceTime != 2*time.Second || e.TotalTime < e.MeanServiceTime || e.TimeToFirstToken < 100*time.Millisecond || e.TimeToFirstToken > 110*time.Millisecond {
 			t.Errorf("%v: %+v", seen, e)
 		}
 	}
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -84,11 +84,11 @@
 // estimate returns a random estimate, unrelated to the previous one.
 func (h *harness) estimate() Estimate {
 	return Estimate{
-		Ready:       h.random.IntN(2) == 0,
-		ReadyIn:     time.Duration(h.random.IntN(3000)) * time.Millisecond,
-		Service:     time.Duration(1+h.random.IntN(2000)) * time.Millisecond,
-		Concurrency: h.random.IntN(4),
-		Running:     h.random.IntN(4),
+		Ready:           h.random.IntN(2) == 0,
+		ReadyIn:         time.Duration(h.random.IntN(3000)) * time.Millisecond,
+		MeanServiceTime: time.Duration(1+h.random.IntN(2000)) * time.Millisecond,
+		Concurrency:     h.random.IntN(4),
+		Running:         h.random.IntN(4),
 	}
 }
 
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -261,9 +261,9 @@
 	return true
 }
 
-// Wake returns the time at which Expire must be called next, or the zero time when no request waits. Expire must also
-// be called when an estimate grows, for example because a load takes longer.
-func (q *Queue) Wake() time.Time {
+// NextExpiry returns the time at which Expire must be called next, or the zero time when no request waits. Expire must
+// also be called when an estimate grows, for example because a load takes longer.
+func (q *Queue) NextExpiry() time.Time {
 	first, ok := q.byDue.peek()
 	if !ok {
 		return time.Time{}
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -12,7 +12,7 @@
 var (
 	start  = time.Date(2026, 1, 5, 7, 0, 0, 0, time.UTC)
 	target = Target{Model: "narrator@1"}
-	steady = Estimate{Ready: true, Service: time.Second, Concurrency: 1, First: 200 * time.Millisecond}
+	steady = Estimate{Ready: true, MeanServiceTime: time.Second, Concurrency: 1, TimeToFirstToken: 200 * time.Millisecond}
 )
 
 const (
@@ -145,18 +145,18 @@
 // A request waits for a model that is being loaded, and the load takes longer than expected. As soon as the due time of
 // the request has passed it must be refused, not only at its deadline.
 func TestExpireRefusesAtOnceWhatCannotStartInTime(t *testing.T) {
-	cold := Estimate{ReadyIn: 2 * time.Second, Service: time.Second, Concurrency: 4}
+	cold := Estimate{ReadyIn: 2 * time.Second, MeanServiceTime: time.Second, Concurrency: 4}
 	cases := []struct {
 		name     string
 		at       time.Duration
 		estimate Estimate
 		want     []string
 	}{
-		{"still in time", 5 * time.Second, Estimate{Ready: true, Service: time.Second}, nil},
+		{"still in time", 5 * time.Second, Estimate{Ready: true, MeanServiceTime: time.Second}, nil},
 		{"due time has passed", 7*time.Second + 1, cold, []string{"1", "2"}},
-		{"load takes too long", time.Second, Estimate{ReadyIn: 9 * time.Second, Service: time.Second}, []string{"1", "2"}},
-		{"too far back in the queue", 0, Estimate{Ready: true, Service: 10 * time.Second, Whole: time.Second, Running: 1}, []string{"2"}},
-		{"due time became later", 9*time.Second + 1, Estimate{Ready: true, Service: time.Millisecond}, nil},
+		{"load takes too long", time.Second, Estimate{ReadyIn: 9 * time.Second, MeanServiceTime: time.Second}, []string{"1", "2"}},
+		{"too far back in the queue", 0, Estimate{Ready: true, MeanServiceTime: 10 * time.Second, TotalTime: time.Second, Running: 1}, []string{"2"}},
+		{"due time became later", 9*time.Second + 1, Estimate{Ready: true, MeanServiceTime: time.Millisecond}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -179,16 +179,16 @@
 
 func TestWakeIsTheFirstMomentAtWhichExpireRefuses(t *testing.T) {
 	q := NewQueue(Options{MaxWaiting: 10})
-	if !q.Wake().IsZero() {
-		t.Fatal("Wake of an empty queue is not the zero time")
+	if !q.NextExpiry().IsZero() {
+		t.Fatal("NextExpiry of an empty queue is not the zero time")
 	}
 	q.Offer(start, newRequest("1", "a", interactive, 10*time.Second), steady)
 	estimate := func(Target) Estimate { return steady }
-	if early := q.Expire(q.Wake().Add(-1), estimate); len(early) > 0 {
-		t.Errorf("refused before Wake: %+v", early)
+	if early := q.Expire(q.NextExpiry().Add(-1), estimate); len(early) > 0 {
+		t.Errorf("refused before NextExpiry: %+v", early)
 	}
-	if refused := q.Expire(q.Wake(), estimate); len(refused) != 1 {
-		t.Errorf("Expire at Wake refused %d, want 1", len(refused))
+	if refused := q.Expire(q.NextExpiry(), estimate); len(refused) != 1 {
+		t.Errorf("Expire at NextExpiry refused %d, want 1", len(refused))
 	}
 }
 
@@ -201,12 +201,12 @@
 	q.Expire(start, func(t Target) Estimate {
 		e := steady
 		if t == slower.Target {
-			e.Service = 5 * time.Second
+			e.MeanServiceTime = 5 * time.Second
 		}
 		return e
 	})
-	if want := start.Add(6*time.Second + 1); !q.Wake().Equal(want) {
-		t.Errorf("Wake is %v, want %v", q.Wake(), want)
+	if want := start.Add(6*time.Second + 1); !q.NextExpiry().Equal(want) {
+		t.Errorf("NextExpiry is %v, want %v", q.NextExpiry(), want)
 	}
 }
 
@@ -246,7 +246,7 @@
 // at the same moment. No half second may get more retries than the target can serve in that time, with some slack for
 // the jitter.
 func TestRefusalsSpreadTheReturn(t *testing.T) {
-	quick := Estimate{Ready: true, Service: 100 * time.Millisecond, Concurrency: 2}
+	quick := Estimate{Ready: true, MeanServiceTime: 100 * time.Millisecond, Concurrency: 2}
 	q := NewQueue(Options{MaxWaiting: 1, Seed: 7})
 	q.Offer(start, newRequest("first", "a", interactive, time.Minute), quick)
 	returning := map[time.Duration]int{}
--- a/internal/admission/refuse.go
+++ b/internal/admission/refuse.go
@@ -8,7 +8,7 @@
 )
 
 // Expire refuses all requests that can no longer meet their deadline, because of the remaining time or because of the
-// number of requests ahead of them. It must be called at the time returned by Wake and when an estimate grows.
+// number of requests ahead of them. It must be called at the time returned by NextExpiry and when an estimate grows.
 func (q *Queue) Expire(now time.Time, estimate func(Target) Estimate) []Refusal {
 	q.lastCall = now
 	var refusals []Refusal
@@ -67,7 +67,7 @@
 }
 
 func (q *Queue) drainLane(refusals []Refusal, now time.Time, ln *lane, reason wirepb.RefusalReason, retryAfter time.Duration, detail string) []Refusal {
-	e := Estimate{ReadyIn: retryAfter, Service: drainSpacing}
+	e := Estimate{ReadyIn: retryAfter, MeanServiceTime: drainSpacing}
 	for w := ln.waiters.first(); w != nil; w = ln.waiters.first() {
 		q.remove(w)
 		refusals = append(refusals, q.refuse(now, w, ln.queue, e, reason, detail))
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -42,12 +42,12 @@
 	s.update(target, func(t *timings) { t.first.observe(first) })
 }
 
-// Fade reduces the estimates of a target by one eighth. It is called for estimates that cause requests to be refused
+// Decay reduces the estimates of a target by one eighth. It is called for estimates that cause requests to be refused
 // although no request is ahead of them, and so are not corrected by new samples.
 //
 // Without it a single slow request, such as one that ran while its process was suspended, would cause all later
 // requests with a shorter deadline to be refused at once. None would run, and no shorter time would ever be measured.
-func (s *ServiceTimes) Fade(target Target) {
+func (s *ServiceTimes) Decay(target Target) {
 	s.update(target, func(t *timings) {
 		t.first.decay()
 		t.whole.decay()
@@ -62,9 +62,9 @@
 // Fill sets the times of an estimate; those without samples become 0.
 func (s *ServiceTimes) Fill(target Target, e *Estimate) {
 	whole := s.find(target, func(t *timings) *movingAverage { return &t.whole })
-	e.Service = whole.mean
-	e.Whole = whole.conservative()
-	e.First = s.find(target, func(t *timings) *movingAverage { return &t.first }).conservative()
+	e.MeanServiceTime = whole.mean
+	e.TotalTime = whole.conservative()
+	e.TimeToFirstToken = s.find(target, func(t *timings) *movingAverage { return &t.first }).conservative()
 }
 
 // update applies a sample to the target and to its pool.
@@ -125,7 +125,7 @@
 	m.deviation += time.Duration(float64(diff.Abs()-m.deviation) * deviationSmoothing)
 }
 
-// decayDivisor is the divisor of the part by which each Fade reduces an estimate.
+// decayDivisor is the divisor of the part by which each Decay reduces an estimate.
 const decayDivisor = 8
 
 func (m *movingAverage) decay() {
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -35,7 +35,7 @@
 func (x *orderExecutor) executeOne(action loading.Action) {
 	a := x.agent
 	switch action := action.(type) {
-	case loading.GiveOrder:
+	case loading.SendOrder:
 		if isUnload(action.Order.Kind) {
 			a.unloads.enter()
 		}
@@ -47,7 +47,7 @@
 		notify(x.readRows)
 	case loading.AskPermit:
 		a.requestPermit(action)
-	case loading.EndPermit:
+	case loading.ReleasePermit:
 		a.endPermit(action.ID)
 	case loading.ConfirmRelease:
 		a.confirmRelease(action)
@@ -66,7 +66,7 @@
 
 // runOrder sends one order and reports its result. The order is not cancelled when the agent stops: its answer would be
 // lost, and the next agent would have to wait until the order can no longer take effect.
-func (x *orderExecutor) runOrder(g loading.GiveOrder) {
+func (x *orderExecutor) runOrder(g loading.SendOrder) {
 	a := x.agent
 	if isUnload(g.Order.Kind) {
 		defer a.unloads.exit()
@@ -155,7 +155,7 @@
 		if err != nil {
 			a.logger.Debug("reading the engine state failed", "error", err)
 			monitor.recordLost(a)
-			a.core.step(loading.EngineLost{ID: id})
+			a.core.step(loading.EngineReadFailed{ID: id})
 			continue
 		}
 		monitor.recordRead(a, state.Incarnation)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -52,11 +52,11 @@
 	// Capacity is the concurrency limit of a target that declares none.
 	Capacity int
 	Queue    admission.Options
-	// LongestHold is the longest time a batch request for a model that is not loaded is held so that one load serves
+	// MaxBatchHold is the longest time a batch request for a model that is not loaded is held so that one load serves
 	// several requests.
-	LongestHold time.Duration
-	Loading     loading.Options
-	Wire        wire.Options
+	MaxBatchHold time.Duration
+	Loading      loading.Options
+	Wire         wire.Options
 	// HeartbeatInterval is the longest time between batches on a control stream.
 	HeartbeatInterval time.Duration
 	// BatchDelay is how long changes are collected before a batch is sent.
@@ -67,12 +67,12 @@
 	ProbeInterval time.Duration
 	// CommitTimeout bounds the wait for an entry's commit after Ready.
 	CommitTimeout time.Duration
-	// MaxAnswer bounds the duration of one endpoint call.
-	MaxAnswer time.Duration
+	// MaxCallDuration bounds the duration of one endpoint call.
+	MaxCallDuration time.Duration
 	// DrainTimeout bounds the wait for running requests during a shutdown.
 	DrainTimeout time.Duration
-	// TableRetry is the delay between attempts to read the grants while the table is unavailable.
-	TableRetry time.Duration
+	// TableRetryInterval is the delay between attempts to read the grants while the table is unavailable.
+	TableRetryInterval time.Duration
 }
 
 // Dependencies are the collaborators of an Agent.
@@ -146,7 +146,7 @@
 		machine = loading.NewMachine(o.Loading, d.Policy)
 	}
 	a.core = newCore(d.Clock, admission.NewQueue(o.Queue), machine, d.Policy, o.Capacity)
-	a.core.longestHold = o.LongestHold
+	a.core.longestHold = o.MaxBatchHold
 	a.core.onChange = a.wakeWriters
 	return a
 }
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -213,11 +213,11 @@
 	now := a.clock.Now()
 	kind := timeline.PermitDenied
 	if p.ValidMicros > 0 {
-		kind = timeline.PermitGiven
+		kind = timeline.PermitGranted
 	}
 	a.recorder.Record(timeline.Event{Kind: kind, Endpoint: a.options.Endpoint, Detail: p.Id})
 	if p.ValidMicros > 0 {
-		a.core.step(loading.PermitGiven{ID: p.Id, Expires: now.Add(micros(p.ValidMicros))})
+		a.core.step(loading.PermitGranted{ID: p.Id, Expires: now.Add(micros(p.ValidMicros))})
 		return
 	}
 	a.core.step(loading.PermitDenied{ID: p.Id, RetryAt: now.Add(micros(p.RetryAfterMicros))})
@@ -327,7 +327,7 @@
 		SlackMicros: action.Deadline.Sub(a.clock.Now()).Microseconds(),
 	}
 	a.recorder.Record(timeline.Event{
-		Kind: timeline.PermitAsked, Model: action.Model, Endpoint: a.options.Endpoint, Detail: action.ID,
+		Kind: timeline.PermitRequested, Model: action.Model, Endpoint: a.options.Endpoint, Detail: action.ID,
 	})
 	s.enqueue(func(up *wirepb.ControlUp) { up.PermitRequests = append(up.PermitRequests, request) })
 }
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -120,7 +120,7 @@
 func (c *core) decayServiceTimes(t admission.Target, refusal *admission.Refusal) {
 	alone := c.runningOf(t) == 0 && c.queue.Waiting(t) == 0
 	if alone && refusal.Reason == wirepb.RefusalReason_DEADLINE {
-		c.times.Fade(t)
+		c.times.Decay(t)
 	}
 }
 
@@ -165,7 +165,7 @@
 	if c.machine == nil {
 		return nil
 	}
-	return c.stepLocked(c.clock.Now(), loading.DemandGone{Request: id})
+	return c.stepLocked(c.clock.Now(), loading.RequestGone{Request: id})
 }
 
 // step passes an event to the machine and executes the resulting actions.
@@ -198,8 +198,8 @@
 		return c.dispatch(now)
 	case loading.Unusable:
 		c.setUnusable(a)
-	case loading.RefuseDemand:
-		c.refuseDemand(a)
+	case loading.RefuseRequests:
+		c.refuseRequests(a)
 	}
 	return nil
 }
@@ -212,8 +212,8 @@
 	}
 }
 
-// refuseDemand refuses the waiting requests that match an action.
-func (c *core) refuseDemand(a loading.RefuseDemand) {
+// refuseRequests refuses the waiting requests that match an action.
+func (c *core) refuseRequests(a loading.RefuseRequests) {
 	for id, w := range c.waiting {
 		if !refusalMatches(a, w.request) {
 			continue
@@ -231,7 +231,7 @@
 }
 
 // refusalMatches reports whether a refusal of demand applies to a request.
-func refusalMatches(a loading.RefuseDemand, r admission.Request) bool {
+func refusalMatches(a loading.RefuseRequests, r admission.Request) bool {
 	if a.Request != "" {
 		return a.Request == r.ID
 	}
@@ -270,7 +270,7 @@
 	c.mu.Lock()
 	now := c.clock.Now()
 	actions := c.refuseAll(c.queue.Expire(now, c.estimate))
-	next := c.queue.Wake()
+	next := c.queue.NextExpiry()
 	if c.machine != nil {
 		released, nextRelease := c.releaseHeld(now)
 		actions = append(actions, released...)
--- a/internal/agent/core_rig_test.go
+++ b/internal/agent/core_rig_test.go
@@ -88,12 +88,12 @@
 func newCoreHarness(fail func(string, ...any), queue admission.Options) *coreHarness {
 	policy := fixedPolicy{}
 	machine := loading.NewMachine(loading.Options{
-		Engine:         "engine-1",
-		Host:           "host-1",
-		MemoryBytes:    engineBytes,
-		OrderLife:      orderLifetime,
-		StateInterval:  time.Hour,
-		PermitPatience: time.Second,
+		Engine:        "engine-1",
+		Host:          "host-1",
+		MemoryBytes:   engineBytes,
+		OrderLifetime: orderLifetime,
+		StateInterval: time.Hour,
+		PermitTimeout: time.Second,
 	}, policy)
 	r := newHarness(fail, queue, machine, policy)
 	r.step(loading.Tick{})
@@ -126,7 +126,7 @@
 func (r *coreHarness) execute(list []loading.Action) {
 	for _, action := range list {
 		switch action := action.(type) {
-		case loading.GiveOrder:
+		case loading.SendOrder:
 			r.orders = append(r.orders, action.Order)
 			r.ordersSent++
 		case loading.ReadEngine:
@@ -165,14 +165,14 @@
 			if r.withholdPermits {
 				continue
 			}
-			r.core.step(loading.PermitGiven{ID: id, Expires: r.clock.now.Add(time.Minute)})
+			r.core.step(loading.PermitGranted{ID: id, Expires: r.clock.now.Add(time.Minute)})
 		}
 	}
 }
 
 func (r *coreHarness) engineRead() loading.Event {
 	if r.engine.unreachable {
-		return loading.EngineLost{}
+		return loading.EngineReadFailed{}
 	}
 	state := endpoint.EngineState{Incarnation: r.engine.incarnation, MemoryBytes: engineBytes}
 	for model, adapters := range r.engine.loaded {
--- a/internal/agent/exchange_rig_test.go
+++ b/internal/agent/exchange_rig_test.go
@@ -138,16 +138,16 @@
 	}
 	setDuration(&o.CommitTimeout, testTimeout)
 	setDuration(&o.DrainTimeout, testTimeout)
-	setDuration(&o.MaxAnswer, testTimeout)
+	setDuration(&o.MaxCallDuration, testTimeout)
 	o.Queue = admission.Options{MaxWaiting: 100}
-	o.Loading = loading.Options{Engine: o.Endpoint, Host: o.Host, MemoryBytes: 100, OrderLife: 10 * time.Millisecond,
-		StateInterval: 20 * time.Millisecond, PermitPatience: time.Millisecond}
+	o.Loading = loading.Options{Engine: o.Endpoint, Host: o.Host, MemoryBytes: 100, OrderLifetime: 10 * time.Millisecond,
+		StateInterval: 20 * time.Millisecond, PermitTimeout: time.Millisecond}
 	o.Wire = wire.DefaultOptions()
 	o.HeartbeatInterval = 50 * time.Millisecond
 	o.BatchDelay = time.Millisecond
 	o.OrderTimeout = testTimeout
 	o.ProbeInterval = 10 * time.Millisecond
-	o.TableRetry = time.Millisecond
+	o.TableRetryInterval = time.Millisecond
 	return o
 }
 
--- a/internal/agent/execute.go
+++ b/internal/agent/execute.go
@@ -39,9 +39,9 @@
 	case r.err == nil:
 		return event{kind: atmostonce.CallAnswered, result: r}
 	case r.notExecuted:
-		return event{kind: atmostonce.CallFailedClean, result: r}
+		return event{kind: atmostonce.CallFailedNotRun, result: r}
 	default:
-		return event{kind: atmostonce.CallFailedUnclear, result: r}
+		return event{kind: atmostonce.CallFailedUnknown, result: r}
 	}
 }
 
@@ -58,7 +58,7 @@
 	}
 	x.record(timeline.RequestStarted, "")
 	ctx, cancelCause := context.WithCancelCause(a.callsCtx)
-	ctx, cancel := context.WithTimeout(ctx, a.options.MaxAnswer)
+	ctx, cancel := context.WithTimeout(ctx, a.options.MaxCallDuration)
 	x.call = &call{
 		cancel: func() { cancelCause(errWithdrawn) },
 		timer:  newDeadlineTimer(a.clock, x.deadline.Sub(a.clock.Now()), cancel),
--- a/internal/agent/grants.go
+++ b/internal/agent/grants.go
@@ -26,7 +26,7 @@
 		read, err := a.readRows(ctx)
 		if err != nil {
 			a.logger.Warn("reading grants from the table failed; retrying", "error", err)
-			a.sleep(ctx, a.options.TableRetry)
+			a.sleep(ctx, a.options.TableRetryInterval)
 			notify(x.readRows)
 			continue
 		}
--- a/internal/agent/hold.go
+++ b/internal/agent/hold.go
@@ -29,7 +29,7 @@
 	if c.isUsable(t) || c.longestHold == 0 {
 		return false
 	}
-	w.holdUntil = idle.HoldUntil(t.Model, now, w.request.Deadline, c.timeToReady(w), idle.HoldOptions{Longest: c.longestHold})
+	w.holdUntil = idle.HoldUntil(t.Model, now, w.request.Deadline, c.timeToReady(w), idle.HoldOptions{MaxHold: c.longestHold})
 	if !w.holdUntil.After(now) {
 		return false
 	}
@@ -40,7 +40,7 @@
 // reportDemand reports a waiting request to the machine.
 func (c *core) reportDemand(now time.Time, w *pendingRequest) []loading.Action {
 	delete(c.held, w.request.ID)
-	return c.stepLocked(now, loading.Demanded{
+	return c.stepLocked(now, loading.RequestWaiting{
 		Request:  w.request.ID,
 		Model:    w.request.Target.Model,
 		Adapter:  w.request.Target.Adapter,
--- a/internal/agent/lifecycle_test.go
+++ b/internal/agent/lifecycle_test.go
@@ -66,7 +66,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newGatedService(10)
 			a := startAgent(t, agentSettings{
-				options: Options{DrainTimeout: 20 * time.Millisecond, MaxAnswer: time.Hour},
+				options: Options{DrainTimeout: 20 * time.Millisecond, MaxCallDuration: time.Hour},
 				url:     newService(t, s.ServeHTTP),
 			})
 			x := dialAgent(t, a).offer("hanging", post(c.offer))
@@ -169,7 +169,7 @@
 	entry := dialAgent(t, a)
 	entry.control(&wirepb.ControlDown{Sequence: 1, Snapshot: snapshot()})
 	entry.offerUntil(endTrailer)
-	standin.Faults().Update(func(f *engine.Faults) { f.Cross.Next = 1 })
+	standin.Faults().Update(func(f *engine.Faults) { f.SwapAnswer.Next = 1 })
 	if got := entry.offer("crossed", post(chat)).end(); got != "WRONG_ANSWER unclear" {
 		t.Errorf("ended with %s", got)
 	}
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -156,7 +156,7 @@
 	if !x.offer.TwoStep && x.agent.clock.Now().Sub(x.began) >= readyNoticeDelay {
 		x.sendReady()
 	}
-	x.step(event{kind: atmostonce.TurnCame})
+	x.step(event{kind: atmostonce.Admitted})
 }
 
 // releaseLateStart ends a request that was started by the queue while it was being cancelled.
@@ -164,7 +164,7 @@
 	select {
 	case d := <-decided:
 		if d.refusal == nil {
-			x.step(event{kind: atmostonce.TurnCame})
+			x.step(event{kind: atmostonce.Admitted})
 		}
 	default:
 	}
@@ -218,18 +218,18 @@
 	case atmostonce.StopCall:
 		x.call.cancel()
 		// The relay may be blocked writing to an entry that no longer reads.
-		x.stream.StopWriting()
+		x.stream.AbortWrites()
 	case atmostonce.LeaveQueue:
 		x.record(timeline.RequestCancelled, "withdrawn while waiting")
 		x.agent.core.cancel(x.key)
-	case atmostonce.GiveBackTurn:
+	case atmostonce.ReleaseAdmission:
 		x.finishRequest(e.result)
 	case atmostonce.SendRefused:
 		x.sendRefused()
 	case atmostonce.SendTrailer:
 		x.sendTrailer(e.result)
-	case atmostonce.SendFailedClean, atmostonce.SendFailedUnclear:
-		x.sendFailed(e.result, action == atmostonce.SendFailedUnclear)
+	case atmostonce.SendFailedNotRun, atmostonce.SendFailedUnknown:
+		x.sendFailed(e.result, action == atmostonce.SendFailedUnknown)
 	}
 }
 
--- a/internal/agent/shell_test.go
+++ b/internal/agent/shell_test.go
@@ -45,7 +45,7 @@
 func newUnstartedAgent(kind string, engine endpoint.Engine) *Agent {
 	options := Options{
 		Endpoint: "e", Kind: kind, Capacity: 1, OrderTimeout: time.Hour, DrainTimeout: time.Minute,
-		Queue: admission.Options{MaxWaiting: 8}, Loading: loading.Options{Engine: "e", OrderLife: time.Second},
+		Queue: admission.Options{MaxWaiting: 8}, Loading: loading.Options{Engine: "e", OrderLifetime: time.Second},
 	}
 	return New(options, Dependencies{
 		Engine: engine, Table: emptyTable{}, Policy: idle.NewPolicy(idle.Options{}), Clock: clock.Real{},
--- a/internal/agent/status_test.go
+++ b/internal/agent/status_test.go
@@ -123,17 +123,17 @@
 func TestChangeReportsAddUp(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	view := membership.NewView()
-	view.HostsRead([]backing.Host{{ID: "h", Role: backing.RoleEndpoint, State: backing.HostLive, Endpoint: "engine-1"}}, 1)
+	view.ApplyHosts([]backing.Host{{ID: "h", Role: backing.RoleEndpoint, State: backing.HostLive, Endpoint: "engine-1"}}, 1)
 	var sent sentStatus
 	for step := range 5000 {
 		status := randomStatus(random)
 		whole := proto.CloneOf(status)
 		if random.IntN(50) == 0 {
 			sent = sentStatus{}
-			view.Lost("engine-1")
+			view.SetDisconnected("engine-1")
 		}
 		update := proto.CloneOf(sent.delta(status))
-		if !view.Reported(testStart.Add(time.Duration(step)*time.Second), "engine-1", update) {
+		if !view.ApplyReport(testStart.Add(time.Duration(step)*time.Second), "engine-1", update) {
 			t.Fatalf("step %d: the report was dropped", step)
 		}
 		endpoint, _ := view.Endpoint("engine-1")
--- a/internal/app/engineagent.go
+++ b/internal/app/engineagent.go
@@ -64,7 +64,7 @@
 }
 
 // reload reads the settings again and says what has changed; all of it takes effect at the next start.
-func (r engineAgentRole) reload() { readAgain(r.Settings, r.Settings.Again, r.Logger) }
+func (r engineAgentRole) reload() { readAgain(r.Settings, r.Settings.Reload, r.Logger) }
 
 func (r engineAgentRole) run(ctx context.Context) error {
 	links, err := listenBetweenHosts(r.Settings.Control.Listen)
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -84,7 +84,7 @@
 
 func newClaims(s *settings.Entry, i Incarnation, table backing.Table) *atmostonce.Claims {
 	return atmostonce.NewClaims(table, atmostonce.ClaimsOptions{
-		Patience:     s.Claims.Patience,
+		Timeout:      s.Claims.Patience,
 		Retention:    s.Claims.Retention,
 		MaxBodyBytes: int(s.Claims.MaxBody),
 		Seed:         uint64(i),
@@ -105,17 +105,17 @@
 
 func entryOptions(s *settings.Entry, i Incarnation) entry.Options {
 	return entry.Options{
-		ID:                s.Entry.ID,
-		FailureDomain:     s.Entry.FailureDomain,
-		Incarnation:       uint64(i),
-		MaxDeadline:       s.Limits.MaxDeadline,
-		MaxBody:           int64(s.Limits.MaxBody),
-		Limiter:           limiterOptions(s.Limits, i),
-		Router:            routing.Options{Seed: uint64(i), FailureDomain: s.Entry.FailureDomain},
-		Budget:            routing.BudgetOptions{Share: s.Retries.Share, FloorPerSecond: s.Retries.FloorPerSecond, Burst: s.Retries.Burst},
-		MaxAttempts:       s.Limits.MaxAttempts,
-		CandidatePatience: s.Limits.CandidatePatience,
-		MaxAnswer:         s.Limits.MaxAnswer,
+		ID:                  s.Entry.ID,
+		FailureDomain:       s.Entry.FailureDomain,
+		Incarnation:         uint64(i),
+		MaxDeadline:         s.Limits.MaxDeadline,
+		MaxBody:             int64(s.Limits.MaxBody),
+		Limiter:             limiterOptions(s.Limits, i),
+		Router:              routing.Options{Seed: uint64(i), FailureDomain: s.Entry.FailureDomain},
+		Budget:              routing.BudgetOptions{Share: s.Retries.Share, FloorPerSecond: s.Retries.FloorPerSecond, Burst: s.Retries.Burst},
+		MaxAttempts:         s.Limits.MaxAttempts,
+		CandidateTimeout:    s.Limits.CandidatePatience,
+		MaxResponseDuration: s.Limits.MaxAnswer,
 		Permits: permits.Options{
 			Lease:       s.Loading.Lease,
 			StartWithin: s.Loading.StartWithin,
@@ -132,15 +132,15 @@
 	o.Seed = uint64(i)
 	o.Interval = s.Replicas.Interval
 	o.FullInterval = s.Replicas.FullInterval
-	o.Settle = s.Replicas.Settle
+	o.BatchDelay = s.Replicas.Settle
 	o.DecideShare = s.Replicas.DecideShare
-	o.TurnStep = s.Replicas.TurnStep
+	o.RankDelay = s.Replicas.TurnStep
 	o.WritesPerSecond = s.Replicas.WritesPerSecond
 	o.WriteBurst = s.Replicas.WriteBurst
 	o.ParallelWrites = s.Replicas.ParallelWrites
 	o.MinBackoff = s.Replicas.MinBackoff
 	o.MaxBackoff = s.Replicas.MaxBackoff
-	o.Policy.SilentAfter = s.Replicas.SilentAfter
+	o.Policy.UnreachableAfter = s.Replicas.SilentAfter
 	o.Policy.ExtraHold = s.Replicas.ExtraHold
 	m := replicas.NewManager(o, table, e.GrantInputs(), c, l, r, line)
 	e.SetGrants(m)
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	return invoke(container, func(role gatewayRole) error {
-		if err := control.Register(role.Registry, role.Agents, role.Peers); err != nil {
+		if err := control.RegisterMetrics(role.Registry, role.Agents, role.Peers); err != nil {
 			return err
 		}
 		go hangups.follow(ctx, role.reload)
@@ -101,9 +101,9 @@
 
 func newGateway(s *settings.Gateway, f *fleet.Fleet, p *control.Peers, l *slog.Logger, m *gateway.Metrics) *gateway.Gateway {
 	options := gateway.Options{
-		Seed:     rand.Uint64(),
-		Budget:   retryBudget(s.Retries),
-		SharedBy: func() int { return max(p.Known(), assumedGateways) },
+		Seed:         rand.Uint64(),
+		Budget:       retryBudget(s.Retries),
+		GatewayCount: func() int { return max(p.GatewayCount(), assumedGateways) },
 	}
 	transport := &http.Transport{
 		DialContext:         netconn.DialAbortive(),
@@ -132,7 +132,7 @@
 
 // reload takes in settings that have changed. The budget of repeated sendings changes at once, all else at the next start.
 func (r gatewayRole) reload() {
-	if next := readAgain(r.Settings, r.Settings.Again, r.Logger, "retries"); next != nil {
+	if next := readAgain(r.Settings, r.Settings.Reload, r.Logger, "retries"); next != nil {
 		r.Gateway.SetBudget(retryBudget(next.Retries))
 	}
 }
@@ -181,7 +181,7 @@
 		DrainTimeout: drain.Grace - drain.LameDuck - drain.Reserve,
 		OnStop: func() {
 			stopping.Store(true)
-			r.Gateway.StopBy(time.Now().Add(drain.Grace - drain.Reserve))
+			r.Gateway.ShutdownAt(time.Now().Add(drain.Grace - drain.Reserve))
 			r.Logger.Info("stop begins", "event", "stopping", "active", r.Gateway.Active())
 		},
 		Logger: r.Logger,
@@ -213,7 +213,7 @@
 
 func (r gatewayRole) watch(ctx context.Context, group *errgroup.Group, source watch.Source, table string, sink watch.Sink) {
 	s := r.Settings.Store
-	options := watch.Options{Table: table, Wait: s.Wait, Gather: s.Gather, MinBackoff: s.MinBackoff, MaxBackoff: s.MaxBackoff, Metrics: r.Watches}
+	options := watch.Options{Table: table, Wait: s.Wait, CoalesceDelay: s.Gather, MinBackoff: s.MinBackoff, MaxBackoff: s.MaxBackoff, Metrics: r.Watches}
 	group.Go(func() error { watch.Run(ctx, source, sink, options, r.Logger); return nil })
 }
 
--- a/internal/app/site.go
+++ b/internal/app/site.go
@@ -64,8 +64,8 @@
 type configSink struct{ *site }
 
 func (s configSink) Replace(rows []watch.Row) { s.Apply(rows) }
-func (s configSink) Lost(error)               {}
-func (s configSink) Back()                    {}
+func (s configSink) Unavailable(error)        {}
+func (s configSink) Available()               {}
 
 func (s configSink) Apply(rows []watch.Row) {
 	for _, row := range rows {
@@ -113,8 +113,8 @@
 	}
 }
 
-func (s endpointSink) Lost(error) { s.events <- s.endpoints.StoreLost }
-func (s endpointSink) Back()      { s.events <- func() { s.endpoints.StoreBack(time.Now()) } }
+func (s endpointSink) Unavailable(error) { s.events <- s.endpoints.StoreLost }
+func (s endpointSink) Available()        { s.events <- func() { s.endpoints.StoreBack(time.Now()) } }
 
 func (s endpointSink) decode(row watch.Row) (catalog.Endpoint, bool) {
 	e, err := platform.DecodeEndpoint(row.Key, row.Value, row.Revision)
--- a/internal/app/standin.go
+++ b/internal/app/standin.go
@@ -30,9 +30,9 @@
 			LoadsPerSecond: s.Weights.LoadsPerSecond,
 			Adapters:       s.Weights.Adapters,
 		},
-		HostsLag:   s.List.Lag,
-		GoneListed: s.List.GoneListed,
-		Hosts:      listedHosts(s.Hosts),
+		HostsLag:      s.List.Lag,
+		GoneRetention: s.List.GoneListed,
+		Hosts:         listedHosts(s.Hosts),
 	})
 	return runStandin(ctx, s.Standin, s.Log, server.Handler(), out)
 }
--- a/internal/atmostonce/claiming.go
+++ b/internal/atmostonce/claiming.go
@@ -117,7 +117,7 @@
 	case claim.Fingerprint != c.fingerprint:
 		return c.end(ClaimMismatch, row, claim)
 	case claim.State == ClaimDone:
-		return c.end(ClaimAnswered, row, claim)
+		return c.end(ClaimCompleted, row, claim)
 	case claim.State == ClaimHeld:
 		return c.end(ClaimInProgress, row, claim)
 	default:
--- a/internal/atmostonce/claims.go
+++ b/internal/atmostonce/claims.go
@@ -24,8 +24,8 @@
 	ClaimGranted ClaimOutcome = iota + 1
 	// ClaimInProgress: another attempt holds the key and may have failed while holding it; its outcome is unknown.
 	ClaimInProgress
-	// ClaimAnswered: the request ran before; the claim contains its recorded response.
-	ClaimAnswered
+	// ClaimCompleted: the request ran before; the claim contains its recorded response.
+	ClaimCompleted
 	// ClaimOutcomeUnknown: the request may have run before; its outcome will never be known.
 	ClaimOutcomeUnknown
 	// ClaimMismatch: the key was used for a different request.
@@ -43,16 +43,16 @@
 	Deadline    time.Time
 }
 
-// Held is a row of the table as last read or written.
-type Held struct {
+// ClaimRow is a row of the table as last read or written.
+type ClaimRow struct {
 	// RowKey and Revision identify the version of the row.
 	RowKey   string
 	Revision uint64
 	Claim    Claim
 }
 
-// Answer is a response to record.
-type Answer struct {
+// Response is the response that is recorded with a key.
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -72,8 +72,8 @@
 
 // ClaimsOptions configures Claims.
 type ClaimsOptions struct {
-	// Patience is the time limit of one call of Claim, Finish or Free (0: 1 s).
-	Patience time.Duration
+	// Timeout is the time limit of one call of Claim, Finish or Free (0: 1 s).
+	Timeout time.Duration
 	// Retention is how long a key stays claimed (0: 24 h).
 	Retention time.Duration
 	// MaxBodyBytes is the size limit of a recorded response body (0: 16 KiB).
@@ -88,7 +88,7 @@
 }
 
 func (o ClaimsOptions) withDefaults() ClaimsOptions {
-	o.Patience = cmp.Or(o.Patience, defaultTimeout)
+	o.Timeout = cmp.Or(o.Timeout, defaultTimeout)
 	o.Retention = cmp.Or(o.Retention, defaultRetention)
 	o.MaxBodyBytes = cmp.Or(o.MaxBodyBytes, defaultMaxBodyBytes)
 	o.SweepInterval = cmp.Or(o.SweepInterval, defaultSweepInterval)
@@ -124,7 +124,7 @@
 // Claim tries to claim a key for its owner. If it cannot within the time limit, it fails with ErrClaimUnavailable or
 // ErrClaimUnknown. The owner must then not run the request, and a key that may have been claimed is freed in the
 // background.
-func (c *Claims) Claim(ctx context.Context, r ClaimRequest) (Held, ClaimOutcome, error) {
+func (c *Claims) Claim(ctx context.Context, r ClaimRequest) (ClaimRow, ClaimOutcome, error) {
 	ctx, cancel := c.withTimeout(ctx, r.Deadline)
 	defer cancel()
 	rowKey := rowKey(r)
@@ -138,20 +138,20 @@
 	c.runMachine(ctx, machine, rowKey, claim, func() uint64 { return machine.condition })
 	switch {
 	case machine.outcome == ClaimGranted:
-		return Held{RowKey: rowKey, Revision: machine.row.Revision, Claim: claim}, ClaimGranted, nil
+		return ClaimRow{RowKey: rowKey, Revision: machine.row.Revision, Claim: claim}, ClaimGranted, nil
 	case machine.outcome != 0:
-		return Held{RowKey: rowKey, Revision: machine.row.Revision, Claim: machine.claim}, machine.outcome, nil
+		return ClaimRow{RowKey: rowKey, Revision: machine.row.Revision, Claim: machine.claim}, machine.outcome, nil
 	case machine.mayHold():
 		c.queueRelease(release{rowKey: rowKey, claim: claim})
-		return Held{}, 0, errors.Wrapf(ErrClaimUnknown, "key %q of %s", r.Key, r.Service)
+		return ClaimRow{}, 0, errors.Wrapf(ErrClaimUnknown, "key %q of %s", r.Key, r.Service)
 	default:
-		return Held{}, 0, errors.Wrapf(ErrClaimUnavailable, "key %q of %s", r.Key, r.Service)
+		return ClaimRow{}, 0, errors.Wrapf(ErrClaimUnavailable, "key %q of %s", r.Key, r.Service)
 	}
 }
 
 // Finish records the final state of a granted claim: ClaimDone with the response, or ClaimUnknown. If it fails with
 // ErrClaimUnavailable, the key may stay held: later callers get an unknown outcome, and the request never runs again.
-func (c *Claims) Finish(ctx context.Context, h Held, state ClaimState, a Answer) error {
+func (c *Claims) Finish(ctx context.Context, h ClaimRow, state ClaimState, a Response) error {
 	claim := h.Claim
 	claim.State = state
 	if state == ClaimDone {
@@ -166,7 +166,7 @@
 
 // Free releases a granted key because the request certainly did not run. If it fails, the key is freed in the
 // background.
-func (c *Claims) Free(ctx context.Context, h Held) error {
+func (c *Claims) Free(ctx context.Context, h ClaimRow) error {
 	claim := h.Claim
 	claim.State = ClaimFree
 	err := c.settle(ctx, h, claim)
@@ -176,7 +176,7 @@
 	return err
 }
 
-func (c *Claims) settle(ctx context.Context, h Held, claim Claim) error {
+func (c *Claims) settle(ctx context.Context, h ClaimRow, claim Claim) error {
 	ctx, cancel := c.withTimeout(ctx, time.Time{})
 	defer cancel()
 	machine := newSettleAttempt(claim.Owner, claim.State, h.Revision)
@@ -187,9 +187,9 @@
 	return nil
 }
 
-// withTimeout returns a context that ends after Patience, or at the deadline if that is set and earlier.
+// withTimeout returns a context that ends after Timeout, or at the deadline if that is set and earlier.
 func (c *Claims) withTimeout(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
-	end := time.Now().Add(c.options.Patience)
+	end := time.Now().Add(c.options.Timeout)
 	if !deadline.IsZero() && deadline.Before(end) {
 		end = deadline
 	}
--- a/internal/atmostonce/claims_test.go
+++ b/internal/atmostonce/claims_test.go
@@ -95,7 +95,7 @@
 	return ClaimRequest{Service: "ledger", Caller: "c", Key: "notice-1", Owner: owner, Fingerprint: 7, Deadline: time.Now().Add(time.Minute)}
 }
 
-func mustClaim(t *testing.T, c *Claims, r ClaimRequest, want ClaimOutcome) Held {
+func mustClaim(t *testing.T, c *Claims, r ClaimRequest, want ClaimOutcome) ClaimRow {
 	t.Helper()
 	held, outcome, err := c.Claim(t.Context(), r)
 	if err != nil || outcome != want {
@@ -109,20 +109,20 @@
 	otherRequest.Fingerprint = 8
 	otherCaller := noticeRequest("second")
 	otherCaller.Caller = "d"
-	done := func(c *Claims, h Held) error {
-		return c.Finish(t.Context(), h, ClaimDone, Answer{Status: 201, Body: []byte("sent")})
+	done := func(c *Claims, h ClaimRow) error {
+		return c.Finish(t.Context(), h, ClaimDone, Response{Status: 201, Body: []byte("sent")})
 	}
 	cases := []struct {
 		name   string
-		end    func(*Claims, Held) error
+		end    func(*Claims, ClaimRow) error
 		second ClaimRequest
 		want   ClaimOutcome
 	}{
-		{"still held", func(*Claims, Held) error { return nil }, noticeRequest("second"), ClaimInProgress},
-		{"held under the same request identifier", func(*Claims, Held) error { return nil }, noticeRequest("first"), ClaimInProgress},
-		{"done", done, noticeRequest("second"), ClaimAnswered},
-		{"unknown", func(c *Claims, h Held) error { return c.Finish(t.Context(), h, ClaimUnknown, Answer{}) }, noticeRequest("second"), ClaimOutcomeUnknown},
-		{"freed", func(c *Claims, h Held) error { return c.Free(t.Context(), h) }, noticeRequest("second"), ClaimGranted},
+		{"still held", func(*Claims, ClaimRow) error { return nil }, noticeRequest("second"), ClaimInProgress},
+		{"held under the same request identifier", func(*Claims, ClaimRow) error { return nil }, noticeRequest("first"), ClaimInProgress},
+		{"done", done, noticeRequest("second"), ClaimCompleted},
+		{"unknown", func(c *Claims, h ClaimRow) error { return c.Finish(t.Context(), h, ClaimUnknown, Response{}) }, noticeRequest("second"), ClaimOutcomeUnknown},
+		{"freed", func(c *Claims, h ClaimRow) error { return c.Free(t.Context(), h) }, noticeRequest("second"), ClaimGranted},
 		{"another request under the key", done, otherRequest, ClaimMismatch},
 		{"another caller's key", done, otherCaller, ClaimGranted},
 	}
@@ -133,7 +133,7 @@
 				t.Fatal(err)
 			}
 			held := mustClaim(t, claims, c.second, c.want)
-			if c.want == ClaimAnswered && (held.Claim.Status != 201 || string(held.Claim.Body) != "sent" || !held.Claim.BodyKept) {
+			if c.want == ClaimCompleted && (held.Claim.Status != 201 || string(held.Claim.Body) != "sent" || !held.Claim.BodyKept) {
 				t.Errorf("recorded response %+v", held.Claim)
 			}
 		})
@@ -211,7 +211,7 @@
 		claims := NewClaims(table, ClaimsOptions{})
 		held := mustClaim(t, claims, noticeRequest("first"), ClaimGranted)
 		table.setDown(backing.ErrUnavailable)
-		if err := claims.Finish(t.Context(), held, ClaimDone, Answer{Status: 200}); !errors.Is(err, ErrClaimUnavailable) {
+		if err := claims.Finish(t.Context(), held, ClaimDone, Response{Status: 200}); !errors.Is(err, ErrClaimUnavailable) {
 			t.Fatalf("got error %v", err)
 		}
 		table.setDown(nil)
--- a/internal/atmostonce/exchange.go
+++ b/internal/atmostonce/exchange.go
@@ -13,14 +13,14 @@
 	// GotHead is the first frame of the response, and GotTrailer the last, with a matching checksum.
 	GotHead
 	GotTrailer
-	// GotFailedClean and GotFailedUnclear are Failed frames. Only the first guarantees that the endpoint did not run
+	// GotFailedNotRun and GotFailedUnknown are Failed frames. Only the first guarantees that the endpoint did not run
 	// the request.
-	GotFailedClean
-	GotFailedUnclear
-	// GaveUp: the caller disconnected, or the wait limit or the deadline passed.
-	GaveUp
-	// StreamBroke: the stream ended or carried an invalid frame.
-	StreamBroke
+	GotFailedNotRun
+	GotFailedUnknown
+	// Abandoned: the caller disconnected, or the wait limit or the deadline passed.
+	Abandoned
+	// StreamFailed: the stream ended or carried an invalid frame.
+	StreamFailed
 )
 
 // ExchangeAction is an output of an Exchange.
@@ -38,10 +38,10 @@
 	EndServed
 	// EndUnknown ends the attempt with an unknown outcome, before the response began.
 	EndUnknown
-	// EndCut ends the attempt with an unknown outcome, after the response began.
-	EndCut
+	// EndTruncated ends the attempt with an unknown outcome, after the response began.
+	EndTruncated
 	// SettleServed, SettleNotRun and SettleUnknown report the outcome of a committed request whose attempt had ended
-	// with EndUnknown or EndCut while its stream was kept open.
+	// with EndUnknown or EndTruncated while its stream was kept open.
 	SettleServed
 	SettleNotRun
 	SettleUnknown
@@ -90,11 +90,11 @@
 		x.answerStarted = true
 	case GotTrailer:
 		return x.finish(EndServed, SettleServed)
-	case GotRefused, GotFailedClean:
+	case GotRefused, GotFailedNotRun:
 		return x.refused()
-	case GotFailedUnclear, StreamBroke:
+	case GotFailedUnknown, StreamFailed:
 		return x.failed()
-	case GaveUp:
+	case Abandoned:
 		return x.giveUp()
 	}
 	return nil
@@ -105,7 +105,7 @@
 
 // impliesStarted reports whether the event can occur only for a request that was started.
 func (e ExchangeEvent) impliesStarted() bool {
-	return e == GotHead || e == GotTrailer || e == GotFailedUnclear
+	return e == GotHead || e == GotTrailer || e == GotFailedUnknown
 }
 
 func (x *Exchange) ready() []ExchangeAction {
@@ -159,7 +159,7 @@
 
 func (x *Exchange) unknownEnd() ExchangeAction {
 	if x.answerStarted {
-		return EndCut
+		return EndTruncated
 	}
 	return EndUnknown
 }
--- a/internal/atmostonce/execution.go
+++ b/internal/atmostonce/execution.go
@@ -5,8 +5,8 @@
 
 // The events of an execution: frames from the entry and local events at the agent.
 const (
-	// TurnCame: the queue admitted the request, which may now run.
-	TurnCame ExecutionEvent = iota
+	// Admitted: the queue admitted the request, which may now run.
+	Admitted ExecutionEvent = iota
 	// QueueRefused: the queue rejected or evicted the request.
 	QueueRefused
 	// GotCommit and GotCancel are frames from the entry.
@@ -18,10 +18,10 @@
 	CommitLate
 	// CallAnswered: the endpoint's whole response was forwarded.
 	CallAnswered
-	// CallFailedClean and CallFailedUnclear: the endpoint call failed. Only the first guarantees that the request did
+	// CallFailedNotRun and CallFailedUnknown: the endpoint call failed. Only the first guarantees that the request did
 	// not run.
-	CallFailedClean
-	CallFailedUnclear
+	CallFailedNotRun
+	CallFailedUnknown
 )
 
 // ExecutionAction is an output of an Execution.
@@ -37,15 +37,15 @@
 	StopCall
 	// LeaveQueue removes the request from the queue.
 	LeaveQueue
-	// GiveBackTurn releases the admission of a ready or running request.
-	GiveBackTurn
+	// ReleaseAdmission releases the admission of a ready or running request.
+	ReleaseAdmission
 	// SendRefused tells the entry that the request did not run.
 	SendRefused
 	// SendTrailer ends the response.
 	SendTrailer
-	// SendFailedClean and SendFailedUnclear tell the entry that the endpoint call failed.
-	SendFailedClean
-	SendFailedUnclear
+	// SendFailedNotRun and SendFailedUnknown tell the entry that the endpoint call failed.
+	SendFailedNotRun
+	SendFailedUnknown
 )
 
 type executionState int
@@ -88,7 +88,7 @@
 
 func (x *Execution) waiting(e ExecutionEvent) []ExecutionAction {
 	switch e {
-	case TurnCame:
+	case Admitted:
 		if x.twoStep {
 			x.state = executionReady
 			return []ExecutionAction{SendReady}
@@ -115,10 +115,10 @@
 		return []ExecutionAction{StartCall}
 	case GotCancel, CommitLate, QueueRefused:
 		x.state = executionEnded
-		return []ExecutionAction{GiveBackTurn, SendRefused}
+		return []ExecutionAction{ReleaseAdmission, SendRefused}
 	case EntryLost:
 		x.state = executionEnded
-		return []ExecutionAction{GiveBackTurn}
+		return []ExecutionAction{ReleaseAdmission}
 	}
 	return nil
 }
@@ -127,10 +127,10 @@
 	switch e {
 	case CallAnswered:
 		return x.endCall(SendTrailer)
-	case CallFailedClean:
-		return x.endCall(SendFailedClean)
-	case CallFailedUnclear:
-		return x.endCall(SendFailedUnclear)
+	case CallFailedNotRun:
+		return x.endCall(SendFailedNotRun)
+	case CallFailedUnknown:
+		return x.endCall(SendFailedUnknown)
 	case GotCancel, EntryLost:
 		// A call that must run at most once is not cancelled, so that its outcome becomes known.
 		if !x.twoStep {
@@ -142,13 +142,13 @@
 
 func (x *Execution) endCall(end ExecutionAction) []ExecutionAction {
 	x.state = executionEnded
-	return []ExecutionAction{GiveBackTurn, end}
+	return []ExecutionAction{ReleaseAdmission, end}
 }
 
 // ended releases an admission that was granted while the request was being removed from the queue.
 func (x *Execution) ended(e ExecutionEvent) []ExecutionAction {
-	if e == TurnCame {
-		return []ExecutionAction{GiveBackTurn}
+	if e == Admitted {
+		return []ExecutionAction{ReleaseAdmission}
 	}
 	return nil
 }
--- a/internal/atmostonce/faults_test.go
+++ b/internal/atmostonce/faults_test.go
@@ -86,7 +86,7 @@
 
 var frameOf = map[ExecutionAction]ExchangeEvent{
 	SendReady: GotReady, SendRefused: GotRefused, SendTrailer: GotTrailer,
-	SendFailedClean: GotFailedClean, SendFailedUnclear: GotFailedUnclear,
+	SendFailedNotRun: GotFailedNotRun, SendFailedUnknown: GotFailedUnknown,
 }
 
 func (s *stream) deliverToAgent(e ExecutionEvent) {
--- a/internal/atmostonce/property_test.go
+++ b/internal/atmostonce/property_test.go
@@ -145,7 +145,7 @@
 	if o.state != ClaimHeld {
 		return settleModel(now, after, r)
 	}
-	wants := map[ClaimOutcome]ClaimState{ClaimInProgress: ClaimHeld, ClaimAnswered: ClaimDone, ClaimOutcomeUnknown: ClaimUnknown}
+	wants := map[ClaimOutcome]ClaimState{ClaimInProgress: ClaimHeld, ClaimCompleted: ClaimDone, ClaimOutcomeUnknown: ClaimUnknown}
 	switch {
 	case !r.definite && now.state == ClaimFree:
 		return []any{now, after}
--- a/internal/atmostonce/sweep.go
+++ b/internal/atmostonce/sweep.go
@@ -24,7 +24,7 @@
 	sweepBatches = 4
 	// skewAllowance is added to the retention because ClaimedAt comes from another process's clock.
 	skewAllowance = 5 * time.Minute
-	// releaseAttempts bounds the attempts to free one key; each lasts at most Patience.
+	// releaseAttempts bounds the attempts to free one key; each lasts at most Timeout.
 	releaseAttempts = 20
 )
 
--- a/internal/atmostonce/world_test.go
+++ b/internal/atmostonce/world_test.go
@@ -125,7 +125,7 @@
 		c.revision = c.claimAttempt.row.Revision
 		c.phase = exchangePhase
 	case c.claimAttempt.outcome != 0:
-		c.callerOutcome = map[ClaimOutcome]string{ClaimAnswered: "answered", ClaimInProgress: "in progress", ClaimOutcomeUnknown: "unknown"}[c.claimAttempt.outcome]
+		c.callerOutcome = map[ClaimOutcome]string{ClaimCompleted: "answered", ClaimInProgress: "in progress", ClaimOutcomeUnknown: "unknown"}[c.claimAttempt.outcome]
 		c.phase = endPhase
 	case c.claimAttempt.mayHold():
 		c.callerOutcome = "not run"
@@ -148,7 +148,7 @@
 	st := c.streams[len(c.streams)-1]
 	switch sim.random.IntN(80) {
 	case 0:
-		sim.deliverToEntry(c, st, GaveUp)
+		sim.deliverToEntry(c, st, Abandoned)
 	case 1:
 		sim.breakStream(st)
 	}
@@ -175,7 +175,7 @@
 		case EndServed:
 			c.callerOutcome = "served"
 			sim.settle(c, newSettleAttempt(c.id, ClaimDone, c.revision), ClaimDone)
-		case EndUnknown, EndCut:
+		case EndUnknown, EndTruncated:
 			c.callerOutcome = "unknown"
 			if !st.exchange.Open() {
 				sim.settle(c, newSettleAttempt(c.id, ClaimUnknown, c.revision), ClaimUnknown)
@@ -211,7 +211,7 @@
 		sim.breakStream(st)
 		st.up = nil
 		st.exchange = NewExchange(true)
-		st.exchange.Step(StreamBroke)
+		st.exchange.Step(StreamFailed)
 	}
 }
 
@@ -234,7 +234,7 @@
 	case 3, 4, 5:
 		sim.deliverUp(st)
 	case 6:
-		st.deliverToAgent([]ExecutionEvent{TurnCame, TurnCame, TurnCame, QueueRefused, CommitLate}[sim.random.IntN(5)])
+		st.deliverToAgent([]ExecutionEvent{Admitted, Admitted, Admitted, QueueRefused, CommitLate}[sim.random.IntN(5)])
 	default:
 		sim.stepCall(st)
 	}
@@ -260,7 +260,7 @@
 	i := slices.IndexFunc(sim.clients, func(c *client) bool { return slices.Contains(c.streams, st) })
 	if len(st.up) == 0 {
 		if st.broken {
-			sim.deliverToEntry(sim.clients[i], st, StreamBroke)
+			sim.deliverToEntry(sim.clients[i], st, StreamFailed)
 		}
 		return
 	}
@@ -282,13 +282,13 @@
 	case 1:
 		st.runs++
 		st.calls--
-		st.deliverToAgent(CallFailedUnclear)
+		st.deliverToAgent(CallFailedUnknown)
 	case 2:
 		st.calls--
-		st.deliverToAgent(CallFailedClean)
+		st.deliverToAgent(CallFailedNotRun)
 	default:
 		// The endpoint may run the request after its agent gave up on the call.
-		st.deliverToAgent(CallFailedUnclear)
+		st.deliverToAgent(CallFailedUnknown)
 	}
 }
 
--- a/internal/capacity/control_test.go
+++ b/internal/capacity/control_test.go
@@ -39,9 +39,9 @@
 // viewOf returns a view of that many engines that have all reported.
 func viewOf(engines, models int) *membership.View {
 	view := membership.NewView()
-	view.HostsRead(endpointHosts(engines, "10.20.30.40:7100"), 1)
+	view.ApplyHosts(endpointHosts(engines, "10.20.30.40:7100"), 1)
 	for i := range engines {
-		view.Reported(start, engineName(i), statusOf(i, models))
+		view.ApplyReport(start, engineName(i), statusOf(i, models))
 	}
 	return view
 }
@@ -75,7 +75,7 @@
 					if err := proto.Unmarshal(data, up); err != nil {
 						b.Fatal(err)
 					}
-					view.Reported(start, engineName(i%n), up.Status)
+					view.ApplyReport(start, engineName(i%n), up.Status)
 				})
 			})
 		})
@@ -87,7 +87,7 @@
 	sweep(b, "cpu-ns", engineCounts, func(b *testing.B, n int) float64 {
 		view := viewOf(n, 10)
 		hosts := endpointHosts(n, "10.20.30.40:7100")
-		ns := cpuPerOp(b, func(i int) { view.HostsRead(hosts, uint64(i+2)) })
+		ns := cpuPerOp(b, func(i int) { view.ApplyHosts(hosts, uint64(i+2)) })
 		text, err := json.Marshal(hosts)
 		if err != nil {
 			b.Fatal(err)
--- a/internal/capacity/request_test.go
+++ b/internal/capacity/request_test.go
@@ -97,7 +97,7 @@
 // offered and taken out.
 func BenchmarkQueuedRequest(b *testing.B) {
 	sizes := []int{100, 1000, 10000}
-	estimate := admission.Estimate{Ready: true, Service: time.Microsecond, Concurrency: 16, Running: 16}
+	estimate := admission.Estimate{Ready: true, MeanServiceTime: time.Microsecond, Concurrency: 16, Running: 16}
 	fill := func(n int) *admission.Queue {
 		q := admission.NewQueue(admission.Options{MaxWaiting: n + 1})
 		for i := range n {
@@ -206,7 +206,7 @@
 // BenchmarkPermit gives the processor time of one permit, asked for, given and ended, while others wait.
 func BenchmarkPermit(b *testing.B) {
 	sweep(b, "cpu-ns", []int{10, 100, 1000, 10000}, func(b *testing.B, n int) float64 {
-		budget := permits.NewBudget(permits.Options{LoadsAtOnce: 4, AdaptersInTransit: 30})
+		budget := permits.NewBudget(permits.Options{LoadsAtOnce: 4, MaxAdapterLoads: 30})
 		ask := func(i int) {
 			budget.Request(start, engineName(i%targetEngines), &wirepb.PermitRequest{
 				Id:          strconv.Itoa(i),
--- a/internal/capacity/table_test.go
+++ b/internal/capacity/table_test.go
@@ -136,18 +136,18 @@
 				if outcome != atmostonce.ClaimGranted {
 					t.Errorf("outcome %v", outcome)
 				}
-				r.must(c.Finish(ctx, held, atmostonce.ClaimDone, atmostonce.Answer{Status: 200}))
+				r.must(c.Finish(ctx, held, atmostonce.ClaimDone, atmostonce.Response{Status: 200}))
 			})
 		}},
 		{"a repeated call with a key that ran", calls{reads: 1, conflicts: 1}, func(r *tableRig) calls {
 			c := atmostonce.NewClaims(r.table, atmostonce.ClaimsOptions{})
 			held, _, err := c.Claim(ctx, claimOf("a"))
 			r.must(err)
-			r.must(c.Finish(ctx, held, atmostonce.ClaimDone, atmostonce.Answer{Status: 200}))
+			r.must(c.Finish(ctx, held, atmostonce.ClaimDone, atmostonce.Response{Status: 200}))
 			return r.count(func() {
 				_, outcome, err := c.Claim(ctx, claimOf("a"))
 				r.must(err)
-				if outcome != atmostonce.ClaimAnswered {
+				if outcome != atmostonce.ClaimCompleted {
 					t.Errorf("outcome %v", outcome)
 				}
 			})
@@ -167,7 +167,7 @@
 	sweep(b, "cpu-ns", []int{0, 1 << 10, 16 << 10}, func(b *testing.B, n int) float64 {
 		rig := newTableRig(b)
 		c := atmostonce.NewClaims(rig.table, atmostonce.ClaimsOptions{})
-		answer := atmostonce.Answer{Status: 200, ContentType: "application/json", Body: make([]byte, n)}
+		answer := atmostonce.Response{Status: 200, ContentType: "application/json", Body: make([]byte, n)}
 		ns := cpuPerOp(b, func(i int) {
 			held, _, err := c.Claim(context.Background(), claimOf(strconv.Itoa(i)))
 			rig.must(err)
--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -36,8 +36,8 @@
 	Target time.Duration
 	// GapTarget is the latency target between two events of a stream; 0 means none is set.
 	GapTarget time.Duration
-	// Urgency is the priority of the route; 0 is the most urgent.
-	Urgency int
+	// Priority is the priority of the route; 0 is the most urgent.
+	Priority int
 	// Services are the destinations of the requests, with their weights.
 	Services []WeightedService
 	// MaxAttempts bounds the attempts of one request.
@@ -84,8 +84,8 @@
 	Batch int
 	// MemoryMB is the memory for the weights of models and adapters together.
 	MemoryMB float64
-	// AdapterPlaces bounds the adapters of an engine, including those being loaded or unloaded.
-	AdapterPlaces int
+	// MaxAdapters bounds the adapters of an engine, including those being loaded or unloaded.
+	MaxAdapters int
 	// LoadsPerSecond bounds the loads from the weight store that start per second, over all engines.
 	LoadsPerSecond float64
 	// Models is keyed by model name.
@@ -96,10 +96,10 @@
 type Model struct {
 	Name   string
 	SizeMB float64
-	// LoadTime, DiskTime and MemoryTime are the times of a load from the weight store, from the host's disk and from
+	// StoreLoadTime, DiskTime and MemoryTime are the times of a load from the weight store, from the host's disk and from
 	// the host's memory.
-	LoadTime, DiskTime, MemoryTime time.Duration
-	AdapterMB                      float64
+	StoreLoadTime, DiskTime, MemoryTime time.Duration
+	AdapterMB                           float64
 	// Adapters is the number of adapters declared for the model.
 	Adapters int
 }
--- a/internal/catalog/endpoints.go
+++ b/internal/catalog/endpoints.go
@@ -20,8 +20,8 @@
 	Slots         int
 	// Leaving is set for endpoints that get no new work.
 	Leaving bool
-	// GoneAfter is the remaining time until a leaving endpoint terminates, even if requests still run; zero if unknown.
-	GoneAfter time.Duration
+	// Remaining is the time until a leaving endpoint terminates, even if requests still run; zero if unknown.
+	Remaining time.Duration
 	// Models are the models loaded when the endpoint last registered; its agent's reports are more recent.
 	Models []string
 	// Revision is the revision of the store at which the entry was last written.
--- a/internal/control/agents.go
+++ b/internal/control/agents.go
@@ -63,7 +63,7 @@
 		links:   make(map[string]*agentLink),
 		byID:    make(map[string]*agentLink),
 	}
-	f.OnWanted(a.wakeLink)
+	f.OnAdapterWanted(a.wakeLink)
 	return a
 }
 
@@ -150,8 +150,8 @@
 	}()
 }
 
-// Command sends a command to the agent of an engine. It replaces one that has not been sent yet.
-func (a *Agents) Command(c *controlpb.Command) {
+// SendCommand sends a command to the agent of an engine. It replaces one that has not been sent yet.
+func (a *Agents) SendCommand(c *controlpb.Command) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l := a.byID[c.EndpointId]
@@ -196,7 +196,7 @@
 	class := &controlpb.EngineClass{
 		ConfigVersion: config.Version,
 		MemoryMb:      engine.MemoryMB,
-		AdapterPlaces: int32(engine.AdapterPlaces),
+		AdapterPlaces: int32(engine.MaxAdapters),
 	}
 	for _, m := range engine.Models {
 		class.Models = append(class.Models, &controlpb.Model{Name: m.Name, SizeMb: m.SizeMB, AdapterMb: m.AdapterMB})
@@ -231,7 +231,7 @@
 	a.mu.Lock()
 	id := l.endpoint.ID
 	a.mu.Unlock()
-	a.fleet.SetSilent(id, errors.Is(err, wire.ErrTimeout))
+	a.fleet.SetDisconnected(id, errors.Is(err, wire.ErrTimeout))
 }
 
 // SinceFirstMessage returns the time since the first message of any agent, or zero if none has arrived.
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -154,7 +154,7 @@
 	agent := startAgent(t, low.Addr().String(), high.Addr().String())
 	a, b := startGateway(t, low, agent), startGateway(t, high, agent)
 	now := func() time.Time { return time.Now() }
-	eventually(t, "only the gateway with the lower address is the coordinator", func() bool { return a.peers.Coordinates(now()) && !b.peers.Coordinates(now()) })
+	eventually(t, "only the gateway with the lower address is the coordinator", func() bool { return a.peers.IsCoordinator(now()) && !b.peers.IsCoordinator(now()) })
 	b.fleet.Wait(fleet.Target{Service: "s", Model: "m"}, now())
 	eventually(t, "the coordinator receives the other gateway's demand", func() bool {
 		d := a.peers.Demand(now())[b.address]
@@ -163,7 +163,7 @@
 	agent.mu.Lock()
 	agent.gateways = []string{b.address}
 	agent.mu.Unlock()
-	eventually(t, "the other gateway is the coordinator", func() bool { return b.peers.Coordinates(now()) })
+	eventually(t, "the other gateway is the coordinator", func() bool { return b.peers.IsCoordinator(now()) })
 }
 
 // After a power loss all hosts start together and every model must be loaded again, so a late coordinator delays all waiting
@@ -177,7 +177,7 @@
 	agent := startAgent(t, low.Addr().String(), high.Addr().String())
 	began := time.Now()
 	a, _ := startGateway(t, low, agent), startGateway(t, high, agent)
-	eventually(t, "the gateway with the lower address is the coordinator", func() bool { return a.peers.Coordinates(time.Now()) })
+	eventually(t, "the gateway with the lower address is the coordinator", func() bool { return a.peers.IsCoordinator(time.Now()) })
 	if elapsed := time.Since(began); elapsed < minActivationDelay || elapsed >= activationDelay {
 		t.Errorf("coordinator became active after %v, want %v to %v", elapsed, minActivationDelay, activationDelay)
 	}
@@ -190,7 +190,7 @@
 	agent := startAgent(t, listener.Addr().String(), "127.255.255.254:1")
 	began := time.Now()
 	g := startGateway(t, listener, agent)
-	eventually(t, "the gateway is the coordinator", func() bool { return g.peers.Coordinates(time.Now()) })
+	eventually(t, "the gateway is the coordinator", func() bool { return g.peers.IsCoordinator(time.Now()) })
 	if elapsed := time.Since(began); elapsed < activationDelay {
 		t.Errorf("coordinator became active after %v, want at least %v", elapsed, activationDelay)
 	}
@@ -205,7 +205,7 @@
 			return m.EndpointId == "e1" && m.EngineClass != nil && len(m.EngineClass.Models) == 1
 		})
 	})
-	g.agents.Command(&controlpb.Command{Id: 7, EndpointId: "e1", Load: "m"})
+	g.agents.SendCommand(&controlpb.Command{Id: 7, EndpointId: "e1", Load: "m"})
 	eventually(t, "the agent receives the command", func() bool {
 		return agent.hasReceived(func(m *controlpb.ToAgent) bool { return m.Command != nil && m.Command.Id == 7 })
 	})
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -6,9 +6,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Register registers the metrics of a gateway's links: the number of listed and of active agents, the age of the oldest
-// last message among the active ones, the number of gateways, and whether this gateway is the coordinator.
-func Register(r prometheus.Registerer, a *Agents, p *Peers) error {
+// RegisterMetrics registers the metrics of a gateway's links: the number of listed and of active agents, the age of the
+// oldest last message among the active ones, the number of gateways, and whether this gateway is the coordinator.
+func RegisterMetrics(r prometheus.Registerer, a *Agents, p *Peers) error {
 	gauge := func(name, help string, read func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "balsamsail_control_" + name, Help: help}, read)
 	}
@@ -16,9 +16,9 @@
 		gauge("agents_listed", "Agents to which there should be a link.", func() float64 { listed, _, _ := a.linkStats(time.Now()); return float64(listed) }),
 		gauge("agents_heard", "Agents that were heard within the silence limit.", func() float64 { _, active, _ := a.linkStats(time.Now()); return float64(active) }),
 		gauge("oldest_word_seconds", "Age of the oldest last word among the agents that are heard.", func() float64 { _, _, oldest := a.linkStats(time.Now()); return oldest.Seconds() }),
-		gauge("gateways", "Gateways that are known, this one included.", func() float64 { return float64(p.Known()) }),
+		gauge("gateways", "Gateways that are known, this one included.", func() float64 { return float64(p.GatewayCount()) }),
 		gauge("coordinates", "1 while this gateway decides on placement.", func() float64 {
-			if p.Coordinates(time.Now()) {
+			if p.IsCoordinator(time.Now()) {
 				return 1
 			}
 			return 0
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -85,8 +85,8 @@
 	}()
 }
 
-// Known returns the number of gateways, this one included, that agents have recently reported.
-func (p *Peers) Known() int { return max(1, int(p.gatewayCount.Load())) }
+// GatewayCount returns the number of gateways, this one included, that agents have recently reported.
+func (p *Peers) GatewayCount() int { return max(1, int(p.gatewayCount.Load())) }
 
 // Waiting returns a channel that is signaled when a request of any gateway starts to wait for a model.
 func (p *Peers) Waiting() <-chan struct{} { return p.waiting }
@@ -188,8 +188,8 @@
 	return n
 }
 
-// Coordinates reports whether this gateway is the coordinator and has passed its activation delay.
-func (p *Peers) Coordinates(now time.Time) bool {
+// IsCoordinator reports whether this gateway is the coordinator and has passed its activation delay.
+func (p *Peers) IsCoordinator(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.electedAt.IsZero() || p.active {
--- a/internal/declarations/declared.go
+++ b/internal/declarations/declared.go
@@ -4,9 +4,9 @@
 // conditional on this row, so that a write decided on older declarations cannot commit after an edit was accepted.
 const HeadKey = headKey
 
-// Declared returns the current set and the table revision of the head row that names it. It returns false before the
-// first read, and while the head row last read names a revision other than the current set's.
-func (s *Store) Declared() (*Set, uint64, bool) {
+// CurrentWithHeadRow returns the current set and the table revision of the head row that names it. It returns false
+// before the first read, and while the head row last read names a revision other than the current set's.
+func (s *Store) CurrentWithHeadRow() (*Set, uint64, bool) {
 	s.mu.Lock()
 	headRowRevision, revision, synced := s.headRowRevision, s.headRevision, s.synced
 	s.mu.Unlock()
--- a/internal/declarations/edit.go
+++ b/internal/declarations/edit.go
@@ -147,10 +147,10 @@
 
 // The states of an operation.
 const (
-	// OperationMade: the edit was committed.
-	OperationMade OperationState = "made"
-	// OperationNever: the edit was not committed and never will be.
-	OperationNever OperationState = "never"
+	// OperationCommitted: the edit was committed.
+	OperationCommitted OperationState = "made"
+	// OperationNotCommitted: the edit was not committed and never will be.
+	OperationNotCommitted OperationState = "never"
 	// OperationUnknown: the edit has not been committed so far but still may be.
 	OperationUnknown OperationState = "unknown"
 )
@@ -164,10 +164,10 @@
 		return OperationUnknown, 0, err
 	}
 	if made := findOperation(view.history, id); made != nil {
-		return OperationMade, made.GetRevision(), nil
+		return OperationCommitted, made.GetRevision(), nil
 	}
 	if basedOn != 0 && findRevision(view.history, basedOn+1) != nil {
-		return OperationNever, 0, nil
+		return OperationNotCommitted, 0, nil
 	}
 	return OperationUnknown, 0, nil
 }
--- a/internal/declarations/edit_test.go
+++ b/internal/declarations/edit_test.go
@@ -34,7 +34,7 @@
 		if took := time.Since(start); took > time.Second {
 			t.Errorf("in force after %v", took)
 		}
-		if _, ok := reader.Current().Engine("e"); !ok || !reader.Ready() || !reader.Outage().IsZero() {
+		if _, ok := reader.Current().Engine("e"); !ok || !reader.Ready() || !reader.OutageSince().IsZero() {
 			t.Error("the reader lacks the edit or isn't ready")
 		}
 		deltas, ok := reader.DeltasSince(0)
@@ -110,7 +110,7 @@
 	mustEdit(t, a, EditRequest{Author: "third", Change: putEngine("g")})
 	_, err := b.Edit(t.Context(), EditRequest{BasedOn: 1, Author: "loser", Change: putEngine("h")})
 	var conflict *ConflictError
-	if !errors.As(err, &conflict) || *conflict != (ConflictError{BasedOn: 1, Revision: 3, Winner: 2, Author: "winner"}) {
+	if !errors.As(err, &conflict) || *conflict != (ConflictError{BasedOn: 1, Revision: 3, WinningRevision: 2, Author: "winner"}) {
 		t.Errorf("error is %+v", err)
 	}
 	if !strings.Contains(err.Error(), `lost to revision 2 by "winner"`) {
@@ -180,7 +180,7 @@
 			t.Errorf("operation is %v, %v", state, err)
 		}
 		table.apply(late)
-		if state, revision, err := s.Operation(t.Context(), "op", 0); state != OperationMade || revision != 1 || err != nil {
+		if state, revision, err := s.Operation(t.Context(), "op", 0); state != OperationCommitted || revision != 1 || err != nil {
 			t.Errorf("operation is %v at %d, %v", state, revision, err)
 		}
 		if state, _, _ := s.Operation(t.Context(), "other", 0); state != OperationUnknown {
@@ -193,7 +193,7 @@
 	s := newTestStore(newMemTable(), Options{})
 	mustEdit(t, s, EditRequest{OperationID: "first", Change: putEngine("e")})
 	mustEdit(t, s, EditRequest{OperationID: "second", Change: putEngine("f")})
-	if state, _, _ := s.Operation(t.Context(), "lost", 1); state != OperationNever {
+	if state, _, _ := s.Operation(t.Context(), "lost", 1); state != OperationNotCommitted {
 		t.Errorf("an operation on revision 1 is %v", state)
 	}
 	if state, _, _ := s.Operation(t.Context(), "lost", 2); state != OperationUnknown {
--- a/internal/declarations/editor.go
+++ b/internal/declarations/editor.go
@@ -224,7 +224,7 @@
 	}
 	conflict := &ConflictError{BasedOn: base, Revision: newest}
 	if winner := findRevision(view.history, base+1); winner != nil {
-		conflict.Winner, conflict.Author = winner.GetRevision(), winner.GetAuthor()
+		conflict.WinningRevision, conflict.Author = winner.GetRevision(), winner.GetAuthor()
 	}
 	return e.fail(conflict)
 }
--- a/internal/declarations/errors.go
+++ b/internal/declarations/errors.go
@@ -27,16 +27,16 @@
 type ConflictError struct {
 	// BasedOn is the revision that the edit was based on; Revision is the newest one.
 	BasedOn, Revision uint64
-	// Winner is the revision that took the edit's place and Author is who made it; they are 0 and empty if the table's
-	// log no longer holds that revision.
-	Winner uint64
-	Author string
+	// WinningRevision is the revision that took the edit's place and Author is who made it; they are 0 and empty if the
+	// table's log no longer holds that revision.
+	WinningRevision uint64
+	Author          string
 }
 
 func (e *ConflictError) Error() string {
 	winner := "an edit that is no longer logged"
-	if e.Winner != 0 {
-		winner = fmt.Sprintf("revision %d by %q", e.Winner, e.Author)
+	if e.WinningRevision != 0 {
+		winner = fmt.Sprintf("revision %d by %q", e.WinningRevision, e.Author)
 	}
 	return fmt.Sprintf("declarations: edit based on revision %d lost to %s; the newest revision is %d", e.BasedOn, winner, e.Revision)
 }
--- a/internal/declarations/race_test.go
+++ b/internal/declarations/race_test.go
@@ -66,7 +66,7 @@
 		return []any{state.with(call)}
 	case errors.As(result.err, &conflict):
 		if state.made(call.id) == 0 && call.basedOn != 0 && conflict.Revision == newest && call.basedOn < newest &&
-			conflict.Winner == call.basedOn+1 && conflict.Author == authorOf(state.log[call.basedOn]) {
+			conflict.WinningRevision == call.basedOn+1 && conflict.Author == authorOf(state.log[call.basedOn]) {
 			return []any{state}
 		}
 	case errors.Is(result.err, ErrOutcomeUnknown):
--- a/internal/declarations/store.go
+++ b/internal/declarations/store.go
@@ -146,25 +146,25 @@
 	return s.synced
 }
 
-// Outage returns the start of the current table outage, or the zero time if there is none.
-func (s *Store) Outage() time.Time {
+// OutageSince returns the start of the current table outage, or the zero time if there is none.
+func (s *Store) OutageSince() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.outageSince
 }
 
 func (s *Store) outageSeconds() float64 {
-	since := s.Outage()
+	since := s.OutageSince()
 	if since.IsZero() {
 		return 0
 	}
 	return s.clock.Now().Sub(since).Seconds()
 }
 
-// Learn applies a peer's declarations if they are newer, so that a process that starts during a table outage gets the
-// highest revision of its peers. Either argument may be nil. It returns an error that wraps ErrGap if the deltas do not
-// follow the current revision, or ErrInvalid.
-func (s *Store) Learn(snapshot *pb.Snapshot, deltas []*pb.Delta) error {
+// ApplyFromPeer applies a peer's declarations if they are newer, so that a process that starts during a table outage
+// gets the highest revision of its peers. Either argument may be nil. It returns an error that wraps ErrGap if the
+// deltas do not follow the current revision, or ErrInvalid.
+func (s *Store) ApplyFromPeer(snapshot *pb.Snapshot, deltas []*pb.Delta) error {
 	if snapshot.GetRevision() > s.Current().Revision() {
 		set, err := NewSet(snapshot)
 		if err != nil {
--- a/internal/declarations/store_test.go
+++ b/internal/declarations/store_test.go
@@ -108,11 +108,11 @@
 		s := newTestStore(table, Options{})
 		runStore(t, s)
 		time.Sleep(5 * time.Second)
-		if err := s.Learn(peer.Current().Snapshot(), nil); err != nil {
+		if err := s.ApplyFromPeer(peer.Current().Snapshot(), nil); err != nil {
 			t.Fatal(err)
 		}
-		if s.Current().Revision() != 2 || s.Ready() || s.Outage().IsZero() {
-			t.Errorf("revision %d, ready %v, outage since %v", s.Current().Revision(), s.Ready(), s.Outage())
+		if s.Current().Revision() != 2 || s.Ready() || s.OutageSince().IsZero() {
+			t.Errorf("revision %d, ready %v, outage since %v", s.Current().Revision(), s.Ready(), s.OutageSince())
 		}
 		table.mu.Lock()
 		table.beforeRead = nil
@@ -143,7 +143,7 @@
 		{"old snapshot and deltas", snapshots[1], deltas, 5, nil},
 	}
 	for _, step := range steps {
-		err := s.Learn(step.snapshot, step.deltas)
+		err := s.ApplyFromPeer(step.snapshot, step.deltas)
 		if !errors.Is(err, step.err) || (err == nil) != (step.err == nil) {
 			t.Errorf("%s: error %v, want %v", step.name, err, step.err)
 		}
@@ -191,8 +191,8 @@
 		table.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if !s.Ready() || !s.Outage().IsZero() || s.outageSeconds() != 0 {
-			t.Errorf("ready %v, outage since %v", s.Ready(), s.Outage())
+		if !s.Ready() || !s.OutageSince().IsZero() || s.outageSeconds() != 0 {
+			t.Errorf("ready %v, outage since %v", s.Ready(), s.OutageSince())
 		}
 	})
 }
--- a/internal/endpoint/admin.go
+++ b/internal/endpoint/admin.go
@@ -34,13 +34,13 @@
 	CodeInvalid      = "invalid"
 )
 
-// Refusal is the error document that an engine returns for a refused order or read.
-type Refusal struct {
-	Error RefusalDetail `json:"error"`
+// ErrorDocument is the error document that an engine returns for a refused order or read.
+type ErrorDocument struct {
+	Error ErrorDetail `json:"error"`
 }
 
-// RefusalDetail holds the reason of a refusal.
-type RefusalDetail struct {
+// ErrorDetail holds the reason of a refusal.
+type ErrorDetail struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
--- a/internal/endpoint/caller_contract_test.go
+++ b/internal/endpoint/caller_contract_test.go
@@ -172,7 +172,7 @@
 		{name: "no fault", status: http.StatusOK, whole: true},
 		{name: "slow and late", faults: engine.Faults{SlowFactor: 2, Late: always, LateSeconds: 0.01}, status: http.StatusOK, whole: true},
 		{name: "refuses", faults: engine.Faults{Refuse: true}, status: http.StatusServiceUnavailable},
-		{name: "another request's answer", faults: engine.Faults{Cross: always}, wantErr: endpoint.ErrWrongAnswer},
+		{name: "another request's answer", faults: engine.Faults{SwapAnswer: always}, wantErr: endpoint.ErrWrongAnswer},
 		{name: "cut in the middle", faults: engine.Faults{Cut: always, CutAfterTokens: 3}, status: http.StatusOK},
 		{name: "cut after the last token", faults: engine.Faults{Cut: always, CutAfterTokens: 8}, status: http.StatusOK},
 	}
@@ -304,7 +304,7 @@
 	for _, handler := range handlers {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/faults", strings.NewReader(`{"refusse":true}`)))
-		var refusal endpoint.Refusal
+		var refusal endpoint.ErrorDocument
 		if err := json.Unmarshal(w.Body.Bytes(), &refusal); err != nil || w.Code != http.StatusBadRequest {
 			t.Fatalf("status %d, %s", w.Code, w.Body)
 		}
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -49,8 +49,8 @@
 	// Model is "name@version".
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
-	// Fence is the fencing token. It increases with each order of an agent and from each agent to the next.
-	Fence uint64 `json:"fence"`
+	// FencingToken is the fencing token. It increases with each order of an agent and from each agent to the next.
+	FencingToken uint64 `json:"fence"`
 	// MemoryBytes is the declared memory demand of the load.
 	MemoryBytes int64 `json:"memory_bytes"`
 }
@@ -59,10 +59,10 @@
 type LoadedModel struct {
 	Model string `json:"model"`
 	// State is "loading", "loaded" or "unloading".
-	State       string   `json:"state"`
-	MemoryBytes int64    `json:"memory_bytes"`
-	Adapters    []string `json:"adapters,omitempty"`
-	Fence       uint64   `json:"fence"`
+	State        string   `json:"state"`
+	MemoryBytes  int64    `json:"memory_bytes"`
+	Adapters     []string `json:"adapters,omitempty"`
+	FencingToken uint64   `json:"fence"`
 }
 
 // The states of a LoadedModel.
@@ -81,8 +81,8 @@
 	Models      []LoadedModel `json:"models"`
 	// Cached lists model versions whose checkpoint is in host memory ("memory") or on local disk ("disk").
 	Cached map[string]string `json:"cached,omitempty"`
-	// HighestFence is the highest fencing token seen; 0 if the engine ignores them.
-	HighestFence uint64 `json:"highest_fence"`
+	// HighestFencingToken is the highest fencing token seen; 0 if the engine ignores them.
+	HighestFencingToken uint64 `json:"highest_fence"`
 }
 
 // LoadReport is an engine's report of its load. It lags behind the actual load.
--- a/internal/endpoint/engine.go
+++ b/internal/endpoint/engine.go
@@ -133,7 +133,7 @@
 
 // refusalError returns the error for an order that was not answered with success.
 func refusalError(resp *http.Response) error {
-	var document Refusal
+	var document ErrorDocument
 	// An answer that is not an error document has no code and leaves the outcome unknown.
 	_ = json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&document)
 	cause := errors.Errorf("status %d %s", resp.StatusCode, document.Error.Message)
--- a/internal/endpoint/engine_contract_test.go
+++ b/internal/endpoint/engine_contract_test.go
@@ -47,7 +47,7 @@
 }
 
 func load(model string, fence uint64, bytes int64) endpoint.Order {
-	return endpoint.Order{ID: "order", Kind: endpoint.OrderLoad, Model: model, Fence: fence, MemoryBytes: bytes}
+	return endpoint.Order{ID: "order", Kind: endpoint.OrderLoad, Model: model, FencingToken: fence, MemoryBytes: bytes}
 }
 
 // waitFor waits until a condition holds.
@@ -127,12 +127,12 @@
 		{name: "load fails", faults: engine.Faults{LoadFails: always}, order: load("new@1", 6, 40), want: endpoint.ErrLoadFailed},
 		{
 			name:  "unknown kind",
-			order: endpoint.Order{Kind: "role", Model: "new@1", Fence: 6},
+			order: endpoint.Order{Kind: "role", Model: "new@1", FencingToken: 6},
 			want:  endpoint.ErrInvalid,
 		},
 		{
 			name:  "adapter without its model",
-			order: endpoint.Order{Kind: endpoint.OrderLoadAdapter, Model: "new@1", Adapter: "a", Fence: 6},
+			order: endpoint.Order{Kind: endpoint.OrderLoadAdapter, Model: "new@1", Adapter: "a", FencingToken: 6},
 			want:  endpoint.ErrLoadFailed,
 		},
 		{name: "wrong credentials", token: "guess", order: load("new@1", 6, 40), want: endpoint.ErrUnauthorized},
--- a/internal/engineagent/adapters.go
+++ b/internal/engineagent/adapters.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		c.lastUsed[a] = now
-		if c.adapterCount() < c.class.AdapterPlaces && c.memoryFree()-c.reservedByCommand() >= c.class.Models[a.Model].AdapterMB {
+		if c.adapterCount() < c.class.MaxAdapters && c.memoryFree()-c.reservedByCommand() >= c.class.Models[a.Model].AdapterMB {
 			return &Order{Kind: Load, Model: a.Model, Adapter: a.Name}
 		}
 		if victim, ok := c.leastRecentlyUsedAdapter(now); ok {
--- a/internal/engineagent/core.go
+++ b/internal/engineagent/core.go
@@ -30,10 +30,10 @@
 
 // EngineClass is the operator's declaration of the engine.
 type EngineClass struct {
-	Version       int64
-	MemoryMB      float64
-	AdapterPlaces int
-	Models        map[string]Model
+	Version     int64
+	MemoryMB    float64
+	MaxAdapters int
+	Models      map[string]Model
 }
 
 // Adapter identifies an adapter of a model.
--- a/internal/engineagent/core_test.go
+++ b/internal/engineagent/core_test.go
@@ -11,7 +11,7 @@
 
 // testClass returns the class of an engine with memory for three models and capacity for four adapters.
 func testClass() *EngineClass {
-	class := &EngineClass{Version: 1, MemoryMB: 230_000, AdapterPlaces: 4, Models: make(map[string]Model)}
+	class := &EngineClass{Version: 1, MemoryMB: 230_000, MaxAdapters: 4, Models: make(map[string]Model)}
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		class.Models[name] = Model{SizeMB: 72_000, AdapterMB: 66}
 	}
@@ -101,7 +101,7 @@
 	if e.busy != nil && e.busy.Kind == Load {
 		used += e.class.Models[e.busy.Model].SizeMB
 	}
-	if used > e.class.MemoryMB || adapters > e.class.AdapterPlaces {
+	if used > e.class.MemoryMB || adapters > e.class.MaxAdapters {
 		e.t.Fatalf("order %+v overcommits the engine: %.0f MB, %d adapters", o, used, adapters)
 	}
 }
--- a/internal/engineagent/messages.go
+++ b/internal/engineagent/messages.go
@@ -20,10 +20,10 @@
 	}
 	if c := m.EngineClass; c != nil {
 		message.Class = &EngineClass{
-			Version:       c.ConfigVersion,
-			MemoryMB:      c.MemoryMb,
-			AdapterPlaces: int(c.AdapterPlaces),
-			Models:        make(map[string]Model, len(c.Models)),
+			Version:     c.ConfigVersion,
+			MemoryMB:    c.MemoryMb,
+			MaxAdapters: int(c.AdapterPlaces),
+			Models:      make(map[string]Model, len(c.Models)),
 		}
 		for _, model := range c.Models {
 			message.Class.Models[model.Name] = Model{SizeMB: model.SizeMb, AdapterMB: model.AdapterMb}
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -103,7 +103,7 @@
 }
 
 // stallTimeout bounds each write to a caller that has stopped reading. Without it such a caller would hold a place at
-// the engine for up to MaxAnswer.
+// the engine for up to MaxResponseDuration.
 const stallTimeout = 30 * time.Second
 
 // send writes data to the caller, after any held bytes.
@@ -160,11 +160,11 @@
 }
 
 // claimAnswer returns the response as a claim records it; the body is included only when all of it was held back.
-func (a *response) claimAnswer() atmostonce.Answer {
+func (a *response) claimAnswer() atmostonce.Response {
 	if a.head == nil {
-		return atmostonce.Answer{}
+		return atmostonce.Response{}
 	}
-	recorded := atmostonce.Answer{Status: int(a.head.Status)}
+	recorded := atmostonce.Response{Status: int(a.head.Status)}
 	for _, h := range a.head.Headers {
 		if h.Name == "Content-Type" {
 			recorded.ContentType = h.Value
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -135,7 +135,7 @@
 // started without its commit; any other request may have, if the frame arrived after all.
 func (t *attempt) offerFailedOutcome() routing.Outcome {
 	if t.rq.idempotent {
-		return routing.OutcomeBroken
+		return routing.OutcomeUnknown
 	}
 	return routing.OutcomeNotSent
 }
@@ -203,12 +203,13 @@
 
 // frameTimeout returns how long to wait for the next frame. Before the request runs, the wait for a silent endpoint is
 // short enough to leave time for another one. Once it runs only the deadline counts, and a streamed response whose
-// first bytes have arrived is bounded by MaxAnswer. A head alone does not count as first bytes: the link may break
-// right after it, and the caller would then get nothing until the broken link is detected, long after its deadline.
+// first bytes have arrived is bounded by MaxResponseDuration. A head alone does not count as first bytes: the link may
+// break right after it, and the caller would then get nothing until the broken link is detected, long after its
+// deadline.
 func (t *attempt) frameTimeout(left time.Duration) time.Duration {
 	switch {
 	case t.firstByte > 0 && t.rq.stream:
-		return t.entry.options.MaxAnswer
+		return t.entry.options.MaxResponseDuration
 	case !t.running && !t.noAlternative:
 		return min(left, t.acceptTimeout(left))
 	default:
@@ -227,13 +228,13 @@
 
 // acceptTimeout returns how long a waiting request stays with its endpoint while another one could be tried.
 //
-// When a load is about to finish, the expected wait is close to zero. The minimum that PatienceFor applies prevents the
-// request from being cancelled just as it starts, which would give the caller an unknown outcome with seconds left.
+// When a load is about to finish, the expected wait is close to zero. The minimum that StageTimeout applies prevents
+// the request from being cancelled just as it starts, which would give the caller an unknown outcome with seconds left.
 func (t *attempt) acceptTimeout(left time.Duration) time.Duration {
 	if !t.cold {
-		return routing.PatienceFor(t.stage, left, t.expected)
+		return routing.StageTimeout(t.stage, left, t.expected)
 	}
-	wait := max(coldLoadFactor*t.expected, routing.PatienceFor(t.stage, left, t.expected))
+	wait := max(coldLoadFactor*t.expected, routing.StageTimeout(t.stage, left, t.expected))
 	if t.expected == 0 || left-wait <= t.expected {
 		// Another engine could not load the model in the remaining time.
 		return left
@@ -251,7 +252,7 @@
 		return false
 	case atmostonce.SendCancel:
 		// A write of the body may be blocked on an endpoint that does not read, and would delay the cancel.
-		t.stream.StopWriting()
+		t.stream.AbortWrites()
 		_ = t.write(&wirepb.ToAgent{Frame: &wirepb.ToAgent_Cancel{Cancel: &wirepb.Cancel{}}})
 		return false
 	}
@@ -265,18 +266,18 @@
 	case atmostonce.EndServed:
 		return routing.OutcomeServed
 	case atmostonce.EndUnknown:
-		return routing.OutcomeBroken
-	case atmostonce.EndCut:
+		return routing.OutcomeUnknown
+	case atmostonce.EndTruncated:
 		if !t.out.headSent {
-			return routing.OutcomeBroken
+			return routing.OutcomeUnknown
 		}
-		return routing.OutcomeCut
+		return routing.OutcomeTruncated
 	}
 	if t.refusal != nil {
 		return routing.OutcomeRefused
 	}
 	if t.running {
-		return routing.OutcomeFailedClean
+		return routing.OutcomeFailedNotRun
 	}
 	return routing.OutcomeNotSent
 }
--- a/internal/entry/bounds_test.go
+++ b/internal/entry/bounds_test.go
@@ -23,8 +23,8 @@
 )
 
 // The link to an engine's agent breaks half-open between the head of a streamed response and its first bytes. The entry
-// used to wait up to MaxAnswer for a body that had not started, and the caller got nothing until the connection was
-// found dead.
+// used to wait up to MaxResponseDuration for a body that had not started, and the caller got nothing until the
+// connection was found dead.
 func TestFrameWait(t *testing.T) {
 	const left, maxAnswer = 2 * time.Second, time.Hour
 	cases := []struct {
@@ -43,7 +43,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			a := &attempt{
-				entry: &Entry{options: Options{MaxAnswer: maxAnswer}}, rq: &request{stream: c.streamed},
+				entry: &Entry{options: Options{MaxResponseDuration: maxAnswer}}, rq: &request{stream: c.streamed},
 				out: newResponse(httptest.NewRecorder(), "r"), running: c.running, noAlternative: c.noAlternative,
 			}
 			if c.head {
--- a/internal/entry/candidates.go
+++ b/internal/entry/candidates.go
@@ -46,7 +46,7 @@
 // from the table.
 func (e *Entry) reportedCandidates(endpoints map[string]*membership.Endpoint, t admission.Target) []routing.Candidate {
 	var list []routing.Candidate
-	if e.grants.Complete() {
+	if e.grants.Synced() {
 		return nil
 	}
 	for _, ep := range endpoints {
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -37,7 +37,7 @@
 }
 
 // claim claims the idempotency key, or returns the result of a request that must not run.
-func (e *Entry) claim(ctx context.Context, rq *request, key string, out *response) (atmostonce.Held, *result) {
+func (e *Entry) claim(ctx context.Context, rq *request, key string, out *response) (atmostonce.ClaimRow, *result) {
 	held, outcome, err := e.claims.Claim(ctx, atmostonce.ClaimRequest{
 		Service: rq.target.Service,
 		Key:     key,
@@ -64,7 +64,7 @@
 // duplicateResult returns the result of a request whose key was claimed by an earlier one.
 func (e *Entry) duplicateResult(outcome atmostonce.ClaimOutcome, c atmostonce.Claim, out *response) *result {
 	switch outcome {
-	case atmostonce.ClaimAnswered:
+	case atmostonce.ClaimCompleted:
 		return e.replay(c, out)
 	case atmostonce.ClaimMismatch:
 		message := "the idempotency key belongs to another request"
@@ -106,12 +106,12 @@
 //
 // All of this runs in the background. While the table is down the write takes its whole timeout, which would delay the
 // caller's final response beyond its deadline.
-func (e *Entry) settleClaim(rq *request, held atmostonce.Held, ended result, out *response) {
+func (e *Entry) settleClaim(rq *request, held atmostonce.ClaimRow, ended result, out *response) {
 	if ended.pending != nil {
 		go func() {
 			// The response was not kept, so the claim of a request that did run is recorded without one.
 			f := <-ended.pending
-			e.finishClaim(rq, held, f == executionNotRun, atmostonce.ClaimUnknown, atmostonce.Answer{})
+			e.finishClaim(rq, held, f == executionNotRun, atmostonce.ClaimUnknown, atmostonce.Response{})
 		}()
 		return
 	}
@@ -124,7 +124,7 @@
 }
 
 // finishClaim releases the claim of a request that did not run and records the result of any other one.
-func (e *Entry) finishClaim(rq *request, held atmostonce.Held, notRun bool, state atmostonce.ClaimState, a atmostonce.Answer) {
+func (e *Entry) finishClaim(rq *request, held atmostonce.ClaimRow, notRun bool, state atmostonce.ClaimState, a atmostonce.Response) {
 	if notRun {
 		e.freeClaim(rq, held)
 		return
@@ -134,7 +134,7 @@
 	e.recordSettled(rq, string(state), e.claims.Finish(ctx, held, state, a))
 }
 
-func (e *Entry) freeClaim(rq *request, held atmostonce.Held) {
+func (e *Entry) freeClaim(rq *request, held atmostonce.ClaimRow) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimWriteTimeout)
 	defer cancel()
 	e.recordSettled(rq, string(atmostonce.ClaimFree), e.claims.Free(ctx, held))
--- a/internal/entry/coordinator.go
+++ b/internal/entry/coordinator.go
@@ -90,14 +90,14 @@
 	ep := e.members.Endpoint(endpoint)
 	for _, r := range up.Releases {
 		if ep != nil {
-			e.grants.Released(replicas.Release{Engine: endpoint, Host: ep.HostID, Model: r.Model, Revision: r.Revision})
+			e.grants.ConfirmRelease(replicas.Release{Engine: endpoint, Host: ep.HostID, Model: r.Model, Revision: r.Revision})
 		}
 	}
 	for _, w := range up.Wanted {
-		e.grants.Wanted(endpoint, w.Model, w.Reason, int(w.Demand))
+		e.grants.RequestSlot(endpoint, w.Model, w.Reason, int(w.Demand))
 	}
 	if up.Snapshot != nil {
-		if err := e.store.Learn(up.Snapshot, nil); err != nil {
+		if err := e.store.ApplyFromPeer(up.Snapshot, nil); err != nil {
 			e.logger.Warn("cannot apply the declarations snapshot from an agent", "endpoint", endpoint, "error", err)
 		}
 	}
@@ -236,7 +236,7 @@
 
 // requestSlot tells the grants manager that a request found no engine for its model.
 func (c *coordinator) requestSlot(model string, reason wirepb.RefusalReason) {
-	c.entry.grants.Wanted("", model, reason, 1)
+	c.entry.grants.RequestSlot("", model, reason, 1)
 }
 
 // hostState returns the host state to send to an agent.
@@ -333,7 +333,7 @@
 		o.LoadsAtOnce = int(limits.GetStoreLoadsAtOnce())
 	}
 	if limits.GetAdaptersInTransit() > 0 {
-		o.AdaptersInTransit = int(limits.GetAdaptersInTransit())
+		o.MaxAdapterLoads = int(limits.GetAdaptersInTransit())
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -40,11 +40,11 @@
 	Budget  routing.BudgetOptions
 	// MaxAttempts bounds the attempts at one request.
 	MaxAttempts int
-	// CandidatePatience is how long a request waits for an endpoint that can take it.
-	CandidatePatience time.Duration
-	// MaxAnswer bounds the duration of a response once it has started.
-	MaxAnswer time.Duration
-	Permits   permits.Options
+	// CandidateTimeout is how long a request waits for an endpoint that can take it.
+	CandidateTimeout time.Duration
+	// MaxResponseDuration bounds the duration of a response once it has started.
+	MaxResponseDuration time.Duration
+	Permits             permits.Options
 }
 
 // Dependencies are the components that an Entry uses.
--- a/internal/entry/fate.go
+++ b/internal/entry/fate.go
@@ -9,7 +9,7 @@
 // claim can be settled.
 func (t *attempt) awaitExecution() {
 	defer func() { _ = t.stream.Close() }()
-	_ = t.stream.SetReadDeadline(t.entry.clock.Now().Add(t.entry.options.MaxAnswer))
+	_ = t.stream.SetReadDeadline(t.entry.clock.Now().Add(t.entry.options.MaxResponseDuration))
 	for {
 		frame := &wirepb.FromAgent{}
 		err := t.stream.Read(frame)
@@ -22,7 +22,7 @@
 			case atmostonce.SettleNotRun:
 				t.pending <- executionNotRun
 				return
-			case atmostonce.SettleUnknown, atmostonce.EndUnknown, atmostonce.EndCut:
+			case atmostonce.SettleUnknown, atmostonce.EndUnknown, atmostonce.EndTruncated:
 				t.pending <- executionUnknown
 				return
 			}
@@ -33,7 +33,7 @@
 // pendingEvent is handleFrame for a response that is no longer forwarded.
 func pendingEvent(frame *wirepb.FromAgent, err error, id string) atmostonce.ExchangeEvent {
 	if err != nil || frame.RequestId != id {
-		return atmostonce.StreamBroke
+		return atmostonce.StreamFailed
 	}
 	switch f := frame.Frame.(type) {
 	case *wirepb.FromAgent_Refused:
@@ -42,9 +42,9 @@
 		return atmostonce.GotTrailer
 	case *wirepb.FromAgent_Failed:
 		if f.Failed.MayHaveRun {
-			return atmostonce.GotFailedUnclear
+			return atmostonce.GotFailedUnknown
 		}
-		return atmostonce.GotFailedClean
+		return atmostonce.GotFailedNotRun
 	default:
 		return atmostonce.GotAccepted
 	}
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -115,7 +115,7 @@
 func (e *Entry) decide(rq *request, state *routing.RequestState, ended attemptResult, tried []string) routing.Verdict {
 	now := e.clock.Now()
 	state.AnswerBegun = ended.responseStarted
-	state.Untried = e.hasUntried(rq, tried)
+	state.HasUntried = e.hasUntried(rq, tried)
 	if ended.bodyConsumed {
 		// The part of a streamed body that was sent to an endpoint cannot be sent again.
 		state.MaxAttempts = state.Attempts + 1
@@ -155,7 +155,7 @@
 // pick chooses an endpoint. If none is available it waits, for example for a slot to be granted or a connection to be
 // established.
 func (e *Entry) pick(ctx context.Context, rq *request, tried []string) (routing.Candidate, *apiError) {
-	timeout := min(e.options.CandidatePatience, rq.deadline.Sub(e.clock.Now()))
+	timeout := min(e.options.CandidateTimeout, rq.deadline.Sub(e.clock.Now()))
 	waitUntil := e.clock.Now().Add(timeout)
 	requested := false
 	for {
@@ -176,7 +176,7 @@
 		}
 		remaining := waitUntil.Sub(e.clock.Now())
 		if remaining <= 0 {
-			return routing.Candidate{}, refusalError(wirepb.RefusalReason_NOT_GRANTED, e.options.CandidatePatience)
+			return routing.Candidate{}, refusalError(wirepb.RefusalReason_NOT_GRANTED, e.options.CandidateTimeout)
 		}
 		if err := e.waitForChange(ctx, changed, remaining); err != nil {
 			return routing.Candidate{}, notRun(http.StatusServiceUnavailable, CodeCallerGone, "the caller went away", 0)
--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -150,7 +150,7 @@
 }
 
 // acceptedTimeout is how long an accepted request waits while another endpoint could take it: the minimum of
-// routing.PatienceFor, because the fake agents report no expected wait.
+// routing.StageTimeout, because the fake agents report no expected wait.
 const acceptedTimeout = time.Second
 
 // checkReply checks what every response must carry: the request identifier and, for an error, its outcome and, if the
--- a/internal/entry/frames.go
+++ b/internal/entry/frames.go
@@ -21,10 +21,10 @@
 		t.callerGone = ctx.Err() != nil
 	}
 	if errors.Is(err, wire.ErrTimeout) {
-		return atmostonce.GaveUp
+		return atmostonce.Abandoned
 	}
 	if err != nil || frame.RequestId != t.rq.id {
-		return atmostonce.StreamBroke
+		return atmostonce.StreamFailed
 	}
 	if frame.Clock != 0 {
 		t.entry.recorder.Clock().Observe(frame.Clock)
@@ -47,7 +47,7 @@
 	case *wirepb.FromAgent_Failed:
 		return t.handleFailed(f.Failed)
 	default:
-		return atmostonce.StreamBroke
+		return atmostonce.StreamFailed
 	}
 }
 
@@ -124,10 +124,10 @@
 	err := t.out.addBody(data)
 	if errors.Is(err, errCallerGone) {
 		t.callerGone = true
-		return atmostonce.GaveUp
+		return atmostonce.Abandoned
 	}
 	if err != nil {
-		return atmostonce.StreamBroke
+		return atmostonce.StreamFailed
 	}
 	return atmostonce.GotHead
 }
@@ -135,7 +135,7 @@
 func (t *attempt) handleTrailer(trailer *wirepb.Trailer) atmostonce.ExchangeEvent {
 	if err := t.out.verify(trailer); err != nil {
 		t.entry.metrics.mismatches.Inc()
-		return atmostonce.StreamBroke
+		return atmostonce.StreamFailed
 	}
 	return atmostonce.GotTrailer
 }
@@ -146,7 +146,7 @@
 		t.refusal = &wirepb.Refused{Reason: wirepb.RefusalReason_QUEUE_FULL, Load: f.Load}
 	}
 	if f.MayHaveRun {
-		return atmostonce.GotFailedUnclear
+		return atmostonce.GotFailedUnknown
 	}
-	return atmostonce.GotFailedClean
+	return atmostonce.GotFailedNotRun
 }
--- a/internal/entry/inputs.go
+++ b/internal/entry/inputs.go
@@ -21,7 +21,7 @@
 
 // Declared implements replicas.DeclarationSource.
 func (g grantInputs) Declared() (replicas.Declared, bool) {
-	set, headRow, ok := g.entry.store.Declared()
+	set, headRow, ok := g.entry.store.CurrentWithHeadRow()
 	if !ok {
 		return replicas.Declared{}, false
 	}
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -80,15 +80,15 @@
 	case errors.As(err, &conflict):
 		return &operator.ConflictError{
 			Author:   conflict.Author,
-			Revision: cmp.Or(conflict.Winner, conflict.Revision),
+			Revision: cmp.Or(conflict.WinningRevision, conflict.Revision),
 			Base:     conflict.BasedOn,
 		}
 	case errors.As(err, &problems):
-		return &operator.InvalidError{Places: places(problems)}
+		return &operator.InvalidError{Places: configProblems(problems)}
 	case errors.Is(err, declarations.ErrNotDeclared):
 		return errors.Wrap(operator.ErrNotFound, err.Error())
 	case errors.Is(err, declarations.ErrInvalid):
-		return &operator.InvalidError{Places: []operator.Place{{Problem: err.Error()}}}
+		return &operator.InvalidError{Places: []operator.ConfigProblem{{Problem: err.Error()}}}
 	case errors.Is(err, declarations.ErrOutcomeUnknown):
 		return &operator.OutcomeUnknownError{OperationID: edit.OperationID, Reason: err.Error()}
 	default:
@@ -96,10 +96,10 @@
 	}
 }
 
-func places(problems inifile.Problems) []operator.Place {
-	var list []operator.Place
+func configProblems(problems inifile.Problems) []operator.ConfigProblem {
+	var list []operator.ConfigProblem
 	for _, p := range problems {
-		list = append(list, operator.Place{
+		list = append(list, operator.ConfigProblem{
 			File:    p.File,
 			Line:    p.Line,
 			Section: p.Section,
@@ -113,9 +113,9 @@
 
 // operationStates maps operation states of package declarations to those of package operator.
 var operationStates = map[declarations.OperationState]operator.OperationState{
-	declarations.OperationMade:    operator.OperationApplied,
-	declarations.OperationNever:   operator.OperationNever,
-	declarations.OperationUnknown: operator.OperationUnknown,
+	declarations.OperationCommitted:    operator.OperationApplied,
+	declarations.OperationNotCommitted: operator.OperationNotCommitted,
+	declarations.OperationUnknown:      operator.OperationUnknown,
 }
 
 // Operation implements operator.Backend.
--- a/internal/entry/push.go
+++ b/internal/entry/push.go
@@ -16,7 +16,7 @@
 	recipients := map[string]map[string]bool{}
 	cursor := uint64(0)
 	for {
-		rows, deleted, next := e.grants.Changed(cursor)
+		rows, deleted, next := e.grants.ChangedSince(cursor)
 		cursor = next
 		for _, row := range rows {
 			c.pushRow(recipients, row)
--- a/internal/entry/site_test.go
+++ b/internal/entry/site_test.go
@@ -130,8 +130,8 @@
 	mo := membership.DefaultOptions()
 	mo.EntryID, mo.ListInterval, mo.RedialDelay, mo.BatchDelay = "entry-1", 5*time.Millisecond, 5*time.Millisecond, time.Millisecond
 	options := Options{
-		ID: "entry-1", MaxDeadline: time.Hour, MaxBody: 4 << 20, MaxAttempts: 3, CandidatePatience: 100 * time.Millisecond,
-		MaxAnswer: testTimeout, Limiter: admission.LimiterOptions{MaxInFlight: 100},
+		ID: "entry-1", MaxDeadline: time.Hour, MaxBody: 4 << 20, MaxAttempts: 3, CandidateTimeout: 100 * time.Millisecond,
+		MaxResponseDuration: testTimeout, Limiter: admission.LimiterOptions{MaxInFlight: 100},
 		Budget: routing.BudgetOptions{Burst: 100},
 	}
 	if so.configure != nil {
@@ -140,14 +140,14 @@
 	s.entry = New(options, Dependencies{
 		Members:    membership.NewManager(mo, backing.NewHTTPHosts(o, client), clock.Real{}, logger, registry, recorder),
 		Store:      declarations.NewStore(declarations.Options{PollInterval: 10 * time.Millisecond}, table, clock.Real{}, logger, registry),
-		Claims:     atmostonce.NewClaims(table, atmostonce.ClaimsOptions{Patience: 500 * time.Millisecond}),
+		Claims:     atmostonce.NewClaims(table, atmostonce.ClaimsOptions{Timeout: 500 * time.Millisecond}),
 		Clock:      clock.Real{},
 		Logger:     logger,
 		Registerer: registry,
 		Recorder:   recorder,
 	})
 	ro := replicas.DefaultOptions()
-	ro.Interval, ro.Settle, ro.TurnStep = 10*time.Millisecond, time.Millisecond, time.Millisecond
+	ro.Interval, ro.BatchDelay, ro.RankDelay = 10*time.Millisecond, time.Millisecond, time.Millisecond
 	s.entry.SetGrants(replicas.NewManager(ro, table, s.entry.GrantInputs(), clock.Real{}, logger, registry, recorder))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -20,7 +20,7 @@
 		Entry:    e.options.ID,
 		At:       e.clock.Now(),
 		Revision: set.Revision(),
-		Outage:   e.store.Outage(),
+		Outage:   e.store.OutageSince(),
 	}
 	for _, m := range set.Models() {
 		for _, version := range m.Versions {
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -80,7 +80,7 @@
 	for i := range params.Engines.Models {
 		name := modelName(i)
 		class.Models[name] = catalog.Model{
-			Name: name, SizeMB: 1, Adapters: adapterCount(params, i), LoadTime: params.Weights.StoreTime, DiskTime: params.Weights.DiskTime, MemoryTime: params.Weights.MemoryTime,
+			Name: name, SizeMB: 1, Adapters: adapterCount(params, i), StoreLoadTime: params.Weights.StoreTime, DiskTime: params.Weights.DiskTime, MemoryTime: params.Weights.MemoryTime,
 		}
 	}
 	s.config = catalog.NewConfig(1, catalog.ClientLimits{}, map[string]*catalog.Service{service: {Name: service, Engine: class}}, nil)
@@ -407,8 +407,8 @@
 	return list
 }
 
-// Coordinates implements placement.Gateways.
-func (s *site) Coordinates(time.Time) bool { return true }
+// IsCoordinator implements placement.Gateways.
+func (s *site) IsCoordinator(time.Time) bool { return true }
 
 // Demand implements placement.Gateways.
 func (s *site) Demand(time.Time) map[string]*controlpb.Demand {
@@ -418,8 +418,8 @@
 // Waiting implements placement.Gateways.
 func (s *site) Waiting() <-chan struct{} { return nil }
 
-// Command implements placement.Commander.
-func (s *site) Command(c *controlpb.Command) {
+// SendCommand implements placement.Commander.
+func (s *site) SendCommand(c *controlpb.Command) {
 	for _, e := range s.engines {
 		if e.id == c.EndpointId && e.command == nil {
 			e.command = c
--- a/internal/faultlink/link.go
+++ b/internal/faultlink/link.go
@@ -27,12 +27,13 @@
 	Pass Flow = iota
 	// Hold buffers bytes until the flow changes again, as TCP does when the network recovers from an outage.
 	Hold
-	// Vanish discards bytes. A connection that has lost some is reset when the link is healed.
-	Vanish
+	// Drop discards bytes. A connection that has lost some is reset when the link is healed.
+	Drop
 )
 
-// Slowness is the delay and the bandwidth limit that a link applies to each chunk of data; its zero value is full speed.
-type Slowness struct {
+// Throttle is the delay and the bandwidth limit that a link applies to each chunk of data; its zero value is full
+// speed.
+type Throttle struct {
 	Delay          time.Duration
 	BytesPerSecond int
 }
@@ -48,7 +49,7 @@
 	listener net.Listener
 	pipes    map[*pipe]struct{}
 	flows    [directions]Flow
-	slow     Slowness
+	throttle Throttle
 	// blackhole is set while new connections are accepted but not connected to the target.
 	blackhole bool
 	// untilCut is how many more bytes of a direction may pass before the connection is cut, or noCut.
@@ -137,8 +138,8 @@
 	})
 }
 
-// SetSlow slows both directions.
-func (l *Link) SetSlow(s Slowness) { l.update(func() { l.slow = s }) }
+// SetThrottle throttles both directions.
+func (l *Link) SetThrottle(t Throttle) { l.update(func() { l.throttle = t }) }
 
 // CutAfter lets n more bytes of a direction pass, counted over all connections, and then resets the connection that carried
 // the last of them.
@@ -168,7 +169,7 @@
 func (l *Link) Heal() error {
 	l.update(func() {
 		l.flows = [directions]Flow{Pass, Pass}
-		l.slow = Slowness{}
+		l.throttle = Throttle{}
 		l.blackhole = false
 		l.untilCut = [directions]int64{noCut, noCut}
 	})
@@ -199,7 +200,7 @@
 	// pass is the number of bytes to forward. drop discards the whole chunk; cut resets the connection after pass bytes.
 	pass      int
 	drop, cut bool
-	slow      Slowness
+	throttle  Throttle
 	// wait, if not nil, is closed when the link's faults change; the chunk is held until then and decided on again.
 	wait <-chan struct{}
 }
@@ -211,11 +212,11 @@
 	switch l.flows[d] {
 	case Hold:
 		return decision{wait: l.changed}
-	case Vanish:
+	case Drop:
 		p.bytesLost = true
 		return decision{drop: true}
 	}
-	dec := decision{pass: n, slow: l.slow}
+	dec := decision{pass: n, throttle: l.throttle}
 	if l.untilCut[d] == noCut {
 		return dec
 	}
--- a/internal/faultlink/link_test.go
+++ b/internal/faultlink/link_test.go
@@ -135,17 +135,17 @@
 			heal(t, l)
 			wantText(t, c, "late")
 		}},
-		{"vanish drops one direction and resets when healed", func(t *testing.T, l *Link) {
+		{"bytes of one direction are dropped and the connection is reset when healed", func(t *testing.T, l *Link) {
 			c := dialLink(t, l)
-			l.Block(ToServer, Vanish)
+			l.Block(ToServer, Drop)
 			send(t, c, "lost")
 			wantNoData(t, c)
 			heal(t, l)
 			wantReset(t, c)
 		}},
-		{"vanish drops the end of file too", func(t *testing.T, l *Link) {
+		{"the end of file is dropped too", func(t *testing.T, l *Link) {
 			c := dialLink(t, l)
-			l.Block(ToServer, Vanish)
+			l.Block(ToServer, Drop)
 			_ = c.CloseWrite()
 			wantNoData(t, c)
 		}},
@@ -164,7 +164,7 @@
 			wantReset(t, fresh)
 		}},
 		{"slow link delays each direction", func(t *testing.T, l *Link) {
-			l.SetSlow(Slowness{Delay: 20 * time.Millisecond, BytesPerSecond: 1000})
+			l.SetThrottle(Throttle{Delay: 20 * time.Millisecond, BytesPerSecond: 1000})
 			c := dialLink(t, l)
 			began := time.Now()
 			send(t, c, "0123456789")
--- a/internal/faultlink/pipe.go
+++ b/internal/faultlink/pipe.go
@@ -102,7 +102,7 @@
 		if dec.drop {
 			return len(data) > 0 || p.waitFor(nil)
 		}
-		if !p.delay(dec.slow, dec.pass) {
+		if !p.delay(dec.throttle, dec.pass) {
 			return false
 		}
 		if _, err := to.Write(data[:dec.pass]); err != nil {
@@ -123,10 +123,10 @@
 }
 
 // delay waits for as long as a slow link needs for n bytes. It returns false if the connection is reset first.
-func (p *pipe) delay(s Slowness, n int) bool {
-	d := s.Delay
-	if s.BytesPerSecond > 0 {
-		d += time.Duration(n) * time.Second / time.Duration(s.BytesPerSecond)
+func (p *pipe) delay(t Throttle, n int) bool {
+	d := t.Delay
+	if t.BytesPerSecond > 0 {
+		d += time.Duration(n) * time.Second / time.Duration(t.BytesPerSecond)
 	}
 	if d <= 0 {
 		return true
--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -15,32 +15,32 @@
 	Model   string
 }
 
-// Want describes a request that needs an endpoint.
-type Want struct {
+// Request describes a request that needs an endpoint.
+type Request struct {
 	Target
 	// Adapter is the adapter of the model; empty for none.
 	Adapter string
-	// PromptTokens is the length of the prompt. Until Paced, the request is not sent to crowded engines or to those
+	// PromptTokens is the length of the prompt. Until PacedUntil, the request is not sent to crowded engines or to those
 	// with too many prompt tokens pending.
 	PromptTokens int
-	Paced        time.Time
+	PacedUntil   time.Time
 	// Repeatable requests may be retried, so they can probe an unresponsive endpoint.
 	Repeatable bool
 	// Tried lists the endpoints that must not get the request again.
 	Tried []string
 }
 
-func (w *Want) adapter() Adapter { return Adapter{Model: w.Model, Name: w.Adapter} }
+func (r *Request) adapter() Adapter { return Adapter{Model: r.Model, Name: r.Adapter} }
 
-// Prospect is the reason why a request got no endpoint.
-type Prospect int
+// NoEndpointReason is the reason why a request got no endpoint.
+type NoEndpointReason int
 
-// The prospects.
+// The reasons.
 const (
 	// NoEndpoints: no listed endpoint of the service accepts work.
-	NoEndpoints Prospect = iota
-	// NotHeld: the service has endpoints, but none has the model loaded.
-	NotHeld
+	NoEndpoints NoEndpointReason = iota
+	// ModelNotLoaded: the service has endpoints, but none has the model loaded.
+	ModelNotLoaded
 	// AdapterMissing: an engine has the model loaded, and its agent was asked to load the adapter.
 	AdapterMissing
 	// PromptBacklog: the engines that have the model loaded are crowded or have too many prompt tokens pending.
@@ -61,62 +61,62 @@
 
 // Choose returns the endpoint for a request's next attempt and counts the request as in flight there, until Done is
 // called.
-func (f *Fleet) Choose(now time.Time, w *Want) (Choice, Prospect, bool) {
+func (f *Fleet) Choose(now time.Time, req *Request) (Choice, NoEndpointReason, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	candidates, prospect := f.candidates(now, w)
-	if now.Before(w.Paced) {
-		if candidates = f.belowPromptLimit(candidates, w); len(candidates) == 0 && prospect == AllTried {
+	candidates, reason := f.candidates(now, req)
+	if now.Before(req.PacedUntil) {
+		if candidates = f.belowPromptLimit(candidates, req); len(candidates) == 0 && reason == AllTried {
 			return Choice{}, PromptBacklog, false
 		}
 	}
-	candidates = f.dropUnresponsive(now, candidates, w)
-	i, ok := f.router.Pick(now, candidates, w.Tried, wirepb.Class_INTERACTIVE)
+	candidates = f.dropUnresponsive(now, candidates, req)
+	i, ok := f.router.Pick(now, candidates, req.Tried, wirepb.Class_INTERACTIVE)
 	if !ok {
-		return Choice{}, prospect, false
+		return Choice{}, reason, false
 	}
 	e := f.endpoints[candidates[i].Endpoint]
-	if w.Adapter != "" && !candidates[i].HasAdapter {
-		f.requestAdapter(e.ID, w.adapter())
+	if req.Adapter != "" && !candidates[i].HasAdapter {
+		f.requestAdapter(e.ID, req.adapter())
 		return Choice{}, AdapterMissing, false
 	}
 	e.inFlight++
 	e.responses.sent(now)
-	e.pendingPromptTokens += w.PromptTokens
-	if w.Adapter != "" {
-		e.adapters[w.adapter()]++
+	e.pendingPromptTokens += req.PromptTokens
+	if req.Adapter != "" {
+		e.adapters[req.adapter()]++
 	}
-	return Choice{ID: e.ID, Address: e.Address, reservation: &reservation{promptTokens: w.PromptTokens}}, prospect, true
+	return Choice{ID: e.ID, Address: e.Address, reservation: &reservation{promptTokens: req.PromptTokens}}, reason, true
 }
 
 // HasOther reports whether an endpoint that is not in Tried could take the request now.
-func (f *Fleet) HasOther(now time.Time, w *Want) bool {
+func (f *Fleet) HasOther(now time.Time, req *Request) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	candidates, _ := f.candidates(now, w)
+	candidates, _ := f.candidates(now, req)
 	return slices.ContainsFunc(candidates, func(c routing.Candidate) bool {
-		return c.HasAdapter && !slices.Contains(w.Tried, c.Endpoint)
+		return c.HasAdapter && !slices.Contains(req.Tried, c.Endpoint)
 	})
 }
 
 // candidates returns the endpoints that may take a request now. If no engine has the adapter loaded, it returns only
 // the engine that should load it.
-func (f *Fleet) candidates(now time.Time, w *Want) ([]routing.Candidate, Prospect) {
-	prospect := NoEndpoints
+func (f *Fleet) candidates(now time.Time, req *Request) ([]routing.Candidate, NoEndpointReason) {
+	reason := NoEndpoints
 	var list, withoutAdapter []routing.Candidate
 	for _, e := range f.endpoints {
-		if e.Service != w.Service || e.Leaving {
+		if e.Service != req.Service || e.Leaving {
 			continue
 		}
-		prospect = max(prospect, NotHeld)
+		reason = max(reason, ModelNotLoaded)
 		if !e.responsive(now) {
 			continue
 		}
-		if w.Model != "" && (!e.hasModel(now, w.Model) || e.recentlyAbsent(now, Adapter{Model: w.Model})) {
+		if req.Model != "" && (!e.hasModel(now, req.Model) || e.recentlyAbsent(now, Adapter{Model: req.Model})) {
 			continue
 		}
-		prospect = max(prospect, AllTried)
-		c := f.candidate(now, e, w)
+		reason = max(reason, AllTried)
+		c := f.candidate(now, e, req)
 		if c.HasAdapter {
 			list = append(list, c)
 		} else {
@@ -124,9 +124,9 @@
 		}
 	}
 	if len(list) > 0 || len(withoutAdapter) == 0 {
-		return list, prospect
+		return list, reason
 	}
-	return adapterOwner(f.preferIdle(now, withoutAdapter), w), prospect
+	return adapterOwner(f.preferIdle(now, withoutAdapter), req), reason
 }
 
 // preferIdle returns the engines that accept commands now, or all if there are none: an engine that loads a model
@@ -144,12 +144,12 @@
 	return free
 }
 
-func (f *Fleet) candidate(now time.Time, e *endpoint, w *Want) routing.Candidate {
+func (f *Fleet) candidate(now time.Time, e *endpoint, req *Request) routing.Candidate {
 	c := routing.Candidate{
 		Endpoint:      e.ID,
 		FailureDomain: e.FailureDomain,
 		State:         wirepb.ReplicaState_LOADED,
-		HasAdapter:    e.hasAdapter(now, w.adapter()) && !e.recentlyAbsent(now, w.adapter()),
+		HasAdapter:    e.hasAdapter(now, req.adapter()) && !e.recentlyAbsent(now, req.adapter()),
 		Sent:          e.inFlight,
 		Running:       e.headerLoad,
 		ReportedAt:    e.headerLoadAt,
@@ -164,13 +164,13 @@
 // adapterOwner returns the candidate that should load an adapter, chosen by rendezvous hashing. All gateways choose the
 // same engine, so that the adapter is loaded only once, and the adapters are spread over the engines, which have few
 // adapter slots.
-func adapterOwner(candidates []routing.Candidate, w *Want) []routing.Candidate {
+func adapterOwner(candidates []routing.Candidate, req *Request) []routing.Candidate {
 	best, bestScore := -1, uint64(0)
 	for i := range candidates {
-		if slices.Contains(w.Tried, candidates[i].Endpoint) {
+		if slices.Contains(req.Tried, candidates[i].Endpoint) {
 			continue
 		}
-		if score := rendezvousHash(candidates[i].Endpoint, w.Model, w.Adapter); best < 0 || score > bestScore {
+		if score := rendezvousHash(candidates[i].Endpoint, req.Model, req.Adapter); best < 0 || score > bestScore {
 			best, bestScore = i, score
 		}
 	}
@@ -193,7 +193,7 @@
 }
 
 // Done releases what Choose counted.
-func (f *Fleet) Done(c Choice, w *Want) {
+func (f *Fleet) Done(c Choice, req *Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[c.ID]
@@ -203,16 +203,16 @@
 	e.inFlight--
 	e.responses.done(e.inFlight)
 	e.releasePrompt(c)
-	if w.Adapter != "" {
-		decrement(e.adapters, w.adapter())
+	if req.Adapter != "" {
+		decrement(e.adapters, req.adapter())
 	}
 }
 
 // Prefilled records that a request's first event has arrived, so the engine has processed its prompt.
-func (f *Fleet) Prefilled(c Choice, w *Want) {
+func (f *Fleet) Prefilled(c Choice, req *Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if e := f.endpoints[c.ID]; e != nil && w.Model != "" && c.reservation.promptTokens > 0 {
+	if e := f.endpoints[c.ID]; e != nil && req.Model != "" && c.reservation.promptTokens > 0 {
 		e.releasePrompt(c)
 		f.notify()
 	}
@@ -238,14 +238,14 @@
 // Prompts arrive in bursts, and an engine processes all queued prompts between two decoding steps. Ten at once cause a
 // pause of 250 ms in each of its streams. Sent to the replicas one after another, they cause no such pause and hardly
 // delay their own first events.
-func (f *Fleet) belowPromptLimit(candidates []routing.Candidate, w *Want) []routing.Candidate {
-	if w.PromptTokens == 0 {
+func (f *Fleet) belowPromptLimit(candidates []routing.Candidate, req *Request) []routing.Candidate {
+	if req.PromptTokens == 0 {
 		return candidates
 	}
 	return slices.DeleteFunc(candidates, func(c routing.Candidate) bool {
 		e := f.endpoints[c.Endpoint]
 		crowded := e.Slots > 0 && float64(c.Running+c.Queued) >= crowdedShare*float64(e.Slots)
-		return crowded || e.pendingPromptTokens > 0 && e.pendingPromptTokens+w.PromptTokens > maxPendingPromptTokens
+		return crowded || e.pendingPromptTokens > 0 && e.pendingPromptTokens+req.PromptTokens > maxPendingPromptTokens
 	})
 }
 
@@ -263,7 +263,7 @@
 }
 
 // Absent records that an endpoint rejected a request because the model or the adapter is not loaded.
-func (f *Fleet) Absent(now time.Time, id string, w *Want) {
+func (f *Fleet) Absent(now time.Time, id string, req *Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[id]
@@ -271,11 +271,11 @@
 		return
 	}
 	until := now.Add(absentTTL)
-	if e.hasAdapter(now, w.adapter()) && w.Adapter != "" {
-		e.absent[w.adapter()] = until
+	if e.hasAdapter(now, req.adapter()) && req.Adapter != "" {
+		e.absent[req.adapter()] = until
 		return
 	}
-	e.absent[Adapter{Model: w.Model}] = until
+	e.absent[Adapter{Model: req.Model}] = until
 }
 
 // Load records the load that an endpoint reported in a response header.
@@ -307,12 +307,12 @@
 		return 0
 	}
 	model := class.Models[t.Model]
-	estimate := model.LoadTime + storeLoadDelay
+	estimate := model.StoreLoadTime + storeLoadDelay
 	for _, e := range f.endpoints {
 		if e.Service != t.Service || e.Leaving || !e.responsive(now) || !e.reportFresh(now) {
 			continue
 		}
-		load, startDelay := model.LoadTime, storeLoadDelay
+		load, startDelay := model.StoreLoadTime, storeLoadDelay
 		switch {
 		case e.state.InMemory[t.Model]:
 			load, startDelay = model.MemoryTime, localLoadDelay
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -99,9 +99,9 @@
 // block. Call OnWaiting before the first request.
 func (f *Fleet) OnWaiting(call func()) { f.onWaiting = call }
 
-// OnWanted sets a function that is called, with locks held, when a request needs an adapter that an agent should load.
-// It must not block. Call OnWanted before the first request.
-func (f *Fleet) OnWanted(call func(endpointID string)) { f.onAdapterWanted = call }
+// OnAdapterWanted sets a function that is called, with locks held, when a request needs an adapter that an agent should
+// load. It must not block. Call OnAdapterWanted before the first request.
+func (f *Fleet) OnAdapterWanted(call func(endpointID string)) { f.onAdapterWanted = call }
 
 // New returns an empty view for a gateway in a failure domain; seed seeds its random choices.
 func New(domain string, seed uint64) *Fleet {
@@ -205,8 +205,9 @@
 	}
 }
 
-// SetSilent records that the connection to an endpoint's agent is closed, and whether the host has stopped responding.
-func (f *Fleet) SetSilent(id string, hostDown bool) {
+// SetDisconnected records that the connection to an endpoint's agent is closed, and whether the host has stopped
+// responding.
+func (f *Fleet) SetDisconnected(id string, hostDown bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e := f.endpoints[id]; e != nil && (e.connected || e.hostDown != hostDown) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -23,8 +23,8 @@
 	return f
 }
 
-func wantModel(prompt int) *Want {
-	return &Want{Target: Target{Service: "s", Model: "m"}, PromptTokens: prompt, Paced: start.Add(200 * time.Millisecond)}
+func modelRequest(prompt int) *Request {
+	return &Request{Target: Target{Service: "s", Model: "m"}, PromptTokens: prompt, PacedUntil: start.Add(200 * time.Millisecond)}
 }
 
 // Guards against sending a burst of prompts to one engine. Three to ten requests with 800 prompt tokens within a few
@@ -35,7 +35,7 @@
 	sent := map[string]int{}
 	var first Choice
 	for i := range 2 {
-		c, _, ok := f.Choose(start, wantModel(800))
+		c, _, ok := f.Choose(start, modelRequest(800))
 		if !ok {
 			t.Fatalf("prompt %d got no engine", i)
 		}
@@ -45,18 +45,18 @@
 	if sent["e1"] != 1 || sent["e2"] != 1 {
 		t.Errorf("two prompts went to %v, want one to each engine", sent)
 	}
-	if _, prospect, ok := f.Choose(start, wantModel(800)); ok || prospect != PromptBacklog {
-		t.Errorf("third prompt: chosen %v, prospect %v, want PromptBacklog", ok, prospect)
+	if _, reason, ok := f.Choose(start, modelRequest(800)); ok || reason != PromptBacklog {
+		t.Errorf("third prompt: chosen %v, reason %v, want PromptBacklog", ok, reason)
 	}
-	held, _, ok := f.Choose(start.Add(250*time.Millisecond), wantModel(800))
+	held, _, ok := f.Choose(start.Add(250*time.Millisecond), modelRequest(800))
 	if !ok {
-		t.Fatal("no endpoint for a prompt after its Paced time")
+		t.Fatal("no endpoint for a prompt after PacedUntil")
 	}
 	for _, c := range []Choice{held, first} {
-		f.Prefilled(c, wantModel(800))
-		f.Done(c, wantModel(800))
+		f.Prefilled(c, modelRequest(800))
+		f.Done(c, modelRequest(800))
 	}
-	if c, _, ok := f.Choose(start, wantModel(800)); !ok || c.ID != first.ID {
+	if c, _, ok := f.Choose(start, modelRequest(800)); !ok || c.ID != first.ID {
 		t.Errorf("after a first event from engine %s: chosen %v %s, want that engine", first.ID, ok, c.ID)
 	}
 }
@@ -70,7 +70,7 @@
 	later := start.Add(hostTimeout + time.Millisecond)
 	f.SetState("e2", nil, 0, 0, later)
 	for range 5 {
-		c, _, ok := f.Choose(later, wantModel(0))
+		c, _, ok := f.Choose(later, modelRequest(0))
 		if !ok || c.ID != "e2" {
 			t.Fatalf("chosen %v %s, want the engine whose agent reports", ok, c.ID)
 		}
@@ -78,11 +78,11 @@
 	if got := f.Engines("s", later); len(got) != 1 {
 		t.Errorf("%d engines returned for placement, want one", len(got))
 	}
-	f.SetSilent("e1", false)
+	f.SetDisconnected("e1", false)
 	if got := f.Engines("s", later); len(got) != 2 {
 		t.Errorf("%d engines returned after the agent was killed, want both", len(got))
 	}
-	f.SetSilent("e1", true)
+	f.SetDisconnected("e1", true)
 	f.SetState("e1", nil, 0, 0, later)
 	if got := f.Engines("s", later); len(got) != 2 {
 		t.Errorf("%d engines returned after the agent has reconnected, want both", len(got))
@@ -96,10 +96,10 @@
 	for seed := range uint64(8) {
 		f := twoEngines()
 		f.router = routing.NewRouter(routing.Options{Seed: seed})
-		w := wantModel(0)
-		w.Adapter = "a7"
-		if _, prospect, ok := f.Choose(start, w); ok || prospect != AdapterMissing {
-			t.Fatalf("chosen %v, prospect %v, want AdapterMissing", ok, prospect)
+		req := modelRequest(0)
+		req.Adapter = "a7"
+		if _, reason, ok := f.Choose(start, req); ok || reason != AdapterMissing {
+			t.Fatalf("chosen %v, reason %v, want AdapterMissing", ok, reason)
 		}
 		for id := range f.wantedAdapters {
 			if owner != "" && id != owner {
@@ -116,9 +116,9 @@
 	for _, busy := range []string{"e1", "e2"} {
 		f := twoEngines()
 		f.SetState(busy, &EngineState{EndpointID: busy, Busy: true, Loading: "x", Models: map[string]map[string]bool{"m": {}}}, 0, 0, start)
-		w := wantModel(0)
-		w.Adapter = "a7"
-		f.Choose(start, w)
+		req := modelRequest(0)
+		req.Adapter = "a7"
+		f.Choose(start, req)
 		if len(f.wantedAdapters[busy]) > 0 || len(f.wantedAdapters) != 1 {
 			t.Errorf("%s is busy, adapter requested from %v, want the other engine", busy, f.wantedAdapters)
 		}
@@ -130,17 +130,17 @@
 // after absentTTL.
 func TestAbsentModelIsNotAskedAgain(t *testing.T) {
 	f := twoEngines()
-	f.Absent(start, "e1", wantModel(0))
+	f.Absent(start, "e1", modelRequest(0))
 	for range 5 {
-		if c, _, ok := f.Choose(start, wantModel(0)); !ok || c.ID != "e2" {
+		if c, _, ok := f.Choose(start, modelRequest(0)); !ok || c.ID != "e2" {
 			t.Fatalf("chosen %v %s, want the other engine", ok, c.ID)
 		}
 	}
-	f.Absent(start, "e2", wantModel(0))
-	if _, prospect, ok := f.Choose(start, wantModel(0)); ok || prospect != NotHeld {
-		t.Errorf("chosen %v, prospect %v, want the request to wait", ok, prospect)
+	f.Absent(start, "e2", modelRequest(0))
+	if _, reason, ok := f.Choose(start, modelRequest(0)); ok || reason != ModelNotLoaded {
+		t.Errorf("chosen %v, reason %v, want the request to wait", ok, reason)
 	}
-	if _, _, ok := f.Choose(start.Add(absentTTL), wantModel(0)); !ok {
+	if _, _, ok := f.Choose(start.Add(absentTTL), modelRequest(0)); !ok {
 		t.Error("no endpoint after absentTTL")
 	}
 }
--- a/internal/fleet/silence.go
+++ b/internal/fleet/silence.go
@@ -64,8 +64,8 @@
 	return !r.waitingSince.IsZero() && now.Sub(r.waitingSince) > timeout
 }
 
-// Heard records an answer of an endpoint and the time that it took.
-func (f *Fleet) Heard(now time.Time, id string, took time.Duration) {
+// ObserveResponse records an answer of an endpoint and the time that it took.
+func (f *Fleet) ObserveResponse(now time.Time, id string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[id]
@@ -83,17 +83,17 @@
 // dropUnresponsive removes the endpoints of a plain service whose response is overdue, unless no untried one would
 // remain: then the service is slow, or this gateway is cut off. It does not apply to engines, which may take long until
 // the first event; their agents report whether they respond.
-func (f *Fleet) dropUnresponsive(now time.Time, candidates []routing.Candidate, w *Want) []routing.Candidate {
-	if w.Model != "" {
+func (f *Fleet) dropUnresponsive(now time.Time, candidates []routing.Candidate, req *Request) []routing.Candidate {
+	if req.Model != "" {
 		return candidates
 	}
-	timeout := max(minResponseTimeout, responseTimeoutFactor*f.answerTime[w.Service])
+	timeout := max(minResponseTimeout, responseTimeoutFactor*f.answerTime[req.Service])
 	responsive := slices.DeleteFunc(slices.Clone(candidates), func(c routing.Candidate) bool {
 		r := &f.endpoints[c.Endpoint].responses
-		probe := w.Repeatable && now.Sub(r.lastSent) > probeInterval
+		probe := req.Repeatable && now.Sub(r.lastSent) > probeInterval
 		return r.overdue(now, timeout) && !probe
 	})
-	untried := func(c routing.Candidate) bool { return !slices.Contains(w.Tried, c.Endpoint) }
+	untried := func(c routing.Candidate) bool { return !slices.Contains(req.Tried, c.Endpoint) }
 	if !slices.ContainsFunc(responsive, untried) {
 		return candidates
 	}
--- a/internal/fleet/silence_test.go
+++ b/internal/fleet/silence_test.go
@@ -19,16 +19,16 @@
 	return f
 }
 
-func wantPlain(repeatable bool) *Want {
-	return &Want{Target: Target{Service: "pads"}, Repeatable: repeatable}
+func plainRequest(repeatable bool) *Request {
+	return &Request{Target: Target{Service: "pads"}, Repeatable: repeatable}
 }
 
 // completeRequest ends a request with a complete answer.
 func completeRequest(f *Fleet, now time.Time, c Choice) {
 	const took = 100 * time.Millisecond
-	f.Heard(now, c.ID, took)
+	f.ObserveResponse(now, c.ID, took)
 	f.Observe(now, routing.Observation{Endpoint: c.ID, Target: "pads", Outcome: routing.OutcomeServed, FirstByte: took})
-	f.Done(c, wantPlain(false))
+	f.Done(c, plainRequest(false))
 }
 
 // simulateLoad sends a request every 0.2 s for the given length of time, like one of several gateways. All endpoints
@@ -42,7 +42,7 @@
 		now := start.Add(at)
 		for _, c := range open[at] {
 			if c.ID == unresponsive {
-				f.Done(c, wantPlain(repeatable))
+				f.Done(c, plainRequest(repeatable))
 			} else {
 				completeRequest(f, now, c)
 			}
@@ -50,7 +50,7 @@
 		if at >= from+length || at%(20*tick) != 0 {
 			continue
 		}
-		if c, _, ok := f.Choose(now, wantPlain(repeatable)); ok && c.ID == unresponsive {
+		if c, _, ok := f.Choose(now, plainRequest(repeatable)); ok && c.ID == unresponsive {
 			lost++
 			open[at+patience] = append(open[at+patience], c)
 		} else if ok {
@@ -81,7 +81,7 @@
 	shares := map[string]int{}
 	for i := range 60 {
 		now := start.Add(10*time.Second + time.Duration(i)*50*time.Millisecond)
-		c, _, ok := f.Choose(now, wantPlain(false))
+		c, _, ok := f.Choose(now, plainRequest(false))
 		if !ok {
 			t.Fatal("no endpoint")
 		}
@@ -98,11 +98,11 @@
 func TestAllSilentEndpointsAreStillUsed(t *testing.T) {
 	f := threePlainEndpoints()
 	for range 6 {
-		if _, _, ok := f.Choose(start, wantPlain(false)); !ok {
+		if _, _, ok := f.Choose(start, plainRequest(false)); !ok {
 			t.Fatal("no endpoint")
 		}
 	}
-	if _, _, ok := f.Choose(start.Add(2*time.Second), wantPlain(false)); !ok {
+	if _, _, ok := f.Choose(start.Add(2*time.Second), plainRequest(false)); !ok {
 		t.Error("no endpoint chosen while all are unresponsive")
 	}
 }
@@ -111,12 +111,12 @@
 func TestSlowServiceIsNotSilent(t *testing.T) {
 	f := threePlainEndpoints()
 	for i := range 100 {
-		f.Heard(start, []string{"p1", "p2", "p3"}[i%3], 2*time.Second)
+		f.ObserveResponse(start, []string{"p1", "p2", "p3"}[i%3], 2*time.Second)
 	}
 	shares := map[string]int{}
 	for i := range 60 {
 		// No response arrives in between: the requests are still in flight.
-		c, _, ok := f.Choose(start.Add(time.Duration(i)*30*time.Millisecond), wantPlain(false))
+		c, _, ok := f.Choose(start.Add(time.Duration(i)*30*time.Millisecond), plainRequest(false))
 		if !ok {
 			t.Fatal("no endpoint")
 		}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -39,11 +39,11 @@
 	began := time.Now()
 	q.attempts++
 	q.endpoint = choice.ID
-	q.want.Tried = append(q.want.Tried, choice.ID)
-	g.fleet.Running(q.want.Target, 1)
+	q.fleetRequest.Tried = append(q.fleetRequest.Tried, choice.ID)
+	g.fleet.Running(q.fleetRequest.Target, 1)
 	defer func() {
-		g.fleet.Running(q.want.Target, -1)
-		g.fleet.Done(choice, &q.want)
+		g.fleet.Running(q.fleetRequest.Target, -1)
+		g.fleet.Done(choice, &q.fleetRequest)
 	}()
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
@@ -52,16 +52,16 @@
 	result, err := g.client.Do(g.codec.NewRequest(ctx, q.inbound, q.body, Attempt{
 		Address:     choice.Address,
 		EndpointID:  choice.ID,
-		Left:        time.Until(q.deadline),
-		Urgency:     q.route.Urgency,
+		Timeout:     time.Until(q.deadline),
+		Priority:    q.route.Priority,
 		LastEventID: out.lastEventID,
 	}))
 	if err != nil {
 		return g.handleFailure(parent, q, choice, result.MaybeSent, err)
 	}
 	defer result.Response.Body.Close()
-	a := g.codec.ReadAnswer(result.Response)
-	g.fleet.Heard(time.Now(), choice.ID, time.Since(began))
+	a := g.codec.ReadResponse(result.Response)
+	g.fleet.ObserveResponse(time.Now(), choice.ID, time.Since(began))
 	g.recordLoad(q, choice, a)
 	if a.NotRun {
 		return g.handleRefusal(q, choice, result, a)
@@ -72,7 +72,7 @@
 	}
 	q.mayHaveRun = true
 	if result.Response.StatusCode >= http.StatusInternalServerError && q.repeatable() && g.canRetry(parent, q, true) {
-		g.observe(q, choice, routing.OutcomeBroken, 0)
+		g.observe(q, choice, routing.OutcomeUnknown, 0)
 		g.drain(result)
 		return retry
 	}
@@ -91,12 +91,12 @@
 // While there is no other endpoint, the attempt goes on: an engine that preempts a stream in favor of more urgent
 // requests sends nothing for seconds and then resumes it. Cancelling the attempt would only cut the client off.
 func (g *Gateway) startWatchdog(q *request, cancel context.CancelCauseFunc) *time.Timer {
-	want := q.want
+	fleetRequest := q.fleetRequest
 	started := make(chan *time.Timer, 1)
 	watchdog := time.AfterFunc(g.firstByteTimeout(q), func() {
 		timer := <-started
 		started <- timer
-		if time.Now().Before(q.deadline) && !g.fleet.HasOther(time.Now(), &want) {
+		if time.Now().Before(q.deadline) && !g.fleet.HasOther(time.Now(), &fleetRequest) {
 			timer.Reset(watchdogRecheck)
 			return
 		}
@@ -116,7 +116,7 @@
 }
 
 // recordLoad passes the load that a response reports on to the fleet.
-func (g *Gateway) recordLoad(q *request, choice fleet.Choice, a Answer) {
+func (g *Gateway) recordLoad(q *request, choice fleet.Choice, a Response) {
 	if a.HasLoad {
 		g.fleet.Load(time.Now(), choice.ID, a.Running, a.Queued)
 	}
@@ -127,7 +127,7 @@
 // An endpoint may send a second response to an earlier request on a kept-alive connection, where it would be read as
 // the next response; the request ID detects that. Bytes from another process that listens at the address are detected
 // by the missing signature.
-func (g *Gateway) validate(q *request, resp *http.Response, a Answer) error {
+func (g *Gateway) validate(q *request, resp *http.Response, a Response) error {
 	success := resp.StatusCode >= 200 && resp.StatusCode < 300
 	switch {
 	case a.ID != "" && a.ID != q.call.ID:
@@ -138,7 +138,7 @@
 		return errors.Wrap(errInvalidResponse, "it is not signed")
 	case a.Encoded:
 		return errors.Wrap(errInvalidResponse, "it has an unexpected content encoding")
-	case a.PromisesNotRun:
+	case a.StatusMeansNotRun:
 		return errors.Wrap(errInvalidResponse, "its status claims that the request did not run, but no header confirms it")
 	case resp.StatusCode < 200 || resp.StatusCode >= 300 && resp.StatusCode < 400:
 		return errors.Wrap(errInvalidResponse, "unexpected status code")
@@ -162,13 +162,13 @@
 		g.observe(q, choice, routing.OutcomeNotSent, 0)
 		return retryOrFail(g.canRetry(parent, q, false))
 	}
-	g.observe(q, choice, routing.OutcomeBroken, 0)
+	g.observe(q, choice, routing.OutcomeUnknown, 0)
 	q.mayHaveRun = true
 	return retryOrFail(q.repeatable() && g.canRetry(parent, q, true))
 }
 
 // handleRefusal decides what follows a response by which the endpoint confirms that it did not run the request.
-func (g *Gateway) handleRefusal(q *request, choice fleet.Choice, result sendonce.Result, a Answer) verdict {
+func (g *Gateway) handleRefusal(q *request, choice fleet.Choice, result sendonce.Result, a Response) verdict {
 	status := result.Response.StatusCode
 	g.metrics.countAttempt("refused")
 	g.observe(q, choice, routing.OutcomeRefused, 0)
@@ -177,11 +177,11 @@
 		g.fleet.Replaced(choice.ID)
 		q.mismatches++
 	case a.Absent:
-		g.fleet.Absent(time.Now(), choice.ID, &q.want)
+		g.fleet.Absent(time.Now(), choice.ID, &q.fleetRequest)
 	}
 	g.drain(result)
 	g.requestLog.write(time.Now(), true, "endpoint refused", "event", "endpoint_refused", "request", q.call.ID, "endpoint", choice.ID, "status", status,
-		"model", q.want.Model, "adapter", q.want.Adapter, "sending", q.attempts)
+		"model", q.fleetRequest.Model, "adapter", q.fleetRequest.Adapter, "sending", q.attempts)
 	// The request has not run, so it can wait until the retry budget allows another attempt.
 	q.needsBudget = true
 	return retryOrFail(g.canRetry(q.inbound.Context(), q, false))
@@ -204,7 +204,7 @@
 	if q.mayHaveRun && q.attempts >= q.route.MaxAttempts {
 		return false
 	}
-	return !spendBudget || g.spendRetry(q.want.Service, now)
+	return !spendBudget || g.spendRetry(q.fleetRequest.Service, now)
 }
 
 // drain reads a short rest of a response's body, so that its connection can be reused; if the rest is longer, it closes
@@ -216,7 +216,7 @@
 }
 
 func (g *Gateway) observe(q *request, choice fleet.Choice, outcome routing.Outcome, firstByte time.Duration) {
-	g.fleet.Observe(time.Now(), routing.Observation{Endpoint: choice.ID, Target: q.want.Service, Outcome: outcome, FirstByte: firstByte})
+	g.fleet.Observe(time.Now(), routing.Observation{Endpoint: choice.ID, Target: q.fleetRequest.Service, Outcome: outcome, FirstByte: firstByte})
 }
 
 // forwardBuffered forwards a response after reading all of it, so that after an incomplete one the request can still be
@@ -238,7 +238,7 @@
 	firstByte := time.Since(began)
 	outcome := routing.OutcomeServed
 	if resp.StatusCode >= http.StatusInternalServerError {
-		outcome = routing.OutcomeBroken
+		outcome = routing.OutcomeUnknown
 	}
 	g.observe(q, choice, outcome, firstByte)
 	out.writeBody(resp, body)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -17,8 +17,8 @@
 	Model, Adapter string
 	// PromptTokens is the length of the prompt; 0 if unknown.
 	PromptTokens int
-	// Patience is the client's timeout; 0 if the client gave none.
-	Patience time.Duration
+	// Timeout is the client's timeout; 0 if the client gave none.
+	Timeout time.Duration
 	// LastEventID is the last event that the client has, if it resumes a stream.
 	LastEventID string
 }
@@ -29,16 +29,16 @@
 	// EndpointID is the endpoint's incarnation that may run the request; another incarnation at the same address
 	// refuses it.
 	EndpointID string
-	// Left is the endpoint's timeout for the request.
-	Left time.Duration
-	// Urgency is the priority of the request; 0 is the highest.
-	Urgency int
+	// Timeout is the endpoint's timeout for the request.
+	Timeout time.Duration
+	// Priority is the priority of the request; 0 is the highest.
+	Priority int
 	// LastEventID is the event after which a stream is resumed; empty for a new stream.
 	LastEventID string
 }
 
-// Answer is the decoded metadata of an endpoint's response.
-type Answer struct {
+// Response is the decoded metadata of an endpoint's response.
+type Response struct {
 	// ID is the request ID that the endpoint echoes.
 	ID string
 	// Signed is set if the application signed the response; without a signature it may come from any process that
@@ -51,8 +51,8 @@
 	Absent bool
 	// Incarnation is the endpoint's incarnation; empty if the response doesn't state it.
 	Incarnation string
-	// PromisesNotRun is set for status codes that clients take to mean that the request did not run.
-	PromisesNotRun bool
+	// StatusMeansNotRun is set for status codes that clients take to mean that the request did not run.
+	StatusMeansNotRun bool
 	// Encoded is set if the response has a content encoding that was not requested.
 	Encoded bool
 	// Running and Queued are the endpoint's load; they are valid if HasLoad is set.
@@ -66,8 +66,8 @@
 	ReadCall(r *http.Request) (Call, error)
 	// NewRequest returns the request to send to an endpoint.
 	NewRequest(ctx context.Context, r *http.Request, body []byte, a Attempt) *http.Request
-	// ReadAnswer decodes an endpoint's response.
-	ReadAnswer(resp *http.Response) Answer
+	// ReadResponse decodes an endpoint's response.
+	ReadResponse(resp *http.Response) Response
 	// CopyHeader copies the header fields of a response that are forwarded to the client.
 	CopyHeader(to, from http.Header)
 	// SetRetryAfter sets the time after which the client should retry.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -38,8 +38,8 @@
 type Options struct {
 	// Budget bounds the retries to each service. Its Burst is shared by all gateways.
 	Budget routing.BudgetOptions
-	// SharedBy returns the number of gateways that share the budget's Burst.
-	SharedBy func() int
+	// GatewayCount returns the number of gateways that share the budget's Burst.
+	GatewayCount func() int
 	// Seed seeds the random choice between the services of a route with weighted services.
 	Seed uint64
 }
@@ -95,11 +95,11 @@
 	abortBeforeExit         = 150 * time.Millisecond
 )
 
-// StopBy announces that the process exits at the given time. Requests that wait for an endpoint keep waiting until
+// ShutdownAt announces that the process exits at the given time. Requests that wait for an endpoint keep waiting until
 // shortly before; then they are refused as not run, so that their clients try another gateway. Requests that endpoints
 // have not answered by then get an answer that the outcome is unknown; from a closed connection alone, clients could
 // not distinguish the two cases.
-func (g *Gateway) StopBy(exitAt time.Time) {
+func (g *Gateway) ShutdownAt(exitAt time.Time) {
 	g.waitDeadline.Store(exitAt.Add(-refuseWaitingBeforeExit).UnixNano())
 	time.AfterFunc(time.Until(exitAt.Add(-abortBeforeExit)), g.abort)
 }
@@ -130,7 +130,7 @@
 		g.refuse(w, r, refusal{status: http.StatusNotFound, reason: reasonNoRoute, id: call.ID, version: config.Version})
 		return
 	}
-	body, refused := g.readBody(w, r, config.Limits, arrived, call.Patience)
+	body, refused := g.readBody(w, r, config.Limits, arrived, call.Timeout)
 	if refused != nil {
 		refused.id = call.ID
 		g.refuse(w, r, *refused)
@@ -175,13 +175,13 @@
 
 // request is the state of one request while the gateway serves it.
 type request struct {
-	call    Call
-	route   *catalog.Route
-	version int64
-	want    fleet.Want
-	inbound *http.Request
-	body    []byte
-	arrived time.Time
+	call         Call
+	route        *catalog.Route
+	version      int64
+	fleetRequest fleet.Request
+	inbound      *http.Request
+	body         []byte
+	arrived      time.Time
 	// deadline is when the response must be complete.
 	deadline time.Time
 
@@ -205,8 +205,8 @@
 
 func (g *Gateway) newRequest(r *http.Request, call Call, route *catalog.Route, config *catalog.Config, body []byte, arrived time.Time) *request {
 	deadline := arrived.Add(route.Timeout)
-	if call.Patience > 0 && (route.Timeout <= 0 || call.Patience < route.Timeout) {
-		deadline = arrived.Add(call.Patience)
+	if call.Timeout > 0 && (route.Timeout <= 0 || call.Timeout < route.Timeout) {
+		deadline = arrived.Add(call.Timeout)
 	}
 	g.mu.Lock()
 	service := route.Pick(g.random.Float64())
@@ -216,14 +216,14 @@
 		target.Model = call.Model
 	}
 	return &request{
-		call:     call,
-		route:    route,
-		version:  config.Version,
-		want:     fleet.Want{Target: target, Adapter: call.Adapter, PromptTokens: call.PromptTokens, Repeatable: route.Repeat == catalog.Idempotent},
-		inbound:  r,
-		body:     body,
-		arrived:  arrived,
-		deadline: deadline,
+		call:         call,
+		route:        route,
+		version:      config.Version,
+		fleetRequest: fleet.Request{Target: target, Adapter: call.Adapter, PromptTokens: call.PromptTokens, Repeatable: route.Repeat == catalog.Idempotent},
+		inbound:      r,
+		body:         body,
+		arrived:      arrived,
+		deadline:     deadline,
 	}
 }
 
@@ -267,7 +267,7 @@
 		b = routing.NewRetryBudget(g.options.Budget)
 		g.budgets[service] = b
 	}
-	b.Resize(max(1, g.options.Budget.Burst/float64(g.options.SharedBy())))
+	b.Resize(max(1, g.options.Budget.Burst/float64(g.options.GatewayCount())))
 	return b
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -194,7 +194,7 @@
 	go func() { waiting <- r.send("w", "/chat/x", "sleeping") }()
 	go func() { running <- r.send("r", "/plain/x", "") }()
 	time.Sleep(100 * time.Millisecond)
-	r.gateway.StopBy(time.Now().Add(refuseWaitingBeforeExit + 300*time.Millisecond))
+	r.gateway.ShutdownAt(time.Now().Add(refuseWaitingBeforeExit + 300*time.Millisecond))
 	if got := <-waiting; got.status != 503 || got.header.Get("Retry-After") == "" {
 		t.Errorf("waiting: status %d, Retry-After %q, error %v, want 503 with Retry-After", got.status, got.header.Get("Retry-After"), got.err)
 	}
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -26,7 +26,7 @@
 func (testCodec) ReadCall(r *http.Request) (Call, error) {
 	ms, _ := strconv.Atoi(r.Header.Get("Patience"))
 	model, adapter, _ := strings.Cut(r.Header.Get("Model"), "/")
-	return Call{ID: r.Header.Get("Id"), Model: model, Adapter: adapter, Patience: time.Duration(ms) * time.Millisecond}, nil
+	return Call{ID: r.Header.Get("Id"), Model: model, Adapter: adapter, Timeout: time.Duration(ms) * time.Millisecond}, nil
 }
 
 func (testCodec) NewRequest(ctx context.Context, r *http.Request, body []byte, a Attempt) *http.Request {
@@ -37,20 +37,20 @@
 	request.ContentLength = int64(len(body))
 	request.Header.Set("Id", r.Header.Get("Id"))
 	request.Header.Set("Endpoint", a.EndpointID)
-	request.Header.Set("Left", strconv.FormatInt(a.Left.Milliseconds(), 10))
+	request.Header.Set("Left", strconv.FormatInt(a.Timeout.Milliseconds(), 10))
 	request.Header.Set("After", a.LastEventID)
 	return request
 }
 
-func (testCodec) ReadAnswer(resp *http.Response) Answer {
-	return Answer{
-		ID:             resp.Header.Get("Id"),
-		Signed:         resp.Header.Get("Signed") != "",
-		NotRun:         resp.Header.Get("Not-Run") != "",
-		Absent:         resp.StatusCode == http.StatusMisdirectedRequest,
-		Incarnation:    resp.Header.Get("Incarnation"),
-		PromisesNotRun: resp.StatusCode == http.StatusServiceUnavailable,
-		Encoded:        resp.Header.Get("Content-Encoding") != "",
+func (testCodec) ReadResponse(resp *http.Response) Response {
+	return Response{
+		ID:                resp.Header.Get("Id"),
+		Signed:            resp.Header.Get("Signed") != "",
+		NotRun:            resp.Header.Get("Not-Run") != "",
+		Absent:            resp.StatusCode == http.StatusMisdirectedRequest,
+		Incarnation:       resp.Header.Get("Incarnation"),
+		StatusMeansNotRun: resp.StatusCode == http.StatusServiceUnavailable,
+		Encoded:           resp.Header.Get("Content-Encoding") != "",
 	}
 }
 
@@ -98,7 +98,7 @@
 	r.fleet.SetConfig(testConfig())
 	r.fleet.SetEndpoints(list)
 	r.gateways = 1
-	options := Options{Budget: routing.BudgetOptions{Burst: 100}, SharedBy: func() int { return r.gateways }}
+	options := Options{Budget: routing.BudgetOptions{Burst: 100}, GatewayCount: func() int { return r.gateways }}
 	r.gateway = New(options, testCodec{}, r.fleet, &http.Transport{}, slog.New(slog.DiscardHandler), metrics)
 	r.server = httptest.NewServer(r.gateway)
 	t.Cleanup(r.server.Close)
@@ -116,7 +116,7 @@
 	chat.Streaming = true
 	resumable := route("/case/", "engine")
 	resumable.Streaming, resumable.Resumable, resumable.GapTarget = true, true, 50*time.Millisecond
-	engine := &catalog.EngineClass{Batch: 8, Models: map[string]catalog.Model{"m": {Name: "m"}, "sleeping": {Name: "sleeping"}, "distant": {Name: "distant", LoadTime: 6 * time.Second}}}
+	engine := &catalog.EngineClass{Batch: 8, Models: map[string]catalog.Model{"m": {Name: "m"}, "sleeping": {Name: "sleeping"}, "distant": {Name: "distant", StoreLoadTime: 6 * time.Second}}}
 	services := map[string]*catalog.Service{"plain": {Name: "plain"}, "engine": {Name: "engine", Engine: engine}}
 	return catalog.NewConfig(1, catalog.ClientLimits{}, services, []*catalog.Route{route("/plain/", "plain"), read, chat, resumable})
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -43,8 +43,8 @@
 
 // serve sends a request to endpoints until the client has an answer.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request, q *request) {
-	g.creditRetryBudget(q.want.Service)
-	g.fleet.Arrived(q.want.Target, q.route.Target)
+	g.creditRetryBudget(q.fleetRequest.Service)
+	g.fleet.Arrived(q.fleetRequest.Target, q.route.Target)
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline.Add(deadlineSlack))
 	defer cancel()
 	defer context.AfterFunc(g.abortCtx, cancel)()
@@ -75,29 +75,29 @@
 	defer func() {
 		q.waited += time.Since(began)
 		if waiter != nil {
-			g.fleet.StopWaiting(q.want.Target, waiter)
+			g.fleet.StopWaiting(q.fleetRequest.Target, waiter)
 		}
 	}()
 	for {
 		changed := g.fleet.Changed()
 		now := time.Now()
-		if q.needsBudget && !g.spendRetry(q.want.Service, now) {
-			if !g.worthWaiting(q, fleet.NotHeld, now) || !waitForChange(ctx, nil, recheckInterval) {
+		if q.needsBudget && !g.spendRetry(q.fleetRequest.Service, now) {
+			if !g.worthWaiting(q, fleet.ModelNotLoaded, now) || !waitForChange(ctx, nil, recheckInterval) {
 				return fleet.Choice{}, false
 			}
 			continue
 		}
 		q.needsBudget = false
-		q.want.Paced = q.pacedUntil(now)
-		choice, prospect, ok := g.fleet.Choose(now, &q.want)
+		q.fleetRequest.PacedUntil = q.pacedUntil(now)
+		choice, reason, ok := g.fleet.Choose(now, &q.fleetRequest)
 		if ok {
 			return choice, true
 		}
-		if !g.worthWaiting(q, prospect, now) || prospect == fleet.NotHeld && g.loadsTooLate(q, now) {
+		if !g.worthWaiting(q, reason, now) || reason == fleet.ModelNotLoaded && g.loadsTooLate(q, now) {
 			return fleet.Choice{}, false
 		}
-		if waiter == nil && prospect == fleet.NotHeld {
-			waiter = g.fleet.Wait(q.want.Target, now)
+		if waiter == nil && reason == fleet.ModelNotLoaded {
+			waiter = g.fleet.Wait(q.fleetRequest.Target, now)
 			q.cold = q.attempts == 0
 		}
 		if !waitForChange(ctx, changed, recheckInterval) {
@@ -107,21 +107,21 @@
 }
 
 // worthWaiting reports whether a request for which no endpoint was chosen may still get one in time.
-func (g *Gateway) worthWaiting(q *request, prospect fleet.Prospect, now time.Time) bool {
+func (g *Gateway) worthWaiting(q *request, reason fleet.NoEndpointReason, now time.Time) bool {
 	if q.deadline.Sub(now) < minTimeLeft || g.waitDeadlinePassed(now) {
 		return false
 	}
-	switch prospect {
+	switch reason {
 	case fleet.NoEndpoints:
 		return false
 	case fleet.AllTried:
-		if q.want.Model == "" || q.mayHaveRun && !q.repeatable() {
+		if q.fleetRequest.Model == "" || q.mayHaveRun && !q.repeatable() {
 			return false
 		}
 		// Every engine that has the model loaded has refused the request as not run, or its response was incomplete.
 		// Most models are loaded on one engine only, and an engine that reset a connection usually keeps serving, so
 		// they are tried again after a pause.
-		q.want.Tried = nil
+		q.fleetRequest.Tried = nil
 		return true
 	}
 	return true
@@ -131,7 +131,7 @@
 // refused at once with the load time as Retry-After, the client can retry and be served; if it is held, it fails in any
 // case.
 func (g *Gateway) loadsTooLate(q *request, now time.Time) bool {
-	ready := g.fleet.ReadyIn(now, q.want.Target)
+	ready := g.fleet.ReadyIn(now, q.fleetRequest.Target)
 	clientDeadline := q.deadline
 	if q.route.Streaming {
 		clientDeadline = minTime(clientDeadline, q.arrived.Add(streamTimeout(q.route)))
@@ -142,8 +142,8 @@
 	q.readyIn = ready
 	// The client will retry for the model. It has to count as waiting until then, because models are loaded only for
 	// waiting requests.
-	waiter := g.fleet.Wait(q.want.Target, now)
-	time.AfterFunc(ready+modelReadySpread, func() { g.fleet.StopWaiting(q.want.Target, waiter) })
+	waiter := g.fleet.Wait(q.fleetRequest.Target, now)
+	time.AfterFunc(ready+modelReadySpread, func() { g.fleet.StopWaiting(q.fleetRequest.Target, waiter) })
 	return true
 }
 
@@ -211,7 +211,7 @@
 		g.metrics.clientsLeft.Inc()
 	}
 	problem := outcome != "answered" || status >= http.StatusBadRequest || q.attempts > 1
-	g.requestLog.write(time.Now(), problem, "request ended", "event", "ended", "request", q.call.ID, "route", q.route.Name, "service", q.want.Service,
-		"model", q.want.Model, "adapter", q.want.Adapter, "outcome", outcome, "status", status, "endpoint", q.endpoint,
+	g.requestLog.write(time.Now(), problem, "request ended", "event", "ended", "request", q.call.ID, "route", q.route.Name, "service", q.fleetRequest.Service,
+		"model", q.fleetRequest.Model, "adapter", q.fleetRequest.Adapter, "outcome", outcome, "status", status, "endpoint", q.endpoint,
 		"sendings", q.attempts, "first_event", q.firstEvent, "longest_gap", q.longestGap, "waited", q.waited, "took", time.Since(q.arrived), "config", q.version)
 }
--- a/internal/joined/agent_test.go
+++ b/internal/joined/agent_test.go
@@ -66,7 +66,7 @@
 	if h.kind == kindEngine {
 		machine = loading.NewMachine(loading.Options{
 			Engine: h.endpoint, Host: h.id, MemoryBytes: engineLimit, ChecksFencing: h.engine.fencing != fencingIgnored,
-			OrderLife: orderLife, StateInterval: 5 * time.Second, PermitPatience: time.Second, Seed: w.random.Uint64(),
+			OrderLifetime: orderLife, StateInterval: 5 * time.Second, PermitTimeout: time.Second, Seed: w.random.Uint64(),
 		}, policy)
 	}
 	a.core = newCore(a, queue, machine, policy)
@@ -112,7 +112,7 @@
 func (a *agent) perform(actions []loading.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case loading.GiveOrder:
+		case loading.SendOrder:
 			if isUnload(action.Order) {
 				a.unloads++
 			}
@@ -123,7 +123,7 @@
 			a.askRows()
 		case loading.AskPermit:
 			a.askPermit(action)
-		case loading.EndPermit:
+		case loading.ReleasePermit:
 			a.broadcast(func(up *wirepb.ControlUp) { up.PermitsDone = append(up.PermitsDone, action.ID) })
 		case loading.ConfirmRelease:
 			release := &wirepb.SlotRelease{Model: action.Model, Revision: action.Revision}
@@ -188,7 +188,7 @@
 		}
 		a.w.after(looked, func() {
 			if !e.up || lost {
-				a.later(slow-looked, func() { ended(loading.EngineLost{ID: id}) })
+				a.later(slow-looked, func() { ended(loading.EngineReadFailed{ID: id}) })
 				return
 			}
 			state := e.state()
--- a/internal/joined/attempt_test.go
+++ b/internal/joined/attempt_test.go
@@ -49,7 +49,7 @@
 	running   bool
 	refusal   *wirepb.Refused
 	lastWord  atmostonce.ExchangeAction
-	gaveUp    bool
+	abandoned bool
 	// last is set when there is no other endpoint to move on to.
 	last  bool
 	timer int
@@ -74,7 +74,7 @@
 	}
 	if t.write(&wirepb.ToAgent{Frame: &wirepb.ToAgent_Offer{Offer: offer}}) != nil {
 		if t.idempotent {
-			t.finish(routing.OutcomeBroken)
+			t.finish(routing.OutcomeUnknown)
 			return
 		}
 		t.finish(routing.OutcomeNotSent)
@@ -99,7 +99,7 @@
 	case !t.running && !t.last:
 		wait = min(left, t.patience(left))
 	}
-	t.wait(max(wait, time.Millisecond), func() { t.step(atmostonce.GaveUp) })
+	t.wait(max(wait, time.Millisecond), func() { t.step(atmostonce.Abandoned) })
 }
 
 // wait does something after a time unless something else happens first.
@@ -116,7 +116,7 @@
 func (t *attempt) patience(left time.Duration) time.Duration {
 	switch {
 	case !t.cold:
-		return routing.PatienceFor(t.stage, left, t.expected)
+		return routing.StageTimeout(t.stage, left, t.expected)
 	case t.expected == 0:
 		return left
 	default:
@@ -149,7 +149,7 @@
 	case withdrawing:
 		t.close()
 	default:
-		t.step(atmostonce.StreamBroke)
+		t.step(atmostonce.StreamFailed)
 	}
 }
 
@@ -177,7 +177,7 @@
 		return atmostonce.GotHead
 	case *wirepb.FromAgent_Trailer:
 		if !t.out.verify(f.Trailer) {
-			return atmostonce.StreamBroke
+			return atmostonce.StreamFailed
 		}
 		return atmostonce.GotTrailer
 	case *wirepb.FromAgent_Failed:
@@ -186,15 +186,15 @@
 		}
 		return failedEvent(f.Failed)
 	default:
-		return atmostonce.StreamBroke
+		return atmostonce.StreamFailed
 	}
 }
 
 func failedEvent(f *wirepb.Failed) atmostonce.ExchangeEvent {
 	if f.MayHaveRun {
-		return atmostonce.GotFailedUnclear
+		return atmostonce.GotFailedUnknown
 	}
-	return atmostonce.GotFailedClean
+	return atmostonce.GotFailedNotRun
 }
 
 // fateEvent is eventOf without an answer to pass on.
@@ -213,7 +213,7 @@
 
 // step gives the exchange an event and carries out its actions.
 func (t *attempt) step(e atmostonce.ExchangeEvent) {
-	t.gaveUp = t.gaveUp || e == atmostonce.GaveUp
+	t.abandoned = t.abandoned || e == atmostonce.Abandoned
 	for _, action := range t.exchange.Step(e) {
 		switch action {
 		case atmostonce.SendCommit:
@@ -268,7 +268,7 @@
 		return
 	}
 	t.phase = ended
-	t.wait(maxAnswer, func() { t.step(atmostonce.StreamBroke) })
+	t.wait(maxAnswer, func() { t.step(atmostonce.StreamFailed) })
 	t.finish(t.outcome())
 }
 
@@ -285,18 +285,18 @@
 	case atmostonce.EndServed:
 		return routing.OutcomeServed
 	case atmostonce.EndUnknown:
-		return routing.OutcomeBroken
-	case atmostonce.EndCut:
+		return routing.OutcomeUnknown
+	case atmostonce.EndTruncated:
 		if !t.out.begun {
-			return routing.OutcomeBroken
+			return routing.OutcomeUnknown
 		}
-		return routing.OutcomeCut
+		return routing.OutcomeTruncated
 	}
 	switch {
 	case t.refusal != nil:
 		return routing.OutcomeRefused
 	case t.running:
-		return routing.OutcomeFailedClean
+		return routing.OutcomeFailedNotRun
 	default:
 		return routing.OutcomeNotSent
 	}
--- a/internal/joined/control_test.go
+++ b/internal/joined/control_test.go
@@ -190,7 +190,7 @@
 	}
 	for _, p := range down.Permits {
 		if p.ValidMicros > 0 {
-			a.core.step(loading.PermitGiven{ID: p.Id, Expires: a.now().Add(micros(p.ValidMicros))})
+			a.core.step(loading.PermitGranted{ID: p.Id, Expires: a.now().Add(micros(p.ValidMicros))})
 		} else {
 			a.core.step(loading.PermitDenied{ID: p.Id, RetryAt: a.now().Add(micros(p.RetryAfterMicros))})
 		}
--- a/internal/joined/coordinator_test.go
+++ b/internal/joined/coordinator_test.go
@@ -27,20 +27,20 @@
 // reported takes an agent's batch.
 func (e *entry) reported(l *entryLink, up *wirepb.ControlUp) {
 	now, name := e.now(), l.name
-	e.view.Reported(now, name, up.Status)
+	e.view.ApplyReport(now, name, up.Status)
 	ep := e.endpoint(name)
 	for _, r := range up.Releases {
 		if ep != nil {
-			e.grants.Released(replicas.Release{Engine: name, Host: ep.HostID, Model: r.Model, Revision: r.Revision})
+			e.grants.ConfirmRelease(replicas.Release{Engine: name, Host: ep.HostID, Model: r.Model, Revision: r.Revision})
 			e.wakeGrants(grantSettle)
 		}
 	}
 	for _, w := range up.Wanted {
-		e.grants.Wanted(name, w.Model, w.Reason, int(w.Demand))
+		e.grants.RequestSlot(name, w.Model, w.Reason, int(w.Demand))
 		e.wakeGrants(grantSettle)
 	}
 	if up.Snapshot != nil {
-		_ = e.store.Learn(up.Snapshot, nil)
+		_ = e.store.ApplyFromPeer(up.Snapshot, nil)
 		e.declarationsRead()
 	}
 	if up.WantSnapshot {
@@ -68,7 +68,7 @@
 // lost takes the end of a connection.
 func (e *entry) lost(l *entryLink) {
 	if e.links[l.name] == l {
-		e.view.Lost(l.name)
+		e.view.SetDisconnected(l.name)
 	}
 	e.permits.AgentGone(e.now(), l.name)
 	delete(e.told, l.name)
@@ -151,7 +151,7 @@
 
 // pushRows sends changed rows to the agents that they name or have named.
 func (e *entry) pushRows() {
-	rows, deleted, next := e.grants.Changed(e.point)
+	rows, deleted, next := e.grants.ChangedSince(e.point)
 	e.point = next
 	for _, row := range rows {
 		before, now := e.named[row.Model], map[string]bool{}
@@ -199,7 +199,7 @@
 
 // Declared implements replicas.DeclarationSource.
 func (e *entry) Declared() (replicas.Declared, bool) {
-	set, headRow, ok := e.store.Declared()
+	set, headRow, ok := e.store.CurrentWithHeadRow()
 	if !ok {
 		return replicas.Declared{}, false
 	}
@@ -319,7 +319,7 @@
 // reportedCandidates are the engines that say they hold a slot, for an entry that has not read the rows.
 func (e *entry) reportedCandidates(t admission.Target) []routing.Candidate {
 	var list []routing.Candidate
-	if e.grants.Complete() {
+	if e.grants.Synced() {
 		return nil
 	}
 	for _, name := range e.endpoints() {
--- a/internal/joined/core_test.go
+++ b/internal/joined/core_test.go
@@ -89,7 +89,7 @@
 func (c *core) doubt(t admission.Target, refusal *admission.Refusal) {
 	alone := c.runningOf(t) == 0 && c.queue.Waiting(t) == 0
 	if alone && refusal.Reason == wirepb.RefusalReason_DEADLINE && c.w.without != guardFade {
-		c.times.Fade(t)
+		c.times.Decay(t)
 	}
 }
 
@@ -119,7 +119,7 @@
 	if c.machine == nil {
 		return nil
 	}
-	return c.stepMachine(c.now(), loading.DemandGone{Request: id})
+	return c.stepMachine(c.now(), loading.RequestGone{Request: id})
 }
 
 // step gives the machine an event and carries out its actions.
@@ -154,13 +154,13 @@
 		maps.DeleteFunc(c.usable, func(t admission.Target, _ bool) bool {
 			return t.Model == a.Model && (a.Adapter == "" || t.Adapter == a.Adapter)
 		})
-	case loading.RefuseDemand:
-		c.refuseDemand(a)
+	case loading.RefuseRequests:
+		c.refuseRequests(a)
 	}
 	return nil
 }
 
-func (c *core) refuseDemand(a loading.RefuseDemand) {
+func (c *core) refuseRequests(a loading.RefuseRequests) {
 	for _, id := range slices.Sorted(maps.Keys(c.waiting)) {
 		w := c.waiting[id]
 		if !concerns(a, w.request) {
@@ -173,7 +173,7 @@
 	}
 }
 
-func concerns(a loading.RefuseDemand, r admission.Request) bool {
+func concerns(a loading.RefuseRequests, r admission.Request) bool {
 	if a.Request != "" {
 		return a.Request == r.ID
 	}
@@ -197,7 +197,7 @@
 func (c *core) expire() time.Time {
 	now := c.now()
 	actions := c.refuseAll(c.queue.Expire(now, c.estimate))
-	next := c.queue.Wake()
+	next := c.queue.NextExpiry()
 	if c.machine != nil {
 		woken, wakeNext := c.wakeDue(now)
 		actions = append(actions, woken...)
--- a/internal/joined/engine_test.go
+++ b/internal/joined/engine_test.go
@@ -108,7 +108,7 @@
 		Incarnation: strconv.Itoa(e.incarnation), MemoryBytes: e.limit, UsedBytes: e.used(), Cached: maps.Clone(e.cached),
 	}
 	if e.fencing != fencingIgnored {
-		s.HighestFence = e.highest
+		s.HighestFencingToken = e.highest
 	}
 	for _, name := range slices.Sorted(maps.Keys(e.models)) {
 		m := e.models[name]
@@ -190,5 +190,5 @@
 }
 
 func sortedOrders(orders map[*engineOrder]bool) []*engineOrder {
-	return slices.SortedFunc(maps.Keys(orders), func(a, b *engineOrder) int { return cmp.Compare(a.Fence, b.Fence) })
+	return slices.SortedFunc(maps.Keys(orders), func(a, b *engineOrder) int { return cmp.Compare(a.FencingToken, b.FencingToken) })
 }
--- a/internal/joined/entry_test.go
+++ b/internal/joined/entry_test.go
@@ -82,9 +82,9 @@
 // grantPolicy has short times, so that slots come and go within a run.
 func grantPolicy() replicas.Policy {
 	p := replicas.DefaultPolicy()
-	p.SilentAfter, p.FailingAfter = 5*time.Second, 5*time.Second
+	p.UnreachableAfter, p.FailingAfter = 5*time.Second, 5*time.Second
 	p.ExtraHold, p.AvoidFor, p.MoveTimeout = 12*time.Second, 12*time.Second, 12*time.Second
-	p.GrowInterval, p.WantLife = time.Second, 5*time.Second
+	p.GrowInterval, p.SlotRequestTTL = time.Second, 5*time.Second
 	return p
 }
 
@@ -102,7 +102,7 @@
 	e.skipping = &skippingClock{}
 	e.store = declarations.NewStore(declarations.Options{LogKeep: 16, EditTimeout: 3 * time.Second, Seed: w.random.Uint64()},
 		e.table, e.skipping, noLog, noMetrics{})
-	e.claims = atmostonce.NewClaims(e.table, atmostonce.ClaimsOptions{Patience: claimPatience, Seed: w.random.Uint64()})
+	e.claims = atmostonce.NewClaims(e.table, atmostonce.ClaimsOptions{Timeout: claimPatience, Seed: w.random.Uint64()})
 	e.rounds = &roundClock{process: e.process, started: e.now()}
 	options := replicas.DefaultOptions()
 	options.Policy, options.Incarnation, options.Seed = grantPolicy(), w.random.Uint64(), w.random.Uint64()
@@ -190,7 +190,7 @@
 	hosts, version, _ := e.w.hosts.Hosts(context.Background())
 	// The answer takes its time, and another read may be answered before.
 	e.later(e.w.net.latency(), func() {
-		if e.view.HostsRead(hosts, version) {
+		if e.view.ApplyHosts(hosts, version) {
 			e.adjustLinks()
 			e.hostsChanged()
 		}
--- a/internal/joined/execution_test.go
+++ b/internal/joined/execution_test.go
@@ -102,7 +102,7 @@
 	if !x.offer.TwoStep && x.now().Sub(x.waiting.request.Arrived) >= noticedWait {
 		x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Ready{Ready: &wirepb.Ready{}}})
 	}
-	x.step(atmostonce.TurnCame)
+	x.step(atmostonce.Admitted)
 }
 
 func (x *exchange) step(e atmostonce.ExecutionEvent) {
@@ -139,15 +139,15 @@
 		x.soon(func() { x.stopCall(errWithdrawn) })
 	case atmostonce.LeaveQueue:
 		x.core.cancel(x.key)
-	case atmostonce.GiveBackTurn:
+	case atmostonce.ReleaseAdmission:
 		x.core.finish(x.key, x.took)
 	case atmostonce.SendRefused:
 		x.sendRefused()
 	case atmostonce.SendTrailer:
 		trailer := &wirepb.Trailer{Length: x.length, Checksum: x.checksum.Sum64(), Load: x.core.load(x.target)}
 		x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Trailer{Trailer: trailer}})
-	case atmostonce.SendFailedClean, atmostonce.SendFailedUnclear:
-		failed := &wirepb.Failed{MayHaveRun: action == atmostonce.SendFailedUnclear, Load: x.core.load(x.target)}
+	case atmostonce.SendFailedNotRun, atmostonce.SendFailedUnknown:
+		failed := &wirepb.Failed{MayHaveRun: action == atmostonce.SendFailedUnknown, Load: x.core.load(x.target)}
 		if x.status != 0 {
 			failed.Reason = wirepb.FailureReason_ENDPOINT_REFUSED
 		}
@@ -248,9 +248,9 @@
 			x.took.whole = x.now().Sub(x.began)
 			x.step(atmostonce.CallAnswered)
 		case errors.Is(err, endpoint.ErrUnreachable), errors.Is(err, errEngineRefused):
-			x.step(atmostonce.CallFailedClean)
+			x.step(atmostonce.CallFailedNotRun)
 		default:
-			x.step(atmostonce.CallFailedUnclear)
+			x.step(atmostonce.CallFailedUnknown)
 		}
 	})
 }
--- a/internal/joined/hold_test.go
+++ b/internal/joined/hold_test.go
@@ -33,7 +33,7 @@
 	if c.isUsable(t) {
 		return false
 	}
-	options := idle.HoldOptions{Longest: longestHold, Margin: 2 * time.Second}
+	options := idle.HoldOptions{MaxHold: longestHold, Margin: 2 * time.Second}
 	w.wakeAt = idle.HoldUntil(t.Model, now, w.request.Deadline, c.readyIn(w), options)
 	if !w.wakeAt.After(now) {
 		return false
@@ -45,7 +45,7 @@
 func (c *core) wake(now time.Time, w *waiting) []loading.Action {
 	delete(c.held, w.request.ID)
 	t := w.request.Target
-	return c.stepMachine(now, loading.Demanded{
+	return c.stepMachine(now, loading.RequestWaiting{
 		Request: w.request.ID, Model: t.Model, Adapter: t.Adapter, Deadline: w.request.Deadline, Class: w.request.Class,
 	})
 }
--- a/internal/joined/orders_test.go
+++ b/internal/joined/orders_test.go
@@ -73,12 +73,12 @@
 	case !e.up || e.fencing == fencingVolatile && o.incarnation != e.incarnation:
 		e.answer(o, endpoint.ErrOutcomeUnknown)
 		return
-	case e.fencing != fencingIgnored && o.Fence < e.highest:
+	case e.fencing != fencingIgnored && o.FencingToken < e.highest:
 		e.logf("%s fences %v %s off", e.host.endpoint, o.Kind, o.ID)
 		e.answer(o, endpoint.ErrFenced)
 		return
 	}
-	e.highest = max(e.highest, o.Fence)
+	e.highest = max(e.highest, o.FencingToken)
 	e.checkSender(o)
 	if e.faulty(20) {
 		e.answer(o, endpoint.ErrUnavailable)
--- a/internal/joined/request_test.go
+++ b/internal/joined/request_test.go
@@ -67,7 +67,7 @@
 	tried      []string
 	out        *answer
 	current    *attempt
-	held       atmostonce.Held
+	held       atmostonce.ClaimRow
 	claimed    bool
 	// until is how long the request waits for an endpoint; asked is set once a slot was asked for.
 	until time.Time
@@ -129,7 +129,7 @@
 	case r.entry.picking[r]:
 		r.repick()()
 	case r.current != nil && r.current.phase == following:
-		r.current.step(atmostonce.GaveUp)
+		r.current.step(atmostonce.Abandoned)
 	}
 }
 
@@ -149,7 +149,7 @@
 		case outcome == atmostonce.ClaimGranted:
 			r.held, r.claimed = held, true
 			r.forward()
-		case outcome == atmostonce.ClaimAnswered:
+		case outcome == atmostonce.ClaimCompleted:
 			r.conclude(toldReplayed, string(held.Claim.Body))
 		default:
 			r.conclude(toldUnknown, "")
@@ -186,7 +186,7 @@
 	}
 	if !r.asked && r.target.Model != "" {
 		r.asked = true
-		e.grants.Wanted("", r.target.Model, wirepb.RefusalReason_NOT_GRANTED, 1)
+		e.grants.RequestSlot("", r.target.Model, wirepb.RefusalReason_NOT_GRANTED, 1)
 		e.wakeGrants(grantSettle)
 	}
 	left := r.until.Sub(e.now())
@@ -235,7 +235,7 @@
 // attempted takes the end of an attempt.
 func (r *request) attempted(t *attempt, a routing.Attempt) {
 	e := r.entry
-	r.state.AnswerBegun, r.state.Untried = r.out.begun, r.untried()
+	r.state.AnswerBegun, r.state.HasUntried = r.out.begun, r.untried()
 	verdict := routing.Decide(e.now(), a, r.state)
 	e.logf("%s: attempt of %s at %s ended %d, verdict %d %v wait %v", e.name, r.id, a.Endpoint, a.Outcome, verdict.Kind, a.Reason, verdict.Wait)
 	if verdict.Kind == routing.VerdictDone {
@@ -305,9 +305,9 @@
 	case f == fateNotRun:
 		err = r.entry.claims.Free(ctx, r.held)
 	case f == fateServed && kept:
-		err = r.entry.claims.Finish(ctx, r.held, atmostonce.ClaimDone, atmostonce.Answer{Status: 200, Body: []byte(body)})
+		err = r.entry.claims.Finish(ctx, r.held, atmostonce.ClaimDone, atmostonce.Response{Status: 200, Body: []byte(body)})
 	default:
-		err = r.entry.claims.Finish(ctx, r.held, atmostonce.ClaimUnknown, atmostonce.Answer{})
+		err = r.entry.claims.Finish(ctx, r.held, atmostonce.ClaimUnknown, atmostonce.Response{})
 	}
 	r.entry.logf("%s settles the claim of %s as %d: %v", r.entry.name, r.id, f, errors.Cause(err))
 	return time.Since(began)
--- a/internal/loading/bench_test.go
+++ b/internal/loading/bench_test.go
@@ -61,7 +61,7 @@
 	benchSizes(b, func(b *testing.B, m *Machine, now time.Time) {
 		for b.Loop() {
 			now = now.Add(time.Millisecond)
-			m.Step(now, Demanded{Request: "r", Model: "model-1@1", Deadline: now.Add(time.Minute)})
+			m.Step(now, RequestWaiting{Request: "r", Model: "model-1@1", Deadline: now.Add(time.Minute)})
 			m.Step(now, Started{Request: "r", Model: "model-1@1"})
 			m.Step(now, Finished{Request: "r"})
 		}
@@ -73,7 +73,7 @@
 	benchSizes(b, func(b *testing.B, m *Machine, now time.Time) {
 		done := func(actions []Action) []Action {
 			for _, a := range actions {
-				if o, ok := a.(GiveOrder); ok {
+				if o, ok := a.(SendOrder); ok {
 					return m.Step(now, OrderDone{ID: o.Order.ID})
 				}
 			}
@@ -84,7 +84,7 @@
 			now = now.Add(time.Second)
 			i++
 			model := fmt.Sprintf("model-%d@1", i%10)
-			actions := m.Step(now, Demanded{Request: "r", Model: model, Deadline: now.Add(time.Minute)})
+			actions := m.Step(now, RequestWaiting{Request: "r", Model: model, Deadline: now.Add(time.Minute)})
 			for range 2 {
 				actions = done(actions)
 			}
--- a/internal/loading/demand.go
+++ b/internal/loading/demand.go
@@ -19,10 +19,10 @@
 	adapter *holding
 }
 
-// demanded handles a waiting request: it is refused immediately, or tracked until it starts, is refused or is
+// requestWaiting handles a waiting request: it is refused immediately, or tracked until it starts, is refused or is
 // cancelled.
-func (m *Machine) demanded(e Demanded) {
-	m.demandGone(e.Request)
+func (m *Machine) requestWaiting(e RequestWaiting) {
+	m.requestGone(e.Request)
 	if refused, retryAfter := m.refusalOf(e); refused != nil {
 		m.refuseOne(e, *refused, retryAfter)
 		return
@@ -47,7 +47,7 @@
 func (m *Machine) want(h *holding, until time.Time) { h.wantedUntil = later(h.wantedUntil, until) }
 
 // addDemand tracks a waiting request.
-func (m *Machine) addDemand(e Demanded, r *replica, target *holding) {
+func (m *Machine) addDemand(e RequestWaiting, r *replica, target *holding) {
 	d := &demand{request: e.Request, replica: r, target: target, deadline: e.Deadline, heapIndex: notScheduled}
 	m.demands[e.Request] = d
 	r.demands[e.Request] = d
@@ -67,8 +67,8 @@
 	}
 }
 
-// demandGone stops tracking a waiting request.
-func (m *Machine) demandGone(request string) {
+// requestGone stops tracking a waiting request.
+func (m *Machine) requestGone(request string) {
 	if d := m.demands[request]; d != nil {
 		m.removeDemand(d)
 	}
@@ -115,7 +115,7 @@
 		m.removeDemand(d)
 		m.want(d.target, m.now.Add(defaultRetryAfter+returnGrace))
 		m.want(&d.replica.holding, m.now.Add(defaultRetryAfter+returnGrace))
-		m.emit(RefuseDemand{
+		m.emit(RefuseRequests{
 			Request:    d.request,
 			Model:      d.replica.model,
 			Adapter:    d.target.adapter,
@@ -128,7 +128,7 @@
 
 // startedRequest handles the start of a request.
 func (m *Machine) startedRequest(e Started) {
-	m.demandGone(e.Request)
+	m.requestGone(e.Request)
 	if m.running[e.Request] != nil {
 		return
 	}
--- a/internal/loading/demand_test.go
+++ b/internal/loading/demand_test.go
@@ -171,7 +171,7 @@
 			lines: lines(started("x@1"), loadFirst("x@1"),
 				line{event: demandOf("a", "x@1", "xa", time.Hour), want: "load_adapter x@1 xa"},
 				line{event: orderResult{order: "load_adapter x@1 xa"}, want: "usable x@1 xa"},
-				line{event: DemandGone{Request: "a"}},
+				line{event: RequestGone{Request: "a"}},
 				line{event: Started{Request: "r", Model: "x@1"}},
 				line{after: time.Minute, event: Tick{}, want: "unusable x@1 xa; unload_adapter x@1 xa"},
 			),
@@ -217,10 +217,10 @@
 				line{event: Started{Request: "r", Model: "y@1"}},
 				line{event: demandOf("a", "x@1", "xa", time.Hour), want: "load_adapter x@1 xa"},
 				line{event: orderResult{order: "load_adapter x@1 xa"}, want: "usable x@1 xa"},
-				line{event: DemandGone{Request: "a"}},
+				line{event: RequestGone{Request: "a"}},
 				line{after: time.Second, event: demandOf("b", "x@1", "xb", time.Hour), want: "load_adapter x@1 xb"},
 				line{event: orderResult{order: "load_adapter x@1 xb"}, want: "usable x@1 xb"},
-				line{event: DemandGone{Request: "b"}},
+				line{event: RequestGone{Request: "b"}},
 				line{event: SpecsChanged{Models: testSpecs.Models, Adapters: append(testSpecs.Adapters, AdapterSpec{"xd", "x@1", 9})}},
 				line{event: demandOf("d", "x@1", "xd", time.Hour), want: "unusable x@1 xa; unload_adapter x@1 xa"},
 				line{event: orderResult{order: "unload_adapter x@1 xa"}, want: "load_adapter x@1 xd"},
@@ -232,7 +232,7 @@
 // Permits only protect the weight store. If their issuer is gone, loads must neither wait for it nor all start at the
 // same moment.
 func TestPermits(t *testing.T) {
-	patient := func(o *Options) { o.PermitPatience = 4 * time.Second }
+	patient := func(o *Options) { o.PermitTimeout = 4 * time.Second }
 	demand := demandOf("a", "x@1", "", time.Hour)
 	runScripts(t, []scriptCase{
 		{
@@ -251,7 +251,7 @@
 			),
 		},
 		{
-			name: "without an answer the load starts after one to two times PermitPatience", options: patient, permits: true,
+			name: "without an answer the load starts after one to two times PermitTimeout", options: patient, permits: true,
 			lines: lines(started("x@1"),
 				line{event: demand, want: "ask"},
 				line{after: 4 * time.Second, event: Tick{}, want: "ask"},
@@ -307,7 +307,7 @@
 			name: "a permit that is no longer needed is returned", options: patient, permits: true,
 			lines: lines(started("x@1"),
 				line{event: demand, want: "ask"},
-				line{event: DemandGone{Request: "a"}, want: "end"},
+				line{event: RequestGone{Request: "a"}, want: "end"},
 				line{event: grantPermit{time.Second}, want: "end"},
 			),
 		},
@@ -316,7 +316,7 @@
 			lines: lines(started("x@1", "big@1"), line{event: demandOf("b", "big@1", "", time.Hour), want: "ask"},
 				line{event: grantPermit{time.Second}, want: "load big@1"},
 				line{event: orderResult{order: "load big@1"}, want: "end; usable big@1"},
-				line{event: DemandGone{Request: "b"}},
+				line{event: RequestGone{Request: "b"}},
 				line{event: demand, want: "unusable big@1; unload big@1; ask"},
 				line{event: grantPermit{time.Second}},
 				line{after: time.Second, event: Tick{}, want: "end; ask"},
@@ -326,7 +326,7 @@
 		},
 		{
 			name: "an overtaken load keeps its permit", permits: true,
-			options: func(o *Options) { o.PermitPatience, o.ChecksFencing = time.Second, true },
+			options: func(o *Options) { o.PermitTimeout, o.ChecksFencing = time.Second, true },
 			lines: lines(startedWith(engineReply{cached: []string{"y@1"}}, "x@1", "y@1"),
 				line{event: demand, want: "ask"},
 				line{event: grantPermit{time.Second}, want: "load x@1"},
--- a/internal/loading/doc.go
+++ b/internal/loading/doc.go
@@ -3,7 +3,7 @@
 //
 // Machine is a deterministic state machine without I/O: Step takes one event and returns the actions that the agent
 // must carry out; their results come back as events. Events may be late, reordered or duplicated. The agent must report
-// one OrderDone for each GiveOrder, answer each ReadEngine, and call Step at NextDeadline.
+// one OrderDone for each SendOrder, answer each ReadEngine, and call Step at NextDeadline.
 //
 // # Replica count
 //
@@ -15,7 +15,7 @@
 //
 // # Orders that may still take effect
 //
-// An order whose outcome is unknown may take effect until Options.OrderLife has passed since it was abandoned. For
+// An order whose outcome is unknown may take effect until Options.OrderLifetime has passed since it was abandoned. For
 // orders of previous agents the time counts from the start of this agent, because no earlier agent runs after that. If
 // the engine rejects stale fencing numbers, an order also becomes ineffective once the engine has carried out one with
 // a higher number: from then on the machine reuses its memory and may order the same model again. But an engine that
--- a/internal/loading/engine.go
+++ b/internal/loading/engine.go
@@ -102,8 +102,8 @@
 	return true
 }
 
-// engineLost handles a failed read.
-func (m *Machine) engineLost(e EngineLost) {
+// engineReadFailed handles a failed read.
+func (m *Machine) engineReadFailed(e EngineReadFailed) {
 	if !m.finishRead(e.ID) {
 		return
 	}
@@ -133,7 +133,7 @@
 	m.engine.readAt = m.reads.startedAt
 	m.engine.setCached(e.State.Cached)
 	if m.options.ChecksFencing {
-		m.fence.observeFence(e.State.HighestFence)
+		m.fence.observeFence(e.State.HighestFencingToken)
 	}
 	m.applyListing(e.State.Models)
 	m.updateUnattributed(e.State)
--- a/internal/loading/events.go
+++ b/internal/loading/events.go
@@ -38,8 +38,8 @@
 	State endpoint.EngineState
 }
 
-// EngineLost reports that a read of the engine's state failed. ID has the same meaning as in EngineRead.
-type EngineLost struct{ ID uint64 }
+// EngineReadFailed reports that a read of the engine's state failed. ID has the same meaning as in EngineRead.
+type EngineReadFailed struct{ ID uint64 }
 
 // RowsRead is the result of a read of this engine's grants from the table itself: all rows that name the engine. The
 // machine loads nothing before the first one, because rows pushed by peers may be older than a release that a previous
@@ -61,16 +61,16 @@
 	Adapters []AdapterSpec
 }
 
-// Demanded reports that a request waits for a model version and optionally an adapter.
-type Demanded struct {
+// RequestWaiting reports that a request waits for a model version and optionally an adapter.
+type RequestWaiting struct {
 	Request        string
 	Model, Adapter string
 	Deadline       time.Time
 	Class          wirepb.Class
 }
 
-// DemandGone reports that a request no longer waits: it was started, refused or cancelled.
-type DemandGone struct{ Request string }
+// RequestGone reports that a request no longer waits: it was started, refused or cancelled.
+type RequestGone struct{ Request string }
 
 // Started and Finished mark the start and end of a request, which pins its model and adapter while it runs.
 type Started struct{ Request, Model, Adapter string }
@@ -78,8 +78,8 @@
 // Finished reports the end of a request reported by Started.
 type Finished struct{ Request string }
 
-// PermitGiven allows one load from the weight store to start until Expires.
-type PermitGiven struct {
+// PermitGranted allows one load from the weight store to start until Expires.
+type PermitGranted struct {
 	ID      string
 	Expires time.Time
 }
@@ -103,32 +103,32 @@
 // Tick only advances the time.
 type Tick struct{}
 
-func (EngineRead) event()   {}
-func (EngineLost) event()   {}
-func (RowsRead) event()     {}
-func (RowSeen) event()      {}
-func (SpecsChanged) event() {}
-func (Demanded) event()     {}
-func (DemandGone) event()   {}
-func (Started) event()      {}
-func (Finished) event()     {}
-func (PermitGiven) event()  {}
-func (PermitDenied) event() {}
-func (OrderDone) event()    {}
-func (Leaving) event()      {}
-func (Tick) event()         {}
+func (EngineRead) event()       {}
+func (EngineReadFailed) event() {}
+func (RowsRead) event()         {}
+func (RowSeen) event()          {}
+func (SpecsChanged) event()     {}
+func (RequestWaiting) event()   {}
+func (RequestGone) event()      {}
+func (Started) event()          {}
+func (Finished) event()         {}
+func (PermitGranted) event()    {}
+func (PermitDenied) event()     {}
+func (OrderDone) event()        {}
+func (Leaving) event()          {}
+func (Tick) event()             {}
 
 // Action is an output of the machine.
 type Action interface{ action() }
 
-// GiveOrder requests that an order be sent to the engine and its result be reported by OrderDone.
-type GiveOrder struct {
+// SendOrder requests that an order be sent to the engine and its result be reported by OrderDone.
+type SendOrder struct {
 	Order endpoint.Order
 	// FromStore is set if the load is expected to read from the weight store.
 	FromStore bool
 }
 
-// ReadEngine requests a read of the engine's state, to be reported by EngineRead or EngineLost. IDs increase.
+// ReadEngine requests a read of the engine's state, to be reported by EngineRead or EngineReadFailed. IDs increase.
 type ReadEngine struct{ ID uint64 }
 
 // ReadRows requests a read of this engine's grants from the table, to be reported by RowsRead.
@@ -142,8 +142,8 @@
 	Deadline time.Time
 }
 
-// EndPermit reports that a permit, or a request for one, is no longer needed.
-type EndPermit struct{ ID string }
+// ReleasePermit reports that a permit, or a request for one, is no longer needed.
+type ReleasePermit struct{ ID string }
 
 // Usable reports that requests for a model version and adapter may start; Adapter is empty for the model alone.
 type Usable struct{ Model, Adapter string }
@@ -151,9 +151,9 @@
 // Unusable reports that no further request for the model version, or only for the adapter if set, may start.
 type Unusable struct{ Model, Adapter string }
 
-// RefuseDemand refuses all waiting requests of a model version, or of one adapter if set; with Request set, only that
+// RefuseRequests refuses all waiting requests of a model version, or of one adapter if set; with Request set, only that
 // one.
-type RefuseDemand struct {
+type RefuseRequests struct {
 	Request        string
 	Model, Adapter string
 	Reason         wirepb.RefusalReason
@@ -174,14 +174,14 @@
 	Reason wirepb.RefusalReason
 }
 
-func (GiveOrder) action()      {}
+func (SendOrder) action()      {}
 func (ReadEngine) action()     {}
 func (ReadRows) action()       {}
 func (AskPermit) action()      {}
-func (EndPermit) action()      {}
+func (ReleasePermit) action()  {}
 func (Usable) action()         {}
 func (Unusable) action()       {}
-func (RefuseDemand) action()   {}
+func (RefuseRequests) action() {}
 func (ConfirmRelease) action() {}
 func (WantSlot) action()       {}
 
@@ -194,13 +194,14 @@
 	MemoryBytes int64
 	// ChecksFencing is set if the engine rejects orders with a stale fencing number.
 	ChecksFencing bool
-	// OrderLife is the longest time for which an order may still take effect after it was abandoned or its sender died.
-	// For a model load that means the start of the load, which the engine's state shows; for an adapter load, its end.
-	OrderLife time.Duration
+	// OrderLifetime is the longest time for which an order may still take effect after it was abandoned or its sender
+	// died. For a model load that means the start of the load, which the engine's state shows; for an adapter load, its
+	// end.
+	OrderLifetime time.Duration
 	// StateInterval is the time between periodic reads of the engine's state.
 	StateInterval time.Duration
-	// PermitPatience is how long a load waits for a permit before it starts without one; the time is jittered.
-	PermitPatience time.Duration
+	// PermitTimeout is how long a load waits for a permit before it starts without one; the time is jittered.
+	PermitTimeout time.Duration
 	// LoadsAtOnce is the maximum number of concurrent loads of model versions (default 2).
 	LoadsAtOnce int
 	// Seed seeds the jitter.
--- a/internal/loading/idle/hold.go
+++ b/internal/loading/idle/hold.go
@@ -26,8 +26,8 @@
 	// MarginLoads is the same margin as a multiple of the expected load, because loads slow down when the store is
 	// saturated.
 	MarginLoads int
-	// Longest bounds the hold; 0 means no bound other than the deadline.
-	Longest time.Duration
+	// MaxHold bounds the hold; 0 means no bound other than the deadline.
+	MaxHold time.Duration
 }
 
 // HoldUntil returns until when a batch request for a cold model version may wait for others before it triggers a load,
@@ -46,8 +46,8 @@
 		return now
 	}
 	held := time.Duration(heldShare(model) * float64(slack))
-	if opts.Longest > 0 {
-		held = min(held, opts.Longest)
+	if opts.MaxHold > 0 {
+		held = min(held, opts.MaxHold)
 	}
 	return now.Add(held)
 }
--- a/internal/loading/idle/policy_test.go
+++ b/internal/loading/idle/policy_test.go
@@ -156,7 +156,7 @@
 		{name: "leaves MarginLoads times a slow load", deadline: 20 * time.Minute, load: 3 * time.Minute, earliest: time.Minute, longest: 2 * time.Minute},
 		{name: "a request with a short deadline is not held", deadline: 5 * time.Minute, load: time.Second},
 		{name: "a request past its deadline is not held", deadline: -time.Minute, load: time.Second},
-		{name: "bounded by Longest", opts: HoldOptions{Longest: time.Hour}, deadline: 8 * time.Hour, load: time.Second, earliest: time.Hour, longest: time.Hour},
+		{name: "bounded by MaxHold", opts: HoldOptions{MaxHold: time.Hour}, deadline: 8 * time.Hour, load: time.Second, earliest: time.Hour, longest: time.Hour},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/loading/machine.go
+++ b/internal/loading/machine.go
@@ -123,24 +123,24 @@
 	switch e := e.(type) {
 	case EngineRead:
 		m.engineRead(e)
-	case EngineLost:
-		m.engineLost(e)
+	case EngineReadFailed:
+		m.engineReadFailed(e)
 	case RowsRead:
 		m.rowsRead(e)
 	case RowSeen:
 		m.rowSeen(e.Row, false)
 	case SpecsChanged:
 		m.specsChanged(e)
-	case Demanded:
-		m.demanded(e)
-	case DemandGone:
-		m.demandGone(e.Request)
+	case RequestWaiting:
+		m.requestWaiting(e)
+	case RequestGone:
+		m.requestGone(e.Request)
 	case Started:
 		m.startedRequest(e)
 	case Finished:
 		m.finished(e)
-	case PermitGiven:
-		m.permitGiven(e)
+	case PermitGranted:
+		m.permitGranted(e)
 	case PermitDenied:
 		m.permitDenied(e)
 	case OrderDone:
--- a/internal/loading/order.go
+++ b/internal/loading/order.go
@@ -74,7 +74,7 @@
 // abandoned.
 func (m *Machine) expired(o *order, at time.Time) bool { return !at.Before(m.expiresAt(o)) }
 
-func (m *Machine) expiresAt(o *order) time.Time { return o.endedAt.Add(m.options.OrderLife) }
+func (m *Machine) expiresAt(o *order) time.Time { return o.endedAt.Add(m.options.OrderLifetime) }
 
 // ineffective reports whether an order of unknown outcome could no longer take effect after a read that began at the
 // given time and step: its lifetime had ended, or the engine had accepted an order with a higher fencing number.
@@ -85,7 +85,7 @@
 	if m.expired(o, at) {
 		return true
 	}
-	return m.options.ChecksFencing && m.accepted.fence > o.Fence && m.accepted.step <= step
+	return m.options.ChecksFencing && m.accepted.fence > o.FencingToken && m.accepted.step <= step
 }
 
 // ineffectiveNow is ineffective as of the current step.
--- a/internal/loading/orders.go
+++ b/internal/loading/orders.go
@@ -55,12 +55,12 @@
 	fence := m.fence.take()
 	o := &order{
 		Order: endpoint.Order{
-			ID:          m.options.Engine + "/" + strconv.FormatUint(fence, 10),
-			Kind:        kind,
-			Model:       h.replica.model,
-			Adapter:     h.adapter,
-			Fence:       fence,
-			MemoryBytes: bytes,
+			ID:           m.options.Engine + "/" + strconv.FormatUint(fence, 10),
+			Kind:         kind,
+			Model:        h.replica.model,
+			Adapter:      h.adapter,
+			FencingToken: fence,
+			MemoryBytes:  bytes,
 		},
 		holding:     h,
 		incarnation: m.engine.incarnation,
@@ -87,7 +87,7 @@
 	h.state = loading
 	h.bytes = max(h.bytes, size.bytes)
 	h.kvFloor = max(h.kvFloor, size.kvFloor)
-	m.emit(GiveOrder{Order: o.Order, FromStore: fromStore})
+	m.emit(SendOrder{Order: o.Order, FromStore: fromStore})
 }
 
 // orderUnload orders an unload. No request may start after this.
@@ -99,5 +99,5 @@
 	}
 	o := m.newOrder(h, kind, 0)
 	h.state = unloading
-	m.emit(GiveOrder{Order: o.Order})
+	m.emit(SendOrder{Order: o.Order})
 }
--- a/internal/loading/permit.go
+++ b/internal/loading/permit.go
@@ -27,13 +27,13 @@
 
 // permitted reports whether a load may start under the weight store's budget, and requests a permit if it needs one.
 func (m *Machine) permitted(h *holding) bool {
-	if m.isCached(h) || m.options.PermitPatience <= 0 {
+	if m.isCached(h) || m.options.PermitTimeout <= 0 {
 		return true
 	}
 	p := &h.permit
 	if p.id == "" {
 		p.id = m.newPermitID()
-		p.startAt = m.now.Add(m.jitter(m.options.PermitPatience))
+		p.startAt = m.now.Add(m.jitter(m.options.PermitTimeout))
 		m.askPermit(h)
 	}
 	if p.granted && !m.now.Before(p.expires) {
@@ -66,7 +66,7 @@
 
 // askPermit requests a permit. A repeated request with the same identifier is idempotent at the issuer.
 func (m *Machine) askPermit(h *holding) {
-	h.permit.retryAt = m.now.Add(m.options.PermitPatience / 2)
+	h.permit.retryAt = m.now.Add(m.options.PermitTimeout / 2)
 	deadline := h.replica.deadline()
 	if deadline.IsZero() {
 		deadline = m.now.Add(defaultLoadDeadline)
@@ -88,12 +88,12 @@
 	return h
 }
 
-// permitGiven handles a permit. One that is no longer needed is returned.
-func (m *Machine) permitGiven(e PermitGiven) {
+// permitGranted handles a permit. One that is no longer needed is returned.
+func (m *Machine) permitGranted(e PermitGranted) {
 	h := m.permitRequester(e.ID)
 	if h == nil {
 		if !m.permitInUse(e.ID) {
-			m.emit(EndPermit{ID: e.ID})
+			m.emit(ReleasePermit{ID: e.ID})
 		}
 		return
 	}
@@ -115,7 +115,7 @@
 // extendedPermitWait returns until when a load waits for its permit after a denial: at most until the latest start that
 // meets its deadline, so that an issuer with a wrong view of the store cannot block a load forever.
 func (m *Machine) extendedPermitWait(h *holding, retryAt time.Time) time.Time {
-	extended := retryAt.Add(m.jitter(m.options.PermitPatience))
+	extended := retryAt.Add(m.jitter(m.options.PermitTimeout))
 	if deadline := h.replica.deadline(); !deadline.IsZero() {
 		latest := deadline.Add(-m.expectedLoad(h))
 		if extended.After(latest) {
@@ -160,6 +160,6 @@
 // endPermit reports that a permit is no longer used.
 func (m *Machine) endPermit(id string) {
 	if id != "" {
-		m.emit(EndPermit{ID: id})
+		m.emit(ReleasePermit{ID: id})
 	}
 }
--- a/internal/loading/permits/budget_test.go
+++ b/internal/loading/permits/budget_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestBudget(t *testing.T) {
-	opts := Options{LoadsAtOnce: 1, AdaptersInTransit: 1, Lease: 10 * time.Second, StartWithin: 2 * time.Second}
+	opts := Options{LoadsAtOnce: 1, MaxAdapterLoads: 1, Lease: 10 * time.Second, StartWithin: 2 * time.Second}
 	at := func(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 	oneSecondLoads := func(o *Options) { o.LoadsPerSecond = 1 }
 	cases := []struct {
@@ -148,7 +148,7 @@
 			b.Request(at(0), "e1", ask("a", time.Minute))
 			b.Request(at(0), "e2", ask("b", time.Hour))
 			b.Decide(at(0))
-			b.SetLimits(Options{LoadsAtOnce: 2, AdaptersInTransit: 1})
+			b.SetLimits(Options{LoadsAtOnce: 2, MaxAdapterLoads: 1})
 			return b.Decide(at(1))
 		}},
 		{name: "an undeclared limit means unlimited", want: []string{"a", "b"}, opts: func(o *Options) { o.LoadsAtOnce = 0 }, play: func(b *Budget) []Grant {
@@ -269,7 +269,7 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("limits, answers, expiry and bounds", prop.ForAll(func(seed uint64) (bool, error) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		b := NewBudget(Options{LoadsPerSecond: 2.5, LoadsAtOnce: 4, AdaptersInTransit: 6, MaxPending: 20})
+		b := NewBudget(Options{LoadsPerSecond: 2.5, LoadsAtOnce: 4, MaxAdapterLoads: 6, MaxPending: 20})
 		now, lastStart := epoch, time.Time{}
 		for range 500 {
 			now = now.Add(time.Duration(rng.IntN(800)) * time.Millisecond)
@@ -299,7 +299,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			budget := NewBudget(Options{LoadsPerSecond: 1e6, LoadsAtOnce: 4, AdaptersInTransit: 30, MaxPending: pending + 8, Lease: time.Hour})
+			budget := NewBudget(Options{LoadsPerSecond: 1e6, LoadsAtOnce: 4, MaxAdapterLoads: 30, MaxPending: pending + 8, Lease: time.Hour})
 			keys := make([]string, pending)
 			for i := range keys {
 				keys[i] = fmt.Sprintf("engine-%05d", i)
--- a/internal/loading/permits/decide.go
+++ b/internal/loading/permits/decide.go
@@ -42,7 +42,7 @@
 func (b *Budget) limit(k kind) int {
 	limit := b.opts.LoadsAtOnce
 	if k == adapters {
-		limit = b.opts.AdaptersInTransit
+		limit = b.opts.MaxAdapterLoads
 	}
 	if limit <= 0 {
 		return math.MaxInt
--- a/internal/loading/permits/limits.go
+++ b/internal/loading/permits/limits.go
@@ -4,5 +4,5 @@
 func (b *Budget) SetLimits(opts Options) {
 	b.opts.LoadsPerSecond = opts.LoadsPerSecond
 	b.opts.LoadsAtOnce = opts.LoadsAtOnce
-	b.opts.AdaptersInTransit = opts.AdaptersInTransit
+	b.opts.MaxAdapterLoads = opts.MaxAdapterLoads
 }
--- a/internal/loading/permits/options.go
+++ b/internal/loading/permits/options.go
@@ -22,8 +22,8 @@
 	LoadsPerSecond float64
 	// LoadsAtOnce is the maximum number of concurrent loads of weights; 0 means unlimited.
 	LoadsAtOnce int
-	// AdaptersInTransit is the maximum number of concurrent loads of adapters; 0 means unlimited.
-	AdaptersInTransit int
+	// MaxAdapterLoads is the maximum number of concurrent loads of adapters; 0 means unlimited.
+	MaxAdapterLoads int
 	// Lease is how long a permit or a report remains valid without a renewal by its agent (optional).
 	Lease time.Duration
 	// StartWithin is the time within which a permit must be used (optional).
--- a/internal/loading/permits/storm_test.go
+++ b/internal/loading/permits/storm_test.go
@@ -16,8 +16,8 @@
 }
 
 var (
-	hashemite = deployment{"Hashemite", Options{LoadsPerSecond: 2.5, LoadsAtOnce: 4, AdaptersInTransit: 30}, 10}
-	tsagaan   = deployment{"Tsagaan", Options{LoadsPerSecond: 5, LoadsAtOnce: 4, AdaptersInTransit: 30}, 21}
+	hashemite = deployment{"Hashemite", Options{LoadsPerSecond: 2.5, LoadsAtOnce: 4, MaxAdapterLoads: 30}, 10}
+	tsagaan   = deployment{"Tsagaan", Options{LoadsPerSecond: 5, LoadsAtOnce: 4, MaxAdapterLoads: 30}, 21}
 )
 
 // outcome summarizes one storm.
@@ -126,14 +126,14 @@
 	for _, count := range []int{30, 60, 100, 300} {
 		for seed := range uint64(5) {
 			s := func(is issuers) *store {
-				return &store{atOnce: hashemite.options.AdaptersInTransit, issuers: is,
+				return &store{atOnce: hashemite.options.MaxAdapterLoads, issuers: is,
 					loads: storm(seed, count, [2]time.Duration{300 * time.Millisecond, longest}, wirepb.PermitKind_ADAPTER)}
 			}
 			without := play(s(noIssuer))
 			with := play(s(singleIssuer(hashemite.options)))
 			without.log(t, fmt.Sprintf("%d adapters, no permits", count))
 			with.log(t, fmt.Sprintf("%d adapters, permits", count))
-			if with.maxInFlight > hashemite.options.AdaptersInTransit {
+			if with.maxInFlight > hashemite.options.MaxAdapterLoads {
 				t.Errorf("%d adapters seed %d: %d in transit", count, seed, with.maxInFlight)
 			}
 			if count >= 100 && with.p50 >= without.p50 {
--- a/internal/loading/property_test.go
+++ b/internal/loading/property_test.go
@@ -124,7 +124,7 @@
 	if len(w.reads) > 0 && w.random.IntN(2) == 0 {
 		read := pick(w, &w.reads)
 		if !w.faultFree && w.random.IntN(10) == 0 {
-			w.pending = append(w.pending, EngineLost(read))
+			w.pending = append(w.pending, EngineReadFailed(read))
 			return
 		}
 		w.pending = append(w.pending, EngineRead{ID: read.ID, State: w.engine.state()})
@@ -150,7 +150,7 @@
 
 func (w *simWorld) demand() {
 	w.requests++
-	e := Demanded{
+	e := RequestWaiting{
 		Request:  fmt.Sprint("r", w.requests),
 		Model:    simModels[w.random.IntN(len(simModels))].Model,
 		Deadline: w.now.Add(time.Duration(1+w.random.IntN(30_000)) * time.Millisecond),
@@ -175,7 +175,7 @@
 		}
 		if w.random.IntN(20) == 0 {
 			delete(w.demands, id)
-			w.event(DemandGone{Request: id})
+			w.event(RequestGone{Request: id})
 			return
 		}
 	}
@@ -233,7 +233,7 @@
 	p := pick(w, &w.permits)
 	switch w.random.IntN(3) {
 	case 0:
-		w.event(PermitGiven{ID: p.ID, Expires: w.now.Add(time.Second)})
+		w.event(PermitGranted{ID: p.ID, Expires: w.now.Add(time.Second)})
 	case 1:
 		w.event(PermitDenied{ID: p.ID, RetryAt: w.now.Add(time.Second)})
 	}
@@ -306,8 +306,8 @@
 	if len(w.row("a@1").Slots) == 0 {
 		return ""
 	}
-	w.step(Demanded{Request: "last", Model: "a@1", Adapter: "a-x", Deadline: w.now.Add(time.Hour)})
-	w.demands["last"] = Demanded{Request: "last", Model: "a@1", Adapter: "a-x", Deadline: w.now.Add(time.Hour)}
+	w.step(RequestWaiting{Request: "last", Model: "a@1", Adapter: "a-x", Deadline: w.now.Add(time.Hour)})
+	w.demands["last"] = RequestWaiting{Request: "last", Model: "a@1", Adapter: "a-x", Deadline: w.now.Add(time.Hour)}
 	for range faultFreeRounds {
 		w.round()
 	}
--- a/internal/loading/refusal.go
+++ b/internal/loading/refusal.go
@@ -35,7 +35,7 @@
 )
 
 // refusalOf returns the reason why a request cannot be served by this engine, or nil.
-func (m *Machine) refusalOf(e Demanded) (*refusal, time.Duration) {
+func (m *Machine) refusalOf(e RequestWaiting) (*refusal, time.Duration) {
 	switch {
 	case m.leaving:
 		return &refusalLeaving, 0
@@ -53,7 +53,7 @@
 }
 
 // loadRefusal returns the reason why a request cannot get the load it needs, or nil.
-func (m *Machine) loadRefusal(e Demanded) (*refusal, time.Duration) {
+func (m *Machine) loadRefusal(e RequestWaiting) (*refusal, time.Duration) {
 	if !m.specsKnown {
 		return &refusalNotReady, defaultRetryAfter
 	}
@@ -76,8 +76,8 @@
 }
 
 // refuseOne refuses a single request that is not tracked.
-func (m *Machine) refuseOne(e Demanded, why refusal, retryAfter time.Duration) {
-	m.emit(RefuseDemand{
+func (m *Machine) refuseOne(e RequestWaiting, why refusal, retryAfter time.Duration) {
+	m.emit(RefuseRequests{
 		Request:    e.Request,
 		Model:      e.Model,
 		Adapter:    e.Adapter,
@@ -93,7 +93,7 @@
 // refuseLate refuses a request whose deadline is before the expected end of the load. The load starts or continues
 // nevertheless, because the caller is told when to retry; otherwise a model whose load takes longer than any caller
 // waits would never be served.
-func (m *Machine) refuseLate(e Demanded, target *holding, at time.Time) {
+func (m *Machine) refuseLate(e RequestWaiting, target *holding, at time.Time) {
 	why := refusalDeadline
 	why.detail = fmt.Sprintf("ready in %v at the earliest", at.Sub(m.now).Round(time.Millisecond))
 	m.refuseOne(e, why, at.Sub(m.now))
@@ -112,7 +112,7 @@
 			m.removeDemand(d)
 		}
 	}
-	m.emit(RefuseDemand{
+	m.emit(RefuseRequests{
 		Model:      h.replica.model,
 		Adapter:    h.adapter,
 		Reason:     why.reason,
