--- a/internal/loading/results.go
+++ b/internal/loading/results.go
@@ -53,7 +53,7 @@
 
 // overtaken reports whether the engine rejected an order only because a later one of this agent arrived first.
 func (m *Machine) overtaken(o *order, err error) bool {
-	return errors.Is(err, endpoint.ErrFenced) && o.Fence < m.fence.last && o.incarnation == m.engine.incarnation
+	return errors.Is(err, endpoint.ErrFenced) && o.FencingToken < m.fence.last && o.incarnation == m.engine.incarnation
 }
 
 // undoOvertaken restores the state before an order that was overtaken, including the permit of a load. This does not
@@ -104,10 +104,10 @@
 
 // accept records that the engine carried out an order, after which it rejects all with lower fencing numbers.
 func (m *Machine) accept(o *order) {
-	if o.Fence <= m.accepted.fence {
+	if o.FencingToken <= m.accepted.fence {
 		return
 	}
-	m.accepted = accepted{fence: o.Fence, step: m.step}
+	m.accepted = accepted{fence: o.FencingToken, step: m.step}
 	if !m.engine.predecessorsDone {
 		m.scheduleRead()
 	}
--- a/internal/loading/script_test.go
+++ b/internal/loading/script_test.go
@@ -65,7 +65,7 @@
 func engineReports(models ...string) engineReply { return engineReply{models: models} }
 
 func demandOf(request, model, adapter string, left time.Duration) Event {
-	return Demanded{Request: request, Model: model, Adapter: adapter, Deadline: scriptStart.Add(left)}
+	return RequestWaiting{Request: request, Model: model, Adapter: adapter, Deadline: scriptStart.Add(left)}
 }
 
 var scriptStart = time.Unix(1_000_000, 0)
@@ -114,7 +114,7 @@
 	return []line{
 		{event: demandOf("first "+model, model, "", time.Hour), want: "load " + model},
 		{event: orderResult{order: "load " + model}, want: "usable " + model},
-		{event: DemandGone{Request: "first " + model}, want: ""},
+		{event: RequestGone{Request: "first " + model}, want: ""},
 	}
 }
 
@@ -156,7 +156,7 @@
 func runScripts(t *testing.T, cases []scriptCase) {
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			o := Options{Engine: "e", Host: "h", MemoryBytes: 100, OrderLife: testOrderLife, StateInterval: time.Hour, LoadsAtOnce: 2}
+			o := Options{Engine: "e", Host: "h", MemoryBytes: 100, OrderLifetime: testOrderLife, StateInterval: time.Hour, LoadsAtOnce: 2}
 			if c.options != nil {
 				c.options(&o)
 			}
@@ -203,7 +203,7 @@
 	case engineReply:
 		return EngineRead{ID: s.read, State: e.state()}
 	case grantPermit:
-		return PermitGiven{ID: s.asked, Expires: s.now.Add(e.valid)}
+		return PermitGranted{ID: s.asked, Expires: s.now.Add(e.valid)}
 	case denyPermit:
 		return PermitDenied{ID: s.asked, RetryAt: s.now.Add(e.after)}
 	}
@@ -211,7 +211,7 @@
 }
 
 func (e engineReply) state() endpoint.EngineState {
-	s := endpoint.EngineState{Incarnation: "1" + e.incarnation, MemoryBytes: 100, UsedBytes: e.used, HighestFence: e.fence}
+	s := endpoint.EngineState{Incarnation: "1" + e.incarnation, MemoryBytes: 100, UsedBytes: e.used, HighestFencingToken: e.fence}
 	s.Cached = map[string]string{}
 	for _, name := range e.cached {
 		s.Cached[name] = "disk"
@@ -231,10 +231,10 @@
 // describe returns a short description of an action and records its identifiers for resolve.
 func (s *script) describe(a Action) string {
 	switch a := a.(type) {
-	case GiveOrder:
+	case SendOrder:
 		text := strings.TrimSpace(fmt.Sprint(a.Order.Kind, " ", a.Order.Model, " ", a.Order.Adapter))
 		s.orders[text] = a.Order.ID
-		s.fences = append(s.fences, a.Order.Fence)
+		s.fences = append(s.fences, a.Order.FencingToken)
 		return text
 	case ReadEngine:
 		s.read = a.ID
@@ -243,7 +243,7 @@
 		if s.permits {
 			return "ask"
 		}
-	case EndPermit:
+	case ReleasePermit:
 		if s.permits {
 			return "end"
 		}
@@ -251,7 +251,7 @@
 		return strings.TrimSpace("usable " + a.Model + " " + a.Adapter)
 	case Unusable:
 		return strings.TrimSpace("unusable " + a.Model + " " + a.Adapter)
-	case RefuseDemand:
+	case RefuseRequests:
 		target := strings.TrimSpace(a.Request + " " + a.Model + " " + a.Adapter)
 		return "refuse " + target + " " + a.Reason.String()
 	case ConfirmRelease:
--- a/internal/loading/simengine_test.go
+++ b/internal/loading/simengine_test.go
@@ -83,7 +83,7 @@
 		UsedBytes:   e.used(),
 	}
 	if e.fencing != fencingIgnored {
-		s.HighestFence = e.highest
+		s.HighestFencingToken = e.highest
 	}
 	for _, name := range sortedKeys(e.models) {
 		m := e.models[name]
@@ -105,11 +105,11 @@
 		return
 	}
 	o.arrived = true
-	if e.fencing != fencingIgnored && o.Fence < e.highest {
+	if e.fencing != fencingIgnored && o.FencingToken < e.highest {
 		e.end(o, endpoint.ErrFenced)
 		return
 	}
-	e.highest = max(e.highest, o.Fence)
+	e.highest = max(e.highest, o.FencingToken)
 	if !e.faultFree && e.random.IntN(20) == 0 {
 		e.end(o, endpoint.ErrUnavailable)
 		return
--- a/internal/loading/simworld_test.go
+++ b/internal/loading/simworld_test.go
@@ -59,7 +59,7 @@
 	rowsRequested bool
 	permits       []AskPermit
 	usable        map[simTarget]bool
-	demands       map[string]Demanded
+	demands       map[string]RequestWaiting
 	running       map[string]simTarget
 	requests      int
 	faultFree     bool
@@ -89,17 +89,17 @@
 	w.agent++
 	w.revision++
 	w.machine = NewMachine(Options{
-		Engine:         "e",
-		MemoryBytes:    simLimit,
-		ChecksFencing:  w.engine.fencing != fencingIgnored,
-		OrderLife:      simOrderLife,
-		StateInterval:  5 * time.Second,
-		PermitPatience: time.Second,
-		Seed:           w.random.Uint64(),
+		Engine:        "e",
+		MemoryBytes:   simLimit,
+		ChecksFencing: w.engine.fencing != fencingIgnored,
+		OrderLifetime: simOrderLife,
+		StateInterval: 5 * time.Second,
+		PermitTimeout: time.Second,
+		Seed:          w.random.Uint64(),
 	}, fixedPolicy(time.Duration(w.random.IntN(5))*time.Second))
 	w.pending, w.delivered, w.reads, w.permits, w.rowsRequested = nil, nil, nil, nil, false
 	w.usable = map[simTarget]bool{}
-	w.demands = map[string]Demanded{}
+	w.demands = map[string]RequestWaiting{}
 	w.running = map[string]simTarget{}
 	w.step(Tick{})
 	w.pending = append(w.pending, SpecsChanged{Models: simModels, Adapters: simAdapters})
@@ -130,7 +130,7 @@
 
 func (w *simWorld) perform(a Action) {
 	switch a := a.(type) {
-	case GiveOrder:
+	case SendOrder:
 		w.give(a.Order)
 	case ReadEngine:
 		w.reads = append(w.reads, a)
@@ -148,17 +148,17 @@
 				delete(w.usable, t)
 			}
 		}
-	case RefuseDemand:
+	case RefuseRequests:
 		w.refuse(a)
 	}
 }
 
 // give checks and sends an order.
 func (w *simWorld) give(o endpoint.Order) {
-	if o.Fence <= w.fence {
-		w.engine.violate("fencing number %d after %d", o.Fence, w.fence)
+	if o.FencingToken <= w.fence {
+		w.engine.violate("fencing number %d after %d", o.FencingToken, w.fence)
 	}
-	w.fence = o.Fence
+	w.fence = o.FencingToken
 	for _, other := range w.engine.orders {
 		both := o.Adapter != "" && other.Adapter != "" && o.Adapter != other.Adapter
 		if other.Model == o.Model && other.agent == w.agent && !other.abandoned && !both {
@@ -173,7 +173,7 @@
 	w.engine.orders = append(w.engine.orders, &simOrder{Order: o, agent: w.agent})
 }
 
-func (w *simWorld) refuse(a RefuseDemand) {
+func (w *simWorld) refuse(a RefuseRequests) {
 	for id, d := range w.demands {
 		one := a.Request == "" || a.Request == id
 		if one && d.Model == a.Model && (a.Adapter == "" || d.Adapter == a.Adapter) {
--- a/internal/loading/start_test.go
+++ b/internal/loading/start_test.go
@@ -78,7 +78,7 @@
 				line{event: RowSeen{Row: rowOf("z@1", 5, grantedSlot("e"))}},
 				line{event: demandOf("x", "x@1", "", time.Hour)},
 				line{event: demandOf("z", "z@1", "", time.Hour), want: "refuse z z@1 NOT_READY"},
-				line{event: DemandGone{Request: "x"}},
+				line{event: RequestGone{Request: "x"}},
 				line{after: time.Hour, event: Tick{}},
 			),
 			check: wantReady(true),
--- a/internal/membership/manager.go
+++ b/internal/membership/manager.go
@@ -194,7 +194,7 @@
 	}
 	m.detachStale(hosts, version)
 	m.mu.Lock()
-	changed := m.view.HostsRead(hosts, version)
+	changed := m.view.ApplyHosts(hosts, version)
 	if changed {
 		m.publish()
 		m.startLinks(ctx, links)
@@ -227,7 +227,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	next := m.view.clone()
-	if !next.HostsRead(hosts, version) {
+	if !next.ApplyHosts(hosts, version) {
 		return nil
 	}
 	stale := map[*link]bool{}
@@ -290,7 +290,7 @@
 func (m *Manager) handleReport(name string, up *wirepb.ControlUp) {
 	if up.Status != nil {
 		m.mu.Lock()
-		if m.view.Reported(m.clock.Now(), name, up.Status) {
+		if m.view.ApplyReport(m.clock.Now(), name, up.Status) {
 			m.publish()
 		}
 		m.mu.Unlock()
@@ -302,7 +302,7 @@
 // observer.
 func (m *Manager) handleLost(name string) {
 	m.mu.Lock()
-	m.view.Lost(name)
+	m.view.SetDisconnected(name)
 	m.publish()
 	m.mu.Unlock()
 	m.notifyObserver(func(o Observer) { o.Lost(name) })
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -93,12 +93,12 @@
 	return &copied
 }
 
-// HostsRead applies a host list and reports whether it is newer than the last one: its version increases with each
+// ApplyHosts applies a host list and reports whether it is newer than the last one: its version increases with each
 // change.
 //
 // A list with a lower version is ignored: two reads may be answered by platform replicas that lag differently, and an
 // older list would make a leaving host appear live again and get new work.
-func (v *View) HostsRead(hosts []backing.Host, version uint64) bool {
+func (v *View) ApplyHosts(hosts []backing.Host, version uint64) bool {
 	if v.initialized && version <= v.version {
 		return false
 	}
@@ -199,9 +199,9 @@
 	return e.Status.GetLeaving()
 }
 
-// Reported merges a status report and reports whether it was used. A change report before a full one is dropped, and so
-// is a late report of a host that is gone.
-func (v *View) Reported(now time.Time, name string, status *wirepb.Status) bool {
+// ApplyReport merges a status report and reports whether it was used. A change report before a full one is dropped, and
+// so is a late report of a host that is gone.
+func (v *View) ApplyReport(now time.Time, name string, status *wirepb.Status) bool {
 	old, ok := v.endpoints[name]
 	if !ok || status == nil || old.Gone {
 		return false
@@ -275,8 +275,8 @@
 	return merged
 }
 
-// Lost records that the connection to an agent has ended.
-func (v *View) Lost(name string) {
+// SetDisconnected records that the connection to an agent has ended.
+func (v *View) SetDisconnected(name string) {
 	old, ok := v.endpoints[name]
 	if !ok {
 		return
--- a/internal/membership/view_cases_test.go
+++ b/internal/membership/view_cases_test.go
@@ -38,12 +38,12 @@
 func TestViewCases(t *testing.T) {
 	const live, leaving, gone = backing.HostLive, backing.HostLeaving, backing.HostGone
 	list := func(version uint64, hosts ...backing.Host) func(*View) {
-		return func(v *View) { v.HostsRead(hosts, version) }
+		return func(v *View) { v.ApplyHosts(hosts, version) }
 	}
 	report := func(s *wirepb.Status) func(*View) {
-		return func(v *View) { v.Reported(time.Unix(1, 0), "engine", proto.CloneOf(s)) }
+		return func(v *View) { v.ApplyReport(time.Unix(1, 0), "engine", proto.CloneOf(s)) }
 	}
-	lost := func(v *View) { v.Lost("engine") }
+	lost := func(v *View) { v.SetDisconnected("engine") }
 	leavingReport := proto.CloneOf(fullStatus(1))
 	leavingReport.Leaving = true
 	h1, h2 := func(s backing.HostState) backing.Host { return endpointHost("h1", s) }, func(s backing.HostState) backing.Host { return endpointHost("h2", s) }
@@ -80,7 +80,7 @@
 		{"a replica with a slot becomes absent", append(slices.Clone(known), report(changeStatus(&wirepb.Replica{Model: "m@1", Revision: 3}))), "h1 live connected [m@1]"},
 		{"the agent restarts", append(slices.Clone(known), lost, report(fullStatus(2, "n@1"))), "h1 live connected [n@1]"},
 		{"a report of an endpoint that is not listed", []func(*View){report(fullStatus(1)), list(1, h1(live))}, "h1 live []"},
-		{"a report without a status", append(slices.Clone(known), func(v *View) { v.Reported(time.Time{}, "engine", nil) }), "h1 live connected [m@1]"},
+		{"a report without a status", append(slices.Clone(known), func(v *View) { v.ApplyReport(time.Time{}, "engine", nil) }), "h1 live connected [m@1]"},
 		{"an entry host", append(slices.Clone(known), list(2, h1(live), backing.Host{ID: "e", Role: backing.RoleEntry, Endpoint: "engine"})), "h1 live connected [m@1]"},
 	}
 	for _, c := range cases {
@@ -115,7 +115,7 @@
 	entry := func(id string, s backing.HostState) backing.Host {
 		return backing.Host{ID: id, Role: backing.RoleEntry, State: s, Address: id}
 	}
-	v.HostsRead([]backing.Host{entry("c", backing.HostLeaving), entry("b", backing.HostGone), entry("a", backing.HostLive),
+	v.ApplyHosts([]backing.Host{entry("c", backing.HostLeaving), entry("b", backing.HostGone), entry("a", backing.HostLive),
 		endpointHost("h", backing.HostLive), {ID: "x", Role: "other"}}, 1)
 	var ids []string
 	for _, e := range v.Entries() {
@@ -197,17 +197,17 @@
 			slices.Reverse(hosts)
 		}
 		version, _ := v.Hosts()
-		v.HostsRead(hosts, version+uint64(op.pick/16%3))
+		v.ApplyHosts(hosts, version+uint64(op.pick/16%3))
 	case 3, 4:
 		s := fullStatus(1, "m@1")
 		s.Full = op.kind == 3
 		e, ok := v.Endpoint("engine")
 		s.Leaving = op.pick%4 == 0 || ok && reportedLeaving[e.HostID]
-		if v.Reported(time.Unix(int64(op.pick), 0), "engine", s) && s.Leaving {
+		if v.ApplyReport(time.Unix(int64(op.pick), 0), "engine", s) && s.Leaving {
 			reportedLeaving[e.HostID] = true
 		}
 	case 5:
-		v.Lost("engine")
+		v.SetDisconnected("engine")
 	}
 }
 
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -29,21 +29,21 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			v := NewView()
-			v.HostsRead([]backing.Host{endpointHost("h1", backing.HostLive)}, 1)
-			v.HostsRead(slices.Clone(c.list), 2)
+			v.ApplyHosts([]backing.Host{endpointHost("h1", backing.HostLive)}, 1)
+			v.ApplyHosts(slices.Clone(c.list), 2)
 			replica := &wirepb.Replica{Model: "m@1", State: wirepb.ReplicaState_LOADED, Revision: 3}
 			status := &wirepb.Status{Full: true, Ready: true, Replicas: []*wirepb.Replica{replica}}
-			if !v.Reported(time.Unix(1, 0), "engine", status) {
+			if !v.ApplyReport(time.Unix(1, 0), "engine", status) {
 				t.Fatal("the full report was not accepted")
 			}
 			for version := range uint64(3) {
-				v.HostsRead(slices.Clone(c.list), 2+version)
+				v.ApplyHosts(slices.Clone(c.list), 2+version)
 				e, _ := v.Endpoint("engine")
 				if e.HostID != "h2" || !e.Connected || e.Leaving || e.Replicas["m@1"] == nil {
 					t.Fatalf("unexpected endpoint after reading version %d: %+v", 2+version, e)
 				}
 			}
-			if !v.Reported(time.Unix(2, 0), "engine", &wirepb.Status{Ready: true}) {
+			if !v.ApplyReport(time.Unix(2, 0), "engine", &wirepb.Status{Ready: true}) {
 				t.Error("the change report was not accepted")
 			}
 		})
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -39,8 +39,8 @@
 		e.Base, e.Author, e.Revision)
 }
 
-// Place is one error in a text and its location.
-type Place struct {
+// ConfigProblem is one error in a text and its location.
+type ConfigProblem struct {
 	File string `json:"file,omitempty"`
 	// Line counts from 1; 0 means unknown.
 	Line    int    `json:"line,omitempty"`
@@ -51,7 +51,7 @@
 	Allowed string `json:"allowed,omitempty"`
 }
 
-func (p Place) String() string {
+func (p ConfigProblem) String() string {
 	problem := inifile.Problem{
 		File: p.File, Line: p.Line, Section: p.Section, Key: p.Key, Text: p.Problem, Allowed: p.Allowed,
 	}
@@ -60,7 +60,7 @@
 
 // InvalidError reports that an edit is invalid; nothing was changed.
 type InvalidError struct {
-	Places []Place `json:"places"`
+	Places []ConfigProblem `json:"places"`
 }
 
 func (e *InvalidError) Error() string {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -80,7 +80,7 @@
 		},
 		{
 			name: "invalid lists every place",
-			err: &InvalidError{Places: []Place{
+			err: &InvalidError{Places: []ConfigProblem{
 				{File: "a.ini", Line: 3, Section: `model "m"`, Key: "memory", Problem: "no unit", Allowed: "MiB, GiB"},
 				{File: "a.ini", Section: `model "n"`, Problem: "unknown key"},
 			}},
@@ -274,8 +274,8 @@
 	}
 }
 
-// The response to an edit was lost. Settle must poll until the outcome is known and must not treat "not stored yet" as
-// final.
+// The response to an edit was lost. AwaitOperation must poll until the outcome is known and must not treat "not stored
+// yet" as final.
 func TestSettle(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -283,7 +283,7 @@
 		want  time.Duration
 	}{
 		{name: "applied", state: OperationApplied},
-		{name: "never", state: OperationNever},
+		{name: "never", state: OperationNotCommitted},
 		{name: "stays unknown", state: OperationUnknown, want: time.Second},
 	}
 	for _, c := range cases {
@@ -292,7 +292,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				begin := time.Now()
-				got := Settle(ctx, &fakeBackend{operation: Operation{State: c.state}}, "op-1")
+				got := AwaitOperation(ctx, &fakeBackend{operation: Operation{State: c.state}}, "op-1")
 				if got.State != c.state || time.Since(begin) != c.want {
 					t.Fatalf("got %+v after %s, want %s after %s", got, time.Since(begin), c.state, c.want)
 				}
--- a/internal/operator/output_test.go
+++ b/internal/operator/output_test.go
@@ -92,7 +92,7 @@
 		},
 		{
 			name: "each place on its own line",
-			err: &InvalidError{Places: []Place{
+			err: &InvalidError{Places: []ConfigProblem{
 				{File: "a.ini", Line: 3, Section: `model "m"`, Key: "memory", Problem: "no unit", Allowed: "MiB, GiB"},
 				{File: "a.ini", Problem: "no section"},
 			}},
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -85,8 +85,8 @@
 const (
 	// OperationApplied: the edit is stored.
 	OperationApplied OperationState = "applied"
-	// OperationNever: the edit did not and will not take effect.
-	OperationNever OperationState = "never"
+	// OperationNotCommitted: the edit did not and will not take effect.
+	OperationNotCommitted OperationState = "never"
 	// OperationUnknown: the edit is not stored yet and may still take effect.
 	OperationUnknown OperationState = "unknown"
 )
--- a/internal/operator/wait.go
+++ b/internal/operator/wait.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// WaitInterval is the polling interval of Wait and Settle.
+// WaitInterval is the polling interval of Wait and AwaitOperation.
 const WaitInterval = 200 * time.Millisecond
 
 // InForceReader reports where a revision is in force. Client implements it.
@@ -46,8 +46,9 @@
 	return errors.Wrap(ErrNotInForce, last.Error())
 }
 
-// Settle polls an operation of unknown outcome until the outcome is known or ctx is done. It returns the last state read.
-func Settle(ctx context.Context, reader OperationReader, id string) Operation {
+// AwaitOperation polls an operation of unknown outcome until the outcome is known or ctx is done. It returns the last
+// state read.
+func AwaitOperation(ctx context.Context, reader OperationReader, id string) Operation {
 	last := Operation{OperationID: id, State: OperationUnknown}
 	for {
 		seen, err := reader.Operation(ctx, id)
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -28,7 +28,7 @@
 // Gateways provides the demand of all gateways and reports whether this gateway is the coordinator. Implemented by
 // control.Peers.
 type Gateways interface {
-	Coordinates(now time.Time) bool
+	IsCoordinator(now time.Time) bool
 	Demand(now time.Time) map[string]*controlpb.Demand
 	// Waiting returns a channel that is signaled when a request starts waiting for a model.
 	Waiting() <-chan struct{}
@@ -36,7 +36,7 @@
 
 // Commander sends commands to agents. Implemented by control.Agents.
 type Commander interface {
-	Command(c *controlpb.Command)
+	SendCommand(c *controlpb.Command)
 }
 
 // Policy returns the commands to send now, at most one per engine.
@@ -106,7 +106,7 @@
 // Step makes one decision for each service with engines.
 func (m *Manager) Step(now time.Time) {
 	config := m.site.Config()
-	if config == nil || !m.gateways.Coordinates(now) {
+	if config == nil || !m.gateways.IsCoordinator(now) {
 		clear(m.services)
 		return
 	}
@@ -148,13 +148,13 @@
 	m.nextID++
 	s.pending[c.Engine] = &pendingCommand{Command: c, id: m.nextID, sentAt: now}
 	if c.Source == FromStore {
-		s.storeLimiter.acquire(now, c.Engine, c.Load, class.Models[c.Load].LoadTime)
+		s.storeLimiter.acquire(now, c.Engine, c.Load, class.Models[c.Load].StoreLoadTime)
 	}
 	m.metrics.commandSent(c, s.storeLimiter)
 	m.logger.Info("placement", "event", "placement", "engine", c.Engine, "load", c.Load, "unload", c.Unload, "source", c.Source.String(),
 		"reason", c.Reason, "waiting", d.Waiting, "oldest_wait", d.OldestWait, "rate", d.Rate, "running", d.Running,
 		"store_loads", len(s.storeLimiter.running), "store_limit", s.storeLimiter.limit)
-	m.commander.Command(&controlpb.Command{Id: m.nextID, EndpointId: c.Engine, Unload: c.Unload, Load: c.Load})
+	m.commander.SendCommand(&controlpb.Command{Id: m.nextID, EndpointId: c.Engine, Unload: c.Unload, Load: c.Load})
 }
 
 // updatePending removes the commands that agents have completed or have not accepted in time.
--- a/internal/placement/manager_test.go
+++ b/internal/placement/manager_test.go
@@ -23,9 +23,9 @@
 	return catalog.NewConfig(1, catalog.ClientLimits{}, map[string]*catalog.Service{"s": {Name: "s", Engine: testClass()}}, nil)
 }
 func (s *fakeSite) Engines(string, time.Time) []fleet.Engine { return s.engines }
-func (s *fakeSite) Coordinates(time.Time) bool               { return true }
+func (s *fakeSite) IsCoordinator(time.Time) bool             { return true }
 func (s *fakeSite) Waiting() <-chan struct{}                 { return nil }
-func (s *fakeSite) Command(c *controlpb.Command)             { s.commands = append(s.commands, c) }
+func (s *fakeSite) SendCommand(c *controlpb.Command)         { s.commands = append(s.commands, c) }
 func (s *fakeSite) Demand(time.Time) map[string]*controlpb.Demand {
 	return map[string]*controlpb.Demand{"gateway": s.demand}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -54,7 +54,7 @@
 
 // LoadTime returns the time to load the model from the source.
 func (s Source) LoadTime(m catalog.Model) time.Duration {
-	return [...]time.Duration{m.MemoryTime, m.DiskTime, m.LoadTime}[s]
+	return [...]time.Duration{m.MemoryTime, m.DiskTime, m.StoreLoadTime}[s]
 }
 
 // Engine is the state of an engine as last reported by its agent.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -12,10 +12,10 @@
 // testClass returns a class of engines with memory for three models, and models a to z that each load in 6 s from the
 // store.
 func testClass() *catalog.EngineClass {
-	class := &catalog.EngineClass{Batch: 64, MemoryMB: 230_000, AdapterPlaces: 8, LoadsPerSecond: 2.4, Models: make(map[string]catalog.Model)}
+	class := &catalog.EngineClass{Batch: 64, MemoryMB: 230_000, MaxAdapters: 8, LoadsPerSecond: 2.4, Models: make(map[string]catalog.Model)}
 	for r := 'a'; r <= 'z'; r++ {
 		name := string(r)
-		class.Models[name] = catalog.Model{Name: name, SizeMB: 72_000, LoadTime: 6 * time.Second, DiskTime: 1300 * time.Millisecond, MemoryTime: 600 * time.Millisecond, AdapterMB: 66}
+		class.Models[name] = catalog.Model{Name: name, SizeMB: 72_000, StoreLoadTime: 6 * time.Second, DiskTime: 1300 * time.Millisecond, MemoryTime: 600 * time.Millisecond, AdapterMB: 66}
 	}
 	return class
 }
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -11,7 +11,7 @@
 	for _, m := range p.Class.Models {
 		largest = max(largest, m.AdapterMB)
 	}
-	return largest * float64(p.Class.AdapterPlaces)
+	return largest * float64(p.Class.MaxAdapters)
 }
 
 // freeMemory returns the memory of an engine, in MB, that no model or adapter reservation uses.
--- a/internal/replicas/change.go
+++ b/internal/replicas/change.go
@@ -30,7 +30,7 @@
 	ReasonDemand Reason = "demand"
 	// ReasonReplace: the slot replaces one that is released or has to be.
 	ReasonReplace Reason = "replace"
-	// ReasonUnreachable: the slot replaces one whose engine has been unreachable for at least SilentAfter.
+	// ReasonUnreachable: the slot replaces one whose engine has been unreachable for at least UnreachableAfter.
 	ReasonUnreachable Reason = "silent"
 	// ReasonUndeclared: the model version is no longer declared.
 	ReasonUndeclared Reason = "undeclared"
--- a/internal/replicas/decider_test.go
+++ b/internal/replicas/decider_test.go
@@ -113,7 +113,7 @@
 		}},
 		{name: "unreachable engine keeps its slot, another engine gets one too", min: 2, max: 3, stages: []stage{
 			{"silent", func(s *site) { s.makeUnreachable("e0"); s.advance(second) }, "e0 e2"},
-			{"silent for SilentAfter", advance(10 * second), "e3 e0 e2"},
+			{"unreachable for UnreachableAfter", advance(10 * second), "e3 e0 e2"},
 			{"back", all(reportLoaded(), func(s *site) { s.edit("e0", func(e *EngineView) { e.Reachable = true }) }), "e3 e0 e2"},
 			{"back for ExtraHold", advance(hold), "e3 e0- e2"},
 		}},
--- a/internal/replicas/demand.go
+++ b/internal/replicas/demand.go
@@ -66,7 +66,7 @@
 		t.slotRequests[model] = map[string]SlotRequest{}
 	}
 	req := t.slotRequests[model][engine]
-	if req.Reason != reason || now.Sub(req.Last) >= t.policy.WantLife {
+	if req.Reason != reason || now.Sub(req.Last) >= t.policy.SlotRequestTTL {
 		req = SlotRequest{Engine: engine, Reason: reason, First: now}
 	}
 	if now.Sub(req.windowStart) >= slotRequestWindow {
--- a/internal/replicas/draft.go
+++ b/internal/replicas/draft.go
@@ -17,7 +17,8 @@
 	healthGood health = iota
 	// healthFailing: the engine has failed to serve the model version for at least FailingAfter.
 	healthFailing
-	// healthUnreachable: the engine has been unreachable for at least SilentAfter; it may be alive and hold a replica.
+	// healthUnreachable: the engine has been unreachable for at least UnreachableAfter; it may be alive and hold a
+	// replica.
 	healthUnreachable
 	// healthMisplaced: the engine may no longer hold the model version, but still serves.
 	healthMisplaced
@@ -36,7 +37,7 @@
 	health   health
 	reason   Reason
 	loaded   bool
-	// unreachable is set if the engine has been unreachable for at least SilentAfter or is unknown, so that it is not
+	// unreachable is set if the engine has been unreachable for at least UnreachableAfter or is unknown, so that it is not
 	// expected to confirm a release soon.
 	unreachable bool
 }
--- a/internal/replicas/judge.go
+++ b/internal/replicas/judge.go
@@ -58,8 +58,8 @@
 	return healthGood, ""
 }
 
-// unreachable reports whether an engine has been unreachable for at least SilentAfter; -1 stands for an engine without
-// any report.
+// unreachable reports whether an engine has been unreachable for at least UnreachableAfter; -1 stands for an engine
+// without any report.
 //
 // A process that reaches less than half of the engines is more likely cut off itself; assessGranted then does not treat
 // unreachable engines as a reason to move slots.
@@ -72,7 +72,7 @@
 		}
 		since = e.Since
 	}
-	deadline := since.Add(r.policy.SilentAfter)
+	deadline := since.Add(r.policy.UnreachableAfter)
 	if r.now.Before(deadline) {
 		r.recheckAt(deadline)
 		return false
@@ -96,7 +96,7 @@
 	return false
 }
 
-func (r *decisionRun) recent(req SlotRequest) bool { return r.now.Sub(req.Last) < r.policy.WantLife }
+func (r *decisionRun) recent(s SlotRequest) bool { return r.now.Sub(s.Last) < r.policy.SlotRequestTTL }
 
 // avoided returns the engines that failed to serve a model version within the last AvoidFor.
 func (r *decisionRun) avoided(model string) map[string]struct{} {
--- a/internal/replicas/manager.go
+++ b/internal/replicas/manager.go
@@ -25,12 +25,12 @@
 	// Interval is the time between reads of the changed rows. FullInterval is the time between reads of all rows, which
 	// reveal deletions.
 	Interval, FullInterval time.Duration
-	// Settle is how long input changes are batched before a decision. DecideShare is the fraction of one CPU that
+	// BatchDelay is how long input changes are batched before a decision. DecideShare is the fraction of one CPU that
 	// decisions may use: an expensive decision delays the next one.
-	Settle      time.Duration
+	BatchDelay  time.Duration
 	DecideShare float64
-	// TurnStep is the additional delay of each process after the one ranked before it in the order of proposing.
-	TurnStep time.Duration
+	// RankDelay is the additional delay of each process after the one ranked before it in the order of proposing.
+	RankDelay time.Duration
 	// WritesPerSecond and WriteBurst limit the rate of this process's writes to the table.
 	WritesPerSecond float64
 	WriteBurst      int
@@ -48,9 +48,9 @@
 		Policy:          DefaultPolicy(),
 		Interval:        time.Second,
 		FullInterval:    5 * time.Minute,
-		Settle:          20 * time.Millisecond,
+		BatchDelay:      20 * time.Millisecond,
 		DecideShare:     0.02,
-		TurnStep:        500 * time.Millisecond,
+		RankDelay:       500 * time.Millisecond,
 		WritesPerSecond: 50,
 		WriteBurst:      100,
 		ParallelWrites:  8,
@@ -108,7 +108,7 @@
 		demand:   newDemandTracker(o.Policy),
 		wake:     make(chan struct{}, 1),
 		decider:  NewDecider(o.Policy),
-		schedule: newProposalSchedule(o.TurnStep, random.Float64),
+		schedule: newProposalSchedule(o.RankDelay, random.Float64),
 		limiter:  rate.NewLimiter(rate.Limit(o.WritesPerSecond), o.WriteBurst),
 		random:   random,
 	}
@@ -122,16 +122,17 @@
 	}
 }
 
-// Released records an engine's confirmation of a release. Confirmations are kept in memory only: an agent repeats them
-// to each process that connects for as long as its view of the row has its slot RELEASING.
-func (m *Manager) Released(r Release) {
+// ConfirmRelease records an engine's confirmation of a release. Confirmations are kept in memory only: an agent repeats
+// them to each process that connects for as long as its view of the row has its slot RELEASING.
+func (m *Manager) ConfirmRelease(r Release) {
 	if m.demand.addRelease(m.clock.Now(), r) {
 		m.Notify()
 	}
 }
 
-// Wanted records an engine's request for a slot elsewhere; waiting is the number of requests that wait or were refused.
-func (m *Manager) Wanted(engine, model string, reason wirepb.RefusalReason, waiting int) {
+// RequestSlot records an engine's request for a slot elsewhere; waiting is the number of requests that wait or were
+// refused.
+func (m *Manager) RequestSlot(engine, model string, reason wirepb.RefusalReason, waiting int) {
 	m.metrics.slotRequests.WithLabelValues(reason.String()).Inc()
 	m.timeline.Record(timeline.Event{
 		Kind: timeline.SlotWanted, Model: model, Endpoint: engine, Detail: reason.String(),
@@ -140,8 +141,8 @@
 	m.Notify()
 }
 
-// Complete reports whether all rows have been read at least once.
-func (m *Manager) Complete() bool {
+// Synced reports whether all rows have been read at least once.
+func (m *Manager) Synced() bool {
 	_, complete := m.store.progress()
 	return complete
 }
@@ -152,10 +153,10 @@
 // RowsOf returns the rows that contain a slot of an engine, to be pushed to its agent. They must not be modified.
 func (m *Manager) RowsOf(engine string) []*replicaspb.Row { return m.store.rowsOf(engine) }
 
-// Changed returns the rows that changed after the given sequence number (0: all), the model versions whose rows were
-// deleted after it, and the sequence number for the next call. Sequence numbers are local to this process. The rows
-// must not be modified.
-func (m *Manager) Changed(after uint64) (rows []*replicaspb.Row, deleted []string, next uint64) {
+// ChangedSince returns the rows that changed after the given sequence number (0: all), the model versions whose rows
+// were deleted after it, and the sequence number for the next call. Sequence numbers are local to this process. The
+// rows must not be modified.
+func (m *Manager) ChangedSince(after uint64) (rows []*replicaspb.Row, deleted []string, next uint64) {
 	return m.store.since(after)
 }
 
--- a/internal/replicas/manager_test.go
+++ b/internal/replicas/manager_test.go
@@ -73,7 +73,7 @@
 			options := DefaultOptions()
 			options.Seed = uint64(i)
 			// Different settle times keep two entries from acting at the same instant, in an undefined order.
-			options.Settle += time.Duration(i) * time.Millisecond
+			options.BatchDelay += time.Duration(i) * time.Millisecond
 			m := newTestManager(options, c.table, in)
 			c.inputs, c.managers = append(c.inputs, in), append(c.managers, m)
 			running.Go(func() {
@@ -112,7 +112,7 @@
 				continue
 			}
 			for _, m := range c.managers {
-				m.Released(Release{Model: row.Model, Engine: s.Engine, Host: s.Host, Revision: row.Revision})
+				m.ConfirmRelease(Release{Model: row.Model, Engine: s.Engine, Host: s.Host, Revision: row.Revision})
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 			{"its host gone", func() { c.change(setHostState("h2", backing.HostGone)) }, func() int { return slotsOf("e2") }},
 			{"slot requested", func() {
 				for _, m := range c.managers {
-					m.Wanted("e0", "m0@1", wirepb.RefusalReason_QUEUE_FULL, 1)
+					m.RequestSlot("e0", "m0@1", wirepb.RefusalReason_QUEUE_FULL, 1)
 				}
 			}, func() int { return 1 }},
 		}
@@ -259,7 +259,7 @@
 		c.callsIn(5 * time.Second)
 		row := c.table.row(t, "m1@1")
 		for _, s := range row.Slots {
-			c.managers[0].Released(Release{Model: row.Model, Engine: s.Engine, Host: s.Host, Revision: row.Revision})
+			c.managers[0].ConfirmRelease(Release{Model: row.Model, Engine: s.Engine, Host: s.Host, Revision: row.Revision})
 		}
 		c.callsIn(DefaultOptions().FullInterval + 5*time.Second)
 		for i, m := range c.managers {
--- a/internal/replicas/policy.go
+++ b/internal/replicas/policy.go
@@ -13,13 +13,13 @@
 	// fair share. Above PlaceBound the engine gets no further slot while others have room; above MoveBound an idle slot
 	// moves away.
 	PlaceBound, MoveBound float64
-	// SilentAfter is how long an engine must be unreachable before another engine gets a slot to replace it.
-	SilentAfter time.Duration
+	// UnreachableAfter is how long an engine must be unreachable before another engine gets a slot to replace it.
+	UnreachableAfter time.Duration
 	// GrowInterval is the minimum time between a change of a row and one that adds slots on demand. It keeps a burst of
 	// slot requests that one new slot will satisfy from adding ten.
 	GrowInterval time.Duration
-	// WantLife is how long an engine's slot request remains valid after its last repetition.
-	WantLife time.Duration
+	// SlotRequestTTL is how long an engine's slot request remains valid after its last repetition.
+	SlotRequestTTL time.Duration
 	// FailingAfter is how long an engine must have failed to serve a model version before its slot is released in favor of
 	// another engine. AvoidFor is how long the engine is then avoided for new slots of that model version.
 	FailingAfter, AvoidFor time.Duration
@@ -35,18 +35,18 @@
 // DefaultPolicy returns the defaults for sites of a few dozen to thousands of engines.
 func DefaultPolicy() Policy {
 	return Policy{
-		DefaultBaseline: 2,
-		DefaultMax:      4,
-		PlaceBound:      1.25,
-		MoveBound:       1.6,
-		SilentAfter:     10 * time.Second,
-		GrowInterval:    3 * time.Second,
-		WantLife:        15 * time.Second,
-		FailingAfter:    10 * time.Second,
-		AvoidFor:        5 * time.Minute,
-		ExtraHold:       10 * time.Minute,
-		LowWater:        0.7,
-		MoveTimeout:     time.Minute,
+		DefaultBaseline:  2,
+		DefaultMax:       4,
+		PlaceBound:       1.25,
+		MoveBound:        1.6,
+		UnreachableAfter: 10 * time.Second,
+		GrowInterval:     3 * time.Second,
+		SlotRequestTTL:   15 * time.Second,
+		FailingAfter:     10 * time.Second,
+		AvoidFor:         5 * time.Minute,
+		ExtraHold:        10 * time.Minute,
+		LowWater:         0.7,
+		MoveTimeout:      time.Minute,
 	}
 }
 
--- a/internal/replicas/run.go
+++ b/internal/replicas/run.go
@@ -31,7 +31,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-m.wake:
-			m.sleep(ctx, m.options.Settle)
+			m.sleep(ctx, m.options.BatchDelay)
 		case <-timer.C():
 		}
 		timer.Reset(m.round(ctx))
@@ -56,10 +56,10 @@
 		m.sampleUsage(m.clock.Now())
 	}
 	next := m.nextRead
-	if m.readBackoff.wait == 0 && m.Complete() {
+	if m.readBackoff.wait == 0 && m.Synced() {
 		next = earlier(next, m.decide(ctx))
 	}
-	return max(next.Sub(m.clock.Now()), m.options.Settle)
+	return max(next.Sub(m.clock.Now()), m.options.BatchDelay)
 }
 
 // earlier returns the earlier of two times; a zero time means never.
--- a/internal/replicas/settle.go
+++ b/internal/replicas/settle.go
@@ -102,7 +102,7 @@
 		if servedByMoreSlots(req.Reason) && r.recent(req) && !req.Last.Before(countFrom) {
 			requested = true
 			waiting += req.Waiting
-			r.recheckAt(req.Last.Add(r.policy.WantLife))
+			r.recheckAt(req.Last.Add(r.policy.SlotRequestTTL))
 		}
 	}
 	if !requested {
--- a/internal/replicas/snapshot.go
+++ b/internal/replicas/snapshot.go
@@ -85,8 +85,8 @@
 	Reason wirepb.RefusalReason
 	// Waiting is the number of requests that waited or were refused, summed over the last slotRequestWindow with a report.
 	Waiting int
-	// First and Last are the times of the first and the last report with this reason, with no gap of WantLife or more
-	// between reports.
+	// First and Last are the times of the first and the last report with this reason, with no gap of SlotRequestTTL or
+	// more between reports.
 	First, Last time.Time
 	// windowStart is when the window of Waiting began.
 	windowStart time.Time
--- a/internal/replicas/world_test.go
+++ b/internal/replicas/world_test.go
@@ -78,7 +78,7 @@
 	p := DefaultPolicy()
 	p.ExtraHold = 20 * time.Second
 	p.AvoidFor = 20 * time.Second
-	p.SilentAfter = 5 * time.Second
+	p.UnreachableAfter = 5 * time.Second
 	p.FailingAfter = 5 * time.Second
 	p.MoveTimeout = 20 * time.Second
 	return p
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -45,7 +45,7 @@
 // isFailure reports whether the outcome counts as a failure of the endpoint. A refusal doesn't: the agent works and
 // states what it cannot do at the moment.
 func (o Outcome) isFailure() bool {
-	return o == OutcomeNotSent || o == OutcomeBroken || o == OutcomeCut || o == OutcomeFailedClean
+	return o == OutcomeNotSent || o == OutcomeUnknown || o == OutcomeTruncated || o == OutcomeFailedNotRun
 }
 
 // health holds the observations of one endpoint.
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -14,8 +14,8 @@
 	Deadline   time.Time
 	// AnswerBegun is set if bytes of the answer were forwarded to the caller.
 	AnswerBegun bool
-	// Untried is set if a usable candidate has not been tried yet.
-	Untried bool
+	// HasUntried is set if a usable candidate has not been tried yet.
+	HasUntried bool
 	// MaxAttempts bounds the attempts.
 	MaxAttempts int
 	// Budget is the entry's retry budget; if nil, retries that need the budget are not allowed.
@@ -37,7 +37,7 @@
 	switch {
 	case a.Outcome == OutcomeServed:
 		return Verdict{Kind: VerdictDone}
-	case a.Outcome == OutcomeCut || s.AnswerBegun:
+	case a.Outcome == OutcomeTruncated || s.AnswerBegun:
 		return Verdict{Kind: VerdictAbort, Reason: a.reason()}
 	}
 	if wait, ok := mayRetry(now, a, s); ok {
@@ -56,7 +56,7 @@
 // (offer, then commit) cannot have run before its commit.
 func (a Attempt) mayHaveRun(idempotent bool) bool {
 	switch a.Outcome {
-	case OutcomeBroken, OutcomeCut:
+	case OutcomeUnknown, OutcomeTruncated:
 		return idempotent || a.Committed
 	default:
 		return false
@@ -81,7 +81,7 @@
 		return 0, false
 	}
 	wait := time.Duration(0)
-	if !s.Untried {
+	if !s.HasUntried {
 		wait = a.RetryAfter
 		if s.mayRetryTried(a) {
 			wait = max(wait, minRetryAfter)
@@ -157,11 +157,11 @@
 	startTimeoutFactor = 2
 )
 
-// PatienceFor returns the timeout for the next frame of an attempt that has not started to run, after which the request
-// moves on to another endpoint. left is the time to the deadline and expected the queueing time that the agent
+// StageTimeout returns the timeout for the next frame of an attempt that has not started to run, after which the
+// request moves on to another endpoint. left is the time to the deadline and expected the queueing time that the agent
 // reported. A frozen agent keeps its connections open without replying: without this timeout each request would wait
 // for it until its deadline.
-func PatienceFor(stage Stage, left, expected time.Duration) time.Duration {
+func StageTimeout(stage Stage, left, expected time.Duration) time.Duration {
 	timeout := max(startTimeoutFactor*expected, minStartTimeout)
 	if stage == StageOffered {
 		timeout = min(max(left/offerTimeoutDivisor, minOfferTimeout), maxOfferTimeout)
--- a/internal/routing/retry_test.go
+++ b/internal/routing/retry_test.go
@@ -14,13 +14,13 @@
 )
 
 func TestDecide(t *testing.T) {
-	broken := Attempt{Outcome: OutcomeBroken}
-	committed := Attempt{Outcome: OutcomeBroken, Committed: true}
+	broken := Attempt{Outcome: OutcomeUnknown}
+	committed := Attempt{Outcome: OutcomeUnknown, Committed: true}
 	full := Attempt{Outcome: OutcomeRefused, Reason: wirepb.RefusalReason_QUEUE_FULL, RetryAfter: time.Second}
 	noMemory := Attempt{Outcome: OutcomeRefused, Reason: wirepb.RefusalReason_NO_MEMORY}
 	leaving := Attempt{Outcome: OutcomeRefused, Reason: wirepb.RefusalReason_LEAVING, RetryAfter: time.Second}
 	request := func(change func(*RequestState)) RequestState {
-		s := RequestState{Deadline: start.Add(10 * time.Second), Untried: true, MaxAttempts: 3, Budget: NewRetryBudget(BudgetOptions{})}
+		s := RequestState{Deadline: start.Add(10 * time.Second), HasUntried: true, MaxAttempts: 3, Budget: NewRetryBudget(BudgetOptions{})}
 		if change != nil {
 			change(&s)
 		}
@@ -35,30 +35,30 @@
 		wait    time.Duration
 	}{
 		{"served", request(nil), Attempt{Outcome: OutcomeServed}, VerdictDone, 0},
-		{"failed after bytes of the answer were forwarded", request(idempotent), Attempt{Outcome: OutcomeCut}, VerdictAbort, 0},
+		{"failed after bytes of the answer were forwarded", request(idempotent), Attempt{Outcome: OutcomeTruncated}, VerdictAbort, 0},
 		{"broken after the answer has begun", request(func(s *RequestState) { s.Idempotent, s.AnswerBegun = true, true }), broken, VerdictAbort, 0},
 		{"idempotent broken", request(idempotent), broken, VerdictRetry, 0},
-		{"idempotent broken, no untried candidate", request(func(s *RequestState) { s.Idempotent, s.Untried = true, false }), broken, VerdictUnknown, 0},
+		{"idempotent broken, no untried candidate", request(func(s *RequestState) { s.Idempotent, s.HasUntried = true, false }), broken, VerdictUnknown, 0},
 		{"idempotent broken, no time left", request(func(s *RequestState) { s.Idempotent, s.Deadline = true, start }), broken, VerdictUnknown, 0},
 		{"idempotent broken, last attempt", request(func(s *RequestState) { s.Idempotent, s.Attempts = true, 2 }), broken, VerdictUnknown, 0},
 		{"idempotent broken, no budget", request(func(s *RequestState) { s.Idempotent, s.Budget = true, nil }), broken, VerdictUnknown, 0},
 		{"refused after a broken attempt", request(func(s *RequestState) { s.Idempotent, s.MayHaveRun, s.Attempts = true, true, 2 }), full, VerdictUnknown, 0},
-		{"refused after a broken attempt, attempts left", request(func(s *RequestState) { s.Idempotent, s.MayHaveRun, s.Attempts, s.Untried = true, true, 1, false }), full, VerdictRetry, time.Second},
-		{"refused without Retry-After, after a broken attempt", request(func(s *RequestState) { s.Idempotent, s.MayHaveRun, s.Attempts, s.Untried = true, true, 1, false }), noMemory, VerdictRetry, minRetryAfter},
+		{"refused after a broken attempt, attempts left", request(func(s *RequestState) { s.Idempotent, s.MayHaveRun, s.Attempts, s.HasUntried = true, true, 1, false }), full, VerdictRetry, time.Second},
+		{"refused without Retry-After, after a broken attempt", request(func(s *RequestState) { s.Idempotent, s.MayHaveRun, s.Attempts, s.HasUntried = true, true, 1, false }), noMemory, VerdictRetry, minRetryAfter},
 		{"refused after a broken attempt, no budget", request(func(s *RequestState) {
-			s.Idempotent, s.MayHaveRun, s.Attempts, s.Untried, s.Budget = true, true, 1, false, nil
+			s.Idempotent, s.MayHaveRun, s.Attempts, s.HasUntried, s.Budget = true, true, 1, false, nil
 		}), full, VerdictUnknown, 0},
-		{"two-step, refused after an attempt that may have run", request(func(s *RequestState) { s.MayHaveRun, s.Attempts, s.Untried = true, 1, false }), full, VerdictUnknown, 0},
+		{"two-step, refused after an attempt that may have run", request(func(s *RequestState) { s.MayHaveRun, s.Attempts, s.HasUntried = true, 1, false }), full, VerdictUnknown, 0},
 		{"two-step, broken before the commit", request(nil), broken, VerdictRetry, 0},
-		{"two-step, broken before the commit, no untried candidate", request(func(s *RequestState) { s.Untried = false }), broken, VerdictRefuse, 0},
+		{"two-step, broken before the commit, no untried candidate", request(func(s *RequestState) { s.HasUntried = false }), broken, VerdictRefuse, 0},
 		{"two-step, broken after the commit", request(nil), committed, VerdictUnknown, 0},
-		{"two-step, confirmed not run after the commit", request(nil), Attempt{Outcome: OutcomeFailedClean, Committed: true}, VerdictRetry, 0},
+		{"two-step, confirmed not run after the commit", request(nil), Attempt{Outcome: OutcomeFailedNotRun, Committed: true}, VerdictRetry, 0},
 		{"queue full", request(nil), full, VerdictRetry, 0},
 		{"queue full, no budget", request(func(s *RequestState) { s.Budget = nil }), full, VerdictRefuse, 0},
-		{"queue full, no untried candidate", request(func(s *RequestState) { s.Untried = false }), full, VerdictRefuse, 0},
+		{"queue full, no untried candidate", request(func(s *RequestState) { s.HasUntried = false }), full, VerdictRefuse, 0},
 		{"leaving, no budget", request(func(s *RequestState) { s.Budget = nil }), leaving, VerdictRetry, 0},
-		{"leaving, no untried candidate", request(func(s *RequestState) { s.Untried = false }), leaving, VerdictRetry, time.Second},
-		{"leaving, no untried candidate, too little time to wait", request(func(s *RequestState) { s.Untried, s.Deadline = false, start.Add(time.Second) }), leaving, VerdictRefuse, 0},
+		{"leaving, no untried candidate", request(func(s *RequestState) { s.HasUntried = false }), leaving, VerdictRetry, time.Second},
+		{"leaving, no untried candidate, too little time to wait", request(func(s *RequestState) { s.HasUntried, s.Deadline = false, start.Add(time.Second) }), leaving, VerdictRefuse, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -100,10 +100,10 @@
 			RetryAfter: time.Duration(random.IntN(2000)) * time.Millisecond,
 			Committed:  !s.Idempotent && random.IntN(2) == 0,
 		}
-		mayHaveRun = mayHaveRun || (a.Outcome == OutcomeBroken || a.Outcome == OutcomeCut) && (s.Idempotent || a.Committed)
+		mayHaveRun = mayHaveRun || (a.Outcome == OutcomeUnknown || a.Outcome == OutcomeTruncated) && (s.Idempotent || a.Committed)
 		now = now.Add(time.Duration(random.IntN(1500)) * time.Millisecond)
-		s.Untried = random.IntN(3) > 0
-		s.AnswerBegun = a.Outcome == OutcomeCut
+		s.HasUntried = random.IntN(3) > 0
+		s.AnswerBegun = a.Outcome == OutcomeTruncated
 		verdict := Decide(now, a, s)
 		switch {
 		case verdict.Kind == VerdictRefuse && mayHaveRun:
@@ -166,7 +166,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := PatienceFor(c.stage, c.left, c.expected); got != c.want {
+			if got := StageTimeout(c.stage, c.left, c.expected); got != c.want {
 				t.Errorf("timeout %v, want %v", got, c.want)
 			}
 		})
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -105,13 +105,13 @@
 		r.Observe(now, Observation{Endpoint: "hangs", Outcome: outcome})
 	}
 	for range 2 {
-		report(start, OutcomeBroken)
+		report(start, OutcomeUnknown)
 		report(start, OutcomeRefused)
 	}
 	if timesPicked(start) == 0 {
 		t.Error("ejected before the third failure")
 	}
-	report(start, OutcomeBroken)
+	report(start, OutcomeUnknown)
 	if n := timesPicked(start.Add(defaultEjectFor / 2)); n != 0 {
 		t.Errorf("picked %d times while ejected, want 0", n)
 	}
@@ -119,7 +119,7 @@
 	if n := timesPicked(later); n != 1 {
 		t.Errorf("picked %d times for the first probe, want 1", n)
 	}
-	report(later, OutcomeBroken)
+	report(later, OutcomeUnknown)
 	if n := timesPicked(later.Add(defaultEjectFor * 3 / 2)); n != 0 {
 		t.Errorf("picked %d times after a failed probe, want 0 during the longer ejection", n)
 	}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -43,12 +43,12 @@
 	OutcomeRefused
 	// OutcomeNotSent: the request did not run, because the offer was never sent or was withdrawn before its commit.
 	OutcomeNotSent
-	// OutcomeBroken: the attempt ended without a definite outcome before the first byte of the answer.
-	OutcomeBroken
-	// OutcomeCut: the attempt failed after bytes of the answer were forwarded to the caller.
-	OutcomeCut
-	// OutcomeFailedClean: the attempt failed, and the agent confirmed that the endpoint did not run the request.
-	OutcomeFailedClean
+	// OutcomeUnknown: the attempt ended without a definite outcome before the first byte of the answer.
+	OutcomeUnknown
+	// OutcomeTruncated: the attempt failed after bytes of the answer were forwarded to the caller.
+	OutcomeTruncated
+	// OutcomeFailedNotRun: the attempt failed, and the agent confirmed that the endpoint did not run the request.
+	OutcomeFailedNotRun
 )
 
 // Attempt is the result of one attempt.
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -18,8 +18,8 @@
 	reload func() (*Gateway, error)
 }
 
-// Again reloads the settings from their source.
-func (g *Gateway) Again() (*Gateway, error) { return g.reload() }
+// Reload reloads the settings from their source.
+func (g *Gateway) Reload() (*Gateway, error) { return g.reload() }
 
 // GatewayProcess holds a gateway's host name and addresses.
 type GatewayProcess struct {
@@ -98,8 +98,8 @@
 	reload func() (*EngineAgent, error)
 }
 
-// Again reloads the settings from their source.
-func (a *EngineAgent) Again() (*EngineAgent, error) { return a.reload() }
+// Reload reloads the settings from their source.
+func (a *EngineAgent) Reload() (*EngineAgent, error) { return a.reload() }
 
 // EngineAgentProcess identifies an agent and its engine.
 type EngineAgentProcess struct {
--- a/internal/settings/template_test.go
+++ b/internal/settings/template_test.go
@@ -95,14 +95,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if same, err := before.Again(); err != nil || len(ChangedSections(before, same)) > 0 {
+	if same, err := before.Reload(); err != nil || len(ChangedSections(before, same)) > 0 {
 		t.Errorf("an unchanged file reads as changed: %v, %v", ChangedSections(before, same), err)
 	}
 	text := strings.NewReplacer("extra = 54", "extra = 60", "level = info", "level = debug").Replace(renderTemplate(t, "gateway.ini"))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	after, err := before.Again()
+	after, err := before.Reload()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 	if err := os.WriteFile(path, []byte("[gateway]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := before.Again(); err == nil {
+	if _, err := before.Reload(); err == nil {
 		t.Error("an invalid file was accepted")
 	}
 }
--- a/internal/standin/control/control.go
+++ b/internal/standin/control/control.go
@@ -108,7 +108,7 @@
 
 // WriteError writes an error response.
 func WriteError(w http.ResponseWriter, status int, code, message string) {
-	WriteJSON(w, status, endpoint.Refusal{Error: endpoint.RefusalDetail{Code: code, Message: message}})
+	WriteJSON(w, status, endpoint.ErrorDocument{Error: endpoint.ErrorDetail{Code: code, Message: message}})
 }
 
 // DropConnection closes the connection instead of sending the response or the rest of it. It does not return.
--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -22,7 +22,7 @@
 	model   *model
 	request chatRequest
 	id      string
-	// input determines the answer's text; the Cross fault replaces it by another request's.
+	// input determines the answer's text; the SwapAnswer fault replaces it by another request's.
 	input  answerInput
 	begun  time.Time
 	tokens int
@@ -152,14 +152,14 @@
 	return OutcomeCancelled
 }
 
-// applyFaults applies the faults Cross, Cut and Late to this answer.
+// applyFaults applies the faults SwapAnswer, Cut and Late to this answer.
 func (g *generation) applyFaults(w http.ResponseWriter) {
 	s := g.server
 	s.mu.Lock()
 	previous := s.previousInput
 	s.previousInput = g.input
 	s.mu.Unlock()
-	if s.faults.Hit(func(f *Faults) *control.Chance { return &f.Cross }) {
+	if s.faults.Hit(func(f *Faults) *control.Chance { return &f.SwapAnswer }) {
 		g.input = previous
 		w.Header().Set(endpoint.HeaderRequestID, previous.id)
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -131,8 +131,8 @@
 	Hang bool `json:"hang"`
 	// Refuse rejects requests and orders with 503.
 	Refuse bool `json:"refuse"`
-	// Cross answers a request with the request ID and the text of the previous one.
-	Cross control.Chance `json:"cross"`
+	// SwapAnswer answers a request with the request ID and the text of the previous one.
+	SwapAnswer control.Chance `json:"cross"`
 	// Cut drops the connection after CutAfterTokens tokens of an answer.
 	Cut            control.Chance `json:"cut"`
 	CutAfterTokens int            `json:"cut_after_tokens"`
@@ -286,7 +286,7 @@
 		state.Cached[name] = CachedInMemory
 	}
 	if s.options.Fencing == FencingChecks {
-		state.HighestFence = p.highestFence
+		state.HighestFencingToken = p.highestFence
 	}
 	return state
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -173,7 +173,7 @@
 				var orders sync.WaitGroup
 				for fence, kind := range []endpoint.OrderKind{endpoint.OrderUnload, endpoint.OrderLoad, endpoint.OrderUnload} {
 					orders.Go(func() {
-						e := order(s, endpoint.Order{Kind: kind, Model: "m", Fence: uint64(fence), MemoryBytes: 1})
+						e := order(s, endpoint.Order{Kind: kind, Model: "m", FencingToken: uint64(fence), MemoryBytes: 1})
 						if kind == endpoint.OrderLoad && e.status != c.status {
 							t.Errorf("load: %+v, want %d", e, c.status)
 						}
--- a/internal/standin/engine/models.go
+++ b/internal/standin/engine/models.go
@@ -68,7 +68,7 @@
 		if !ok {
 			break
 		}
-		m.Fence = max(m.Fence, order.Fence)
+		m.FencingToken = max(m.FencingToken, order.FencingToken)
 		loaded, err := s.joinLoad(p, m)
 		if loaded || err != nil {
 			s.mu.Unlock()
@@ -107,10 +107,10 @@
 	ctx, drop := context.WithCancel(p.ctx)
 	m := &model{
 		LoadedModel: endpoint.LoadedModel{
-			Model:       order.Model,
-			State:       endpoint.EngineLoading,
-			MemoryBytes: order.MemoryBytes,
-			Fence:       order.Fence,
+			Model:        order.Model,
+			State:        endpoint.EngineLoading,
+			MemoryBytes:  order.MemoryBytes,
+			FencingToken: order.FencingToken,
 		},
 		adapters: map[string]*adapter{},
 		ctx:      ctx,
@@ -160,7 +160,7 @@
 		s.mu.Unlock()
 		return nil
 	}
-	m.Fence = max(m.Fence, order.Fence)
+	m.FencingToken = max(m.FencingToken, order.FencingToken)
 	state := m.State
 	if state == endpoint.EngineLoaded {
 		m.State = endpoint.EngineUnloading
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -92,13 +92,13 @@
 // checkFence rejects an order with an old fencing token. The caller holds mu and must not release it before the order has
 // started. Otherwise a load that passed the check could start after a newer unload that found nothing to remove.
 func (s *Server) checkFence(p *process, order endpoint.Order) error {
-	if order.Fence < p.highestFence {
+	if order.FencingToken < p.highestFence {
 		s.truth.OldFences++
 		if s.options.Fencing == FencingChecks {
 			return &orderError{http.StatusConflict, endpoint.CodeFenced, "the order's fencing number is old"}
 		}
 	}
-	p.highestFence = max(p.highestFence, order.Fence)
+	p.highestFence = max(p.highestFence, order.FencingToken)
 	return nil
 }
 
--- a/internal/standin/engine/truth.go
+++ b/internal/standin/engine/truth.go
@@ -31,12 +31,12 @@
 
 // HistoryEntry is one change to the models and adapters in an engine's memory.
 type HistoryEntry struct {
-	At      time.Time   `json:"at"`
-	Kind    HistoryKind `json:"kind"`
-	Model   string      `json:"model,omitempty"`
-	Adapter string      `json:"adapter,omitempty"`
-	Order   string      `json:"order,omitempty"`
-	Fence   uint64      `json:"fence,omitempty"`
+	At           time.Time   `json:"at"`
+	Kind         HistoryKind `json:"kind"`
+	Model        string      `json:"model,omitempty"`
+	Adapter      string      `json:"adapter,omitempty"`
+	Order        string      `json:"order,omitempty"`
+	FencingToken uint64      `json:"fence,omitempty"`
 	// UsedBytes is the memory in use after the change.
 	UsedBytes int64 `json:"used_bytes"`
 }
@@ -98,13 +98,13 @@
 // recordHistory adds an entry to the history. The caller holds mu.
 func (s *Server) recordHistory(kind HistoryKind, order endpoint.Order) {
 	s.truth.History = appendBounded(s.truth.History, HistoryEntry{
-		At:        s.clock.Now(),
-		Kind:      kind,
-		Model:     order.Model,
-		Adapter:   order.Adapter,
-		Order:     order.ID,
-		Fence:     order.Fence,
-		UsedBytes: s.process.usedBytes(),
+		At:           s.clock.Now(),
+		Kind:         kind,
+		Model:        order.Model,
+		Adapter:      order.Adapter,
+		Order:        order.ID,
+		FencingToken: order.FencingToken,
+		UsedBytes:    s.process.usedBytes(),
 	})
 }
 
--- a/internal/standin/platform/hosts.go
+++ b/internal/standin/platform/hosts.go
@@ -45,7 +45,7 @@
 }
 
 func newHosts(s *Server, o Options) *hosts {
-	h := &hosts{server: s, lag: o.HostsLag, goneRetention: o.GoneListed, visible: map[string]hostChange{}}
+	h := &hosts{server: s, lag: o.HostsLag, goneRetention: o.GoneRetention, visible: map[string]hostChange{}}
 	for _, host := range o.Hosts {
 		h.visible[host.ID] = hostChange{at: s.clock.Now(), host: host}
 		h.version++
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -37,8 +37,8 @@
 	Weights WeightLimits
 	// HostsLag is the delay after which a change becomes visible in the host list.
 	HostsLag time.Duration
-	// GoneListed is how long a host stays listed after it is gone (one minute).
-	GoneListed time.Duration
+	// GoneRetention is how long a host stays listed after it is gone (one minute).
+	GoneRetention time.Duration
 	// Hosts are visible from the start, without lag.
 	Hosts []backing.Host
 }
@@ -65,8 +65,8 @@
 	if o.Clock == nil {
 		o.Clock = clock.Real{}
 	}
-	if o.GoneListed == 0 {
-		o.GoneListed = time.Minute
+	if o.GoneRetention == 0 {
+		o.GoneRetention = time.Minute
 	}
 	s := &Server{clock: o.Clock, faults: control.NewFaultSet[Faults](o.Seed), router: chi.NewRouter()}
 	s.table = &table{
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -102,7 +102,7 @@
 func TestHostListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first := backing.Host{ID: "a", State: backing.HostLive}
-		s := New(Options{HostsLag: 5 * time.Second, GoneListed: time.Minute, Hosts: []backing.Host{first}})
+		s := New(Options{HostsLag: 5 * time.Second, GoneRetention: time.Minute, Hosts: []backing.Host{first}})
 		call(s, http.MethodPut, "/hosts/b", `{"state":"leaving"}`)
 		call(s, http.MethodDelete, "/hosts/a", "")
 		call(s, http.MethodDelete, "/hosts/unknown", "")
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -68,7 +68,7 @@
 	Calls       []Call `json:"calls"`
 	Executions  int    `json:"executions"`
 	Refused     int    `json:"refused"`
-	GivenUp     int    `json:"given_up"`
+	Abandoned   int    `json:"given_up"`
 	PeakRunning int    `json:"peak_running"`
 }
 
@@ -161,7 +161,7 @@
 	s.hang(r, func(f *Faults) *control.Chance { return &f.HangBefore })
 	s.cut(func(f *Faults) *control.Chance { return &f.CutBefore })
 	if !s.acquire(r) {
-		s.count(func(t *Truth) { t.GivenUp++ })
+		s.count(func(t *Truth) { t.Abandoned++ })
 		return
 	}
 	defer s.release()
--- a/internal/timeline/logs.go
+++ b/internal/timeline/logs.go
@@ -19,8 +19,8 @@
 // maxLineBytes bounds one log line.
 const maxLineBytes = 1 << 20
 
-// LogLines holds the events parsed from the logs of processes.
-type LogLines struct {
+// LogReader parses the logs of processes and holds their events.
+type LogReader struct {
 	Events []Event
 	// Malformed counts the lines that are not events, such as the output of other programs or a truncated line.
 	Malformed int
@@ -32,7 +32,7 @@
 
 // Read adds the lines of one log or of several concatenated ones. Text before the first brace of a line, such as a prefix
 // added by a log collector, is ignored.
-func (l *LogLines) Read(r io.Reader) error {
+func (l *LogReader) Read(r io.Reader) error {
 	if l.sequences == nil {
 		l.sequences = make(map[string]uint64)
 	}
@@ -146,9 +146,9 @@
 // processKinds are the kinds of events that affect all requests of a process.
 var processKinds = []Kind{"config", "store_lost", "store_back", "coordinator", "started", "stopping", "stopped", logDropped, logReduced}
 
-// Causes returns the events that may explain the outcome of a request: its own events, and those from span before it until
-// its end that affect its model, the engines it was sent to, or the processes that handled it.
-func (l *LogLines) Causes(request string, span time.Duration) []Event {
+// RelatedEvents returns the events that may explain the outcome of a request: its own events, and those from span
+// before it until its end that affect its model, the engines it was sent to, or the processes that handled it.
+func (l *LogReader) RelatedEvents(request string, span time.Duration) []Event {
 	var own []Event
 	for _, e := range l.Events {
 		if e.Request == request {
@@ -200,12 +200,12 @@
 }
 
 // Matching returns the events that a filter selects.
-func (l *LogLines) Matching(f Filter) []Event {
+func (l *LogReader) Matching(f Filter) []Event {
 	return slices.DeleteFunc(slices.Clone(l.Events), func(e Event) bool { return !f.Match(&e) })
 }
 
 // Collection sorts events for a Printer and adds notes about malformed and dropped lines.
-func (l *LogLines) Collection(events []Event) Collection {
+func (l *LogReader) Collection(events []Event) Collection {
 	slices.SortStableFunc(events, Compare)
 	c := Collection{}
 	for _, e := range events {
--- a/internal/timeline/logs_test.go
+++ b/internal/timeline/logs_test.go
@@ -20,10 +20,10 @@
 {"time":"2026-05-01T10:00:03.0Z","level":"WARN","msg":"lines on requ
 `
 
-// Given the identifier of a slow request, Causes must list its own events and the placements and orders for its model, and
-// no events of other requests and engines.
+// Given the identifier of a slow request, RelatedEvents must list its own events and the placements and orders for its
+// model, and no events of other requests and engines.
 func TestCausesOfARequest(t *testing.T) {
-	var logs LogLines
+	var logs LogReader
 	if err := logs.Read(strings.NewReader(sampleLogs)); err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 		t.Errorf("%d malformed and %d dropped lines, want 1 and 12", logs.Malformed, logs.Dropped)
 	}
 	var out strings.Builder
-	if err := NewPrinter(&out, FormatText).Print(logs.Collection(logs.Causes("late", 10*time.Second))); err != nil {
+	if err := NewPrinter(&out, FormatText).Print(logs.Collection(logs.RelatedEvents("late", 10*time.Second))); err != nil {
 		t.Fatal(err)
 	}
 	want := []string{
@@ -54,7 +54,7 @@
 	if events := logs.Matching(Filter{Models: []string{"m1"}}); len(events) != 2 {
 		t.Errorf("%d events of model m1, want 2: %v", len(events), events)
 	}
-	if events := logs.Causes("unlogged", time.Second); events != nil {
+	if events := logs.RelatedEvents("unlogged", time.Second); events != nil {
 		t.Errorf("events of a request that is in no log: %v", events)
 	}
 }
--- a/internal/trace/fleet_test.go
+++ b/internal/trace/fleet_test.go
@@ -104,8 +104,8 @@
 		n := &node{
 			name: fmt.Sprintf("engine-%02d", e), policy: p, models: map[string]*heldModel{}, usable: map[string]bool{}, waiting: map[string][]*pending{},
 			machine: loading.NewMachine(loading.Options{
-				Engine: fmt.Sprintf("engine-%02d", e), Host: "h", MemoryBytes: memoryUnit, ChecksFencing: true, OrderLife: time.Minute,
-				StateInterval: time.Hour, PermitPatience: 30 * time.Second, LoadsAtOnce: 2, Seed: uint64(e),
+				Engine: fmt.Sprintf("engine-%02d", e), Host: "h", MemoryBytes: memoryUnit, ChecksFencing: true, OrderLifetime: time.Minute,
+				StateInterval: time.Hour, PermitTimeout: 30 * time.Second, LoadsAtOnce: 2, Seed: uint64(e),
 			}, p),
 		}
 		f.nodes = append(f.nodes, n)
@@ -212,7 +212,7 @@
 
 func (f *fleet) perform(n *node, a loading.Action) {
 	switch a := a.(type) {
-	case loading.GiveOrder:
+	case loading.SendOrder:
 		f.order(n, a.Order)
 	case loading.ReadEngine:
 		f.at(f.now.Add(readTime), func() { f.step(n, loading.EngineRead{ID: a.ID, State: n.state()}) })
@@ -221,7 +221,7 @@
 	case loading.AskPermit:
 		f.budget.Request(f.now, n.name, &wirepb.PermitRequest{Id: a.ID, Kind: a.Kind, Model: a.Model, SlackMicros: a.Deadline.Sub(f.now).Microseconds()})
 		f.decide()
-	case loading.EndPermit:
+	case loading.ReleasePermit:
 		f.budget.Done(f.now, n.name, a.ID)
 		f.decide()
 	case loading.Usable:
@@ -229,7 +229,7 @@
 		f.at(f.now, func() { f.startWaiting(n, a.Model) })
 	case loading.Unusable:
 		delete(n.usable, a.Model)
-	case loading.RefuseDemand:
+	case loading.RefuseRequests:
 		f.refuse(n, a)
 	}
 }
@@ -240,7 +240,7 @@
 		n := f.nodes[slices.IndexFunc(f.nodes, func(n *node) bool { return n.name == g.Agent })]
 		var e loading.Event = loading.PermitDenied{ID: g.Permit.GetId(), RetryAt: f.now.Add(time.Duration(g.Permit.GetRetryAfterMicros()) * time.Microsecond)}
 		if valid := g.Permit.GetValidMicros(); valid > 0 {
-			e = loading.PermitGiven{ID: g.Permit.GetId(), Expires: f.now.Add(time.Duration(valid) * time.Microsecond)}
+			e = loading.PermitGranted{ID: g.Permit.GetId(), Expires: f.now.Add(time.Duration(valid) * time.Microsecond)}
 		}
 		f.at(f.now, func() { f.step(n, e) })
 	}
--- a/internal/trace/fleetday_test.go
+++ b/internal/trace/fleetday_test.go
@@ -54,14 +54,14 @@
 	p.id = strconv.Itoa(f.counter)
 	name := f.trace.Models[p.Model].Name
 	n.waiting[name] = append(n.waiting[name], p)
-	f.step(n, loading.Demanded{Request: p.id, Model: name, Deadline: p.arrived.Add(p.Deadline)})
+	f.step(n, loading.RequestWaiting{Request: p.id, Model: name, Deadline: p.arrived.Add(p.Deadline)})
 	if n.usable[name] {
 		f.startWaiting(n, name)
 	}
 }
 
 // refuse takes refused requests on to the next engine.
-func (f *fleet) refuse(n *node, a loading.RefuseDemand) {
+func (f *fleet) refuse(n *node, a loading.RefuseRequests) {
 	var refused []*pending
 	n.waiting[a.Model] = slices.DeleteFunc(n.waiting[a.Model], func(p *pending) bool {
 		if a.Request != "" && a.Request != p.id {
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -43,9 +43,9 @@
 	Replace(rows []Row)
 	// Apply receives changed rows.
 	Apply(rows []Row)
-	// Lost is called when the store becomes unavailable, and Back when it is available again.
-	Lost(err error)
-	Back()
+	// Unavailable is called when the store becomes unavailable, and Available when it is available again.
+	Unavailable(err error)
+	Available()
 }
 
 // Options are the settings of a watch.
@@ -53,8 +53,9 @@
 	Table string
 	// Wait is the long-poll timeout of a call for changes.
 	Wait time.Duration
-	// Gather is the delay between receiving changes and the next call, so that a series of changes takes fewer calls.
-	Gather time.Duration
+	// CoalesceDelay is the delay between receiving changes and the next call, so that a series of changes takes fewer
+	// calls.
+	CoalesceDelay time.Duration
 	// MinBackoff and MaxBackoff bound the jittered backoff after a failed call.
 	MinBackoff, MaxBackoff time.Duration
 	// Metrics records the calls; nil records nothing.
@@ -98,7 +99,7 @@
 		f.logger.Info("store no longer has the change history; reading the whole table", "event", "watch_restart", "table", f.options.Table, "revision", f.revision)
 		f.listed = false
 		// Without a delay, a store that always lacks the history would be called in a tight loop.
-		clock.Pause(ctx, f.options.Gather)
+		clock.Pause(ctx, f.options.CoalesceDelay)
 		return nil
 	}
 	if err != nil {
@@ -108,7 +109,7 @@
 	f.revision = max(f.revision, revision)
 	if len(rows) > 0 {
 		f.sink.Apply(rows)
-		clock.Pause(ctx, f.options.Gather)
+		clock.Pause(ctx, f.options.CoalesceDelay)
 	}
 	return nil
 }
@@ -140,7 +141,7 @@
 	if f.unavailable {
 		f.unavailable = false
 		f.logger.Info("store is available again", "event", "store_back", "table", f.options.Table, "revision", f.revision)
-		f.sink.Back()
+		f.sink.Available()
 	}
 }
 
@@ -149,7 +150,7 @@
 	if !f.unavailable {
 		f.unavailable = true
 		f.logger.Warn("store is unavailable", "event", "store_lost", "table", f.options.Table, "revision", f.revision, "error", err)
-		f.sink.Lost(err)
+		f.sink.Unavailable(err)
 	}
 }
 
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-func (s *recordingSink) Lost(error) { s.mu.Lock(); defer s.mu.Unlock(); s.lost++ }
-func (s *recordingSink) Back()      { s.mu.Lock(); defer s.mu.Unlock(); s.back++ }
+func (s *recordingSink) Unavailable(error) { s.mu.Lock(); defer s.mu.Unlock(); s.lost++ }
+func (s *recordingSink) Available()        { s.mu.Lock(); defer s.mu.Unlock(); s.back++ }
 
 func (s *recordingSink) value(key string) string {
 	s.mu.Lock()
@@ -108,7 +108,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		sink := &recordingSink{values: make(map[string]string)}
 		ctx, cancel := context.WithCancel(t.Context())
-		options := Options{Table: "t", Wait: 5 * time.Second, Gather: 100 * time.Millisecond, MinBackoff: 100 * time.Millisecond, MaxBackoff: 400 * time.Millisecond}
+		options := Options{Table: "t", Wait: 5 * time.Second, CoalesceDelay: 100 * time.Millisecond, MinBackoff: 100 * time.Millisecond, MaxBackoff: 400 * time.Millisecond}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -175,7 +175,7 @@
 			t.Errorf("row after the outage: %q, want the newest", got)
 		}
 		if sink.lost != 1 || sink.back != 1 {
-			t.Errorf("sink received Lost %d times and Back %d times, want once each", sink.lost, sink.back)
+			t.Errorf("sink received Unavailable %d times and Available %d times, want once each", sink.lost, sink.back)
 		}
 	})
 }
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -134,7 +134,7 @@
 func (s *Stream) Read(m proto.Message) error {
 	err := s.reader.Read(m)
 	if errors.Is(err, ErrClosed) {
-		s.StopWriting()
+		s.AbortWrites()
 	}
 	return err
 }
@@ -156,8 +156,8 @@
 	return s.writeErr
 }
 
-// StopWriting makes a Write that is blocked on a full window fail, and later ones that would block.
-func (s *Stream) StopWriting() { _ = s.conn.SetWriteDeadline(pastDeadline) }
+// AbortWrites makes a Write that is blocked on a full window fail, and later ones that would block.
+func (s *Stream) AbortWrites() { _ = s.conn.SetWriteDeadline(pastDeadline) }
 
 // SetLimit limits subsequent messages in both directions to limit bytes.
 func (s *Stream) SetLimit(limit int64) {
--- a/internal/wire/session_test.go
+++ b/internal/wire/session_test.go
@@ -235,7 +235,7 @@
 	}{
 		{"the peer closes", func(_, peer *Stream) { _ = peer.Close() }},
 		{"the writer's side closes", func(writer, _ *Stream) { _ = writer.Close() }},
-		{"writing is stopped", func(writer, _ *Stream) { writer.StopWriting() }},
+		{"writing is stopped", func(writer, _ *Stream) { writer.AbortWrites() }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -276,7 +276,7 @@
 	peer := receive(t, streams, "no stream was accepted")
 	writing := writeUntilError(writer)
 	waitForFullWindow(t, writer)
-	writer.StopWriting()
+	writer.AbortWrites()
 	receive(t, writing, "the writer is still blocked")
 
 	read := make(chan error, 1)
--- a/soak/answers.go
+++ b/soak/answers.go
@@ -69,7 +69,7 @@
 	switch {
 	case e.timedOut && e.maybeSent:
 		c.addViolationLocked("in time", "request %s had no answer from %s %v after its timeout of %v; it ran at %v",
-			r.call.ID, r.gateway, responseSlack, r.call.Patience, r.runs)
+			r.call.ID, r.gateway, responseSlack, r.call.Timeout, r.runs)
 	case e.maybeSent && (r.arrivals > 0 || e.took > readDelay):
 		c.unexplainedCloses++
 		plannedStop := !c.faultFree(r.sentAt, now, plannedStopOf(r.gateway))
--- a/soak/clients.go
+++ b/soak/clients.go
@@ -91,7 +91,7 @@
 		}
 	}
 	r := &record{kind: p.kind, gateway: c.gateway.name, call: standin.Call{
-		ID: fmt.Sprintf("%s-%d", c.name, c.n), Host: siteHost, Method: p.method, Path: p.prefix + "item?n=" + fmt.Sprint(c.n), Patience: p.timeout,
+		ID: fmt.Sprintf("%s-%d", c.name, c.n), Host: siteHost, Method: p.method, Path: p.prefix + "item?n=" + fmt.Sprint(c.n), Timeout: p.timeout,
 	}}
 	if p.kind == notice {
 		r.call.Body = fmt.Appendf(nil, "notice %d", c.n)
@@ -130,7 +130,7 @@
 
 // send sends a request and checks its outcome. It returns false if no response was received.
 func (c *client) send(r *record) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), r.call.Patience+responseSlack)
+	ctx, cancel := context.WithTimeout(context.Background(), r.call.Timeout+responseSlack)
 	defer cancel()
 	if c.random.Float64() < cancelShare {
 		cancelTimer := time.AfterFunc(rand.N(cancelWithin), func() {
@@ -189,10 +189,10 @@
 		c.n++
 		r := &record{kind: probe, gateway: c.gateway.name, call: standin.Call{
 			ID: fmt.Sprintf("%s-p%d", c.name, c.n), Host: siteHost, Method: http.MethodGet,
-			Path: s.checker.routeToProbe(random) + "probe", Patience: 1500 * time.Millisecond,
+			Path: s.checker.routeToProbe(random) + "probe", Timeout: 1500 * time.Millisecond,
 		}}
 		probes.Go(func() {
-			timeout, cancel := context.WithTimeout(context.Background(), r.call.Patience)
+			timeout, cancel := context.WithTimeout(context.Background(), r.call.Timeout)
 			defer cancel()
 			r.sentAt = time.Now()
 			s.checker.recordSent(r)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -42,11 +42,11 @@
 	}},
 	{"store down, registrations lapse", 2, second, 5 * second, func(s *site, _ uint64, _ time.Duration) func() {
 		end := s.storeFault(func(f *standin.StoreFaults) { f.Down = true })
-		s.store.Lapse()
+		s.store.ExpireRegistrations()
 		return end
 	}},
 	{"store mute", 2, 200 * ms, 5 * second, func(s *site, _ uint64, _ time.Duration) func() {
-		return s.storeFault(func(f *standin.StoreFaults) { f.Mute = true })
+		return s.storeFault(func(f *standin.StoreFaults) { f.Unresponsive = true })
 	}},
 	{"store slow", 2, second, 5 * second, func(s *site, _ uint64, _ time.Duration) func() {
 		return s.storeFault(func(f *standin.StoreFaults) { f.Delay = 240 * ms })
@@ -61,7 +61,7 @@
 		return s.storeLink(pick, func(l *faultlink.Link) { l.Freeze(faultlink.Hold) })
 	}},
 	{"answers of the store lost", 2, 300 * ms, 5 * second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.storeLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToClient, faultlink.Vanish) })
+		return s.storeLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToClient, faultlink.Drop) })
 	}},
 
 	{"way to an endpoint reset", 3, 0, 0, func(s *site, pick uint64, _ time.Duration) func() { return s.hostLink(pick, (*faultlink.Link).Reset) }},
@@ -72,13 +72,13 @@
 		return s.hostLink(pick, func(l *faultlink.Link) { l.Freeze(faultlink.Hold) })
 	}},
 	{"requests to an endpoint lost", 2, 300 * ms, 4 * second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.hostLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToServer, faultlink.Vanish) })
+		return s.hostLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToServer, faultlink.Drop) })
 	}},
 	{"answers of an endpoint lost", 2, 300 * ms, 4 * second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.hostLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToClient, faultlink.Vanish) })
+		return s.hostLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToClient, faultlink.Drop) })
 	}},
 	{"way to an endpoint slow", 2, second, 4 * second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.hostLink(pick, func(l *faultlink.Link) { l.SetSlow(faultlink.Slowness{Delay: 80 * ms, BytesPerSecond: 32 << 10}) })
+		return s.hostLink(pick, func(l *faultlink.Link) { l.SetThrottle(faultlink.Throttle{Delay: 80 * ms, BytesPerSecond: 32 << 10}) })
 	}},
 	{"answer broken off on its way", 3, second, 2 * second, func(s *site, pick uint64, _ time.Duration) func() {
 		return s.hostLink(pick, func(l *faultlink.Link) { l.CutAfter(faultlink.ToClient, int64(pick%2000)) })
@@ -90,7 +90,7 @@
 		return s.agentLink(pick, func(l *faultlink.Link) { l.Freeze(faultlink.Hold) })
 	}},
 	{"words of an agent lost", 2, 300 * ms, 4 * second, func(s *site, pick uint64, _ time.Duration) func() {
-		return s.agentLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToClient, faultlink.Vanish) })
+		return s.agentLink(pick, func(l *faultlink.Link) { l.Block(faultlink.ToClient, faultlink.Drop) })
 	}},
 
 	{"endpoint crashed", 4, 200 * ms, 3 * second, func(s *site, pick uint64, _ time.Duration) func() { return s.crash(s.endpoint(pick)) }},
@@ -106,7 +106,7 @@
 	{"address used again by another service", 2, addressReuseDelay + second, addressReuseDelay + 4*second, func(s *site, pick uint64, duration time.Duration) func() {
 		return s.reuseAddress(s.serviceHost(pick), duration)
 	}},
-	{"endpoint mute", 3, 300 * ms, 4 * second, endpointFault(func(f *standin.EndpointFaults) { f.Mute = true })},
+	{"endpoint mute", 3, 300 * ms, 4 * second, endpointFault(func(f *standin.EndpointFaults) { f.Unresponsive = true })},
 	{"endpoint slow", 3, second, 5 * second, endpointFault(func(f *standin.EndpointFaults) { f.Slow = 8 })},
 	{"endpoint truncates answers", 2, second, 4 * second, endpointFault(func(f *standin.EndpointFaults) { f.Truncates = 0.5 })},
 	{"endpoint repeats answers", 2, second, 4 * second, endpointFault(func(f *standin.EndpointFaults) { f.Repeats = 0.5 })},
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -217,8 +217,8 @@
 	if r.arrivals > 1 {
 		c.retries[a.Service] = append(c.retries[a.Service], a.At)
 	}
-	if len(a.Foreign) > 0 {
-		c.addViolationLocked("asked", "request %s carries %v, which its client set", a.RequestID, a.Foreign)
+	if len(a.ReservedHeaders) > 0 {
+		c.addViolationLocked("asked", "request %s carries %v, which its client set", a.RequestID, a.ReservedHeaders)
 	}
 	host := c.endpoints[a.Incarnation].host
 	if !r.cancelledAt.IsZero() && a.At.Sub(r.cancelledAt) > cancelSlack && c.faultFree(r.sentAt, a.At, r.gateway, host) {
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -22,7 +22,7 @@
 
 // send records a request that a client sent the given time ago.
 func (w fixture) send(k kind, ago time.Duration) *record {
-	call := standin.Call{ID: "r", Method: http.MethodPost, Path: "/x", Patience: time.Second}
+	call := standin.Call{ID: "r", Method: http.MethodPost, Path: "/x", Timeout: time.Second}
 	if k == chat || k == once {
 		call.Model, call.Events = "m", 2
 	}
@@ -70,7 +70,7 @@
 		{"a stream served", "", func(w fixture) { r := w.send(chat, 0); w.runAt(r, "engine"); w.checkOutcome(r, validResponse(r)) }, 0},
 		{"a request that no client sent", "asked", func(w fixture) { w.Arrived(standin.Arrival{RequestID: "other", Incarnation: "pads"}) }, 1},
 		{"a reserved header field set by the client", "asked", func(w fixture) {
-			w.runAt(w.send(read, 0), "pads", func(a *standin.Arrival) { a.Foreign = []string{"Pin"} })
+			w.runAt(w.send(read, 0), "pads", func(a *standin.Arrival) { a.ReservedHeaders = []string{"Pin"} })
 		}, 1},
 		{"another path", "unchanged", func(w fixture) { w.runAt(w.send(read, 0), "pads", func(a *standin.Arrival) { a.Path = "/y" }) }, 1},
 		{"another body", "unchanged", func(w fixture) { w.runAt(w.send(read, 0), "pads", func(a *standin.Arrival) { a.Body = []byte("?") }) }, 1},
--- a/soak/site.go
+++ b/soak/site.go
@@ -245,7 +245,7 @@
 // empty memory and the checkpoints on the host's disk.
 func (s *site) engineOptions(p *endpointHost) *standin.EngineOptions {
 	o := &standin.EngineOptions{
-		MemoryMB: engineMB, ModelMB: modelMB, AdapterMB: adapterMB, AdapterPlaces: adapterCapacity,
+		MemoryMB: engineMB, ModelMB: modelMB, AdapterMB: adapterMB, MaxAdapters: adapterCapacity,
 		StoreTime: storeLoadTime, DiskTime: diskLoadTime, MemoryTime: memoryLoadTime, AdapterTime: adapterLoadTime, Weights: s.weights,
 	}
 	if p.starts == 1 {
--- a/test/failure_table_test.go
+++ b/test/failure_table_test.go
@@ -82,11 +82,11 @@
 // server, "mute" the data towards the client.
 func linkFailures() []failure {
 	blockOneWay := func(d faultlink.Direction) func(*faultlink.Link) {
-		return func(l *faultlink.Link) { l.Block(d, faultlink.Vanish) }
+		return func(l *faultlink.Link) { l.Block(d, faultlink.Drop) }
 	}
 	silent := func(l *faultlink.Link) { l.Freeze(faultlink.Hold) }
 	slow := func(l *faultlink.Link) {
-		l.SetSlow(faultlink.Slowness{Delay: 150 * time.Millisecond, BytesPerSecond: 64 << 10})
+		l.SetThrottle(faultlink.Throttle{Delay: 150 * time.Millisecond, BytesPerSecond: 64 << 10})
 	}
 	list := []failure{
 		linkFailure("cut", "All connections are reset and new ones refused.", "entry-1", "engine-1", (*faultlink.Link).Cut),
@@ -176,7 +176,7 @@
 		engine("engine-3", "hangs in loads", "Half of the loads never end.",
 			engineFaults{LoadHangs: chance(0.5)}),
 		engine("engine-1", "crosses answers", "A request gets the answer and the request ID of the previous one.",
-			engineFaults{Cross: chance(0.3)}),
+			engineFaults{SwapAnswer: chance(0.3)}),
 		engine("engine-2", "answers late", "30% of the answers begin after the caller's deadline.",
 			engineFaults{Late: chance(0.3), LateSeconds: 3}),
 		engine("engine-4", "cuts answers", "30% of the answers break off after three tokens.",
--- a/test/failures_test.go
+++ b/test/failures_test.go
@@ -57,7 +57,7 @@
 type engineFaults struct {
 	Hang               *bool           `json:"hang,omitempty"`
 	SlowFactor         float64         `json:"slow_factor,omitempty"`
-	Cross              *control.Chance `json:"cross,omitempty"`
+	SwapAnswer         *control.Chance `json:"cross,omitempty"`
 	Cut                *control.Chance `json:"cut,omitempty"`
 	CutAfterTokens     int             `json:"cut_after_tokens,omitempty"`
 	Late               *control.Chance `json:"late,omitempty"`
--- a/test/operators_test.go
+++ b/test/operators_test.go
@@ -137,7 +137,7 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		operation := operator.Settle(ctx, c.operatorClient, e.operation)
+		operation := operator.AwaitOperation(ctx, c.operatorClient, e.operation)
 		cancel()
 		switch operation.State {
 		case operator.OperationApplied:
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -49,9 +49,9 @@
 	p := &platform{
 		t: t,
 		server: standin.New(standin.Options{
-			HostsLag:   hostsLag,
-			GoneListed: goneListed,
-			Weights:    standin.WeightLimits{Loads: 8, LoadsPerSecond: 50, Adapters: 30},
+			HostsLag:      hostsLag,
+			GoneRetention: goneListed,
+			Weights:       standin.WeightLimits{Loads: 8, LoadsPerSecond: 50, Adapters: 30},
 		}),
 		addressOverrides: map[string]map[string]string{},
 		rows:             map[string][]rowVersion{},
--- a/test/properties_test.go
+++ b/test/properties_test.go
@@ -125,7 +125,7 @@
 		}
 		for _, h := range one.History {
 			if h.Kind == engine.HistoryOvercommitted {
-				v.add("%s: %s of %s %s under fence %d", one.host.name, h.At.Format(clockFormat), h.Model, h.Adapter, h.Fence)
+				v.add("%s: %s of %s %s under fence %d", one.host.name, h.At.Format(clockFormat), h.Model, h.Adapter, h.FencingToken)
 			}
 		}
 	}
@@ -149,7 +149,7 @@
 	for _, h := range one.History {
 		switch h.Kind {
 		case engine.HistoryLoadStarted:
-			open[h.Model] = &residency{span: span{begin: h.At}, model: h.Model, fence: h.Fence}
+			open[h.Model] = &residency{span: span{begin: h.At}, model: h.Model, fence: h.FencingToken}
 			all = append(all, open[h.Model])
 		case engine.HistoryLoadFailed, engine.HistoryUnloaded:
 			if held := open[h.Model]; held != nil {
