--- a/internal/loading/bench_test.go
+++ b/internal/loading/bench_test.go
@@ -119,7 +119,7 @@
 	})
 }
 
-// BenchmarkStatus measures the status report to the gateways.
+// BenchmarkStatus measures the status report to the entries.
 func BenchmarkStatus(b *testing.B) {
 	benchSizes(b, func(b *testing.B, m *Machine, now time.Time) {
 		for b.Loop() {
--- a/internal/loading/demand_test.go
+++ b/internal/loading/demand_test.go
@@ -7,7 +7,7 @@
 	"balsamsail/internal/endpoint"
 )
 
-// First requests for an unloaded model come in bursts from many gateways. One load must serve them all, loads must be
+// First requests for an unloaded model come in bursts from many entries. One load must serve them all, loads must be
 // ordered by urgency, and a request that cannot be served here must be refused at once, while it can still be retried
 // elsewhere.
 func TestWaking(t *testing.T) {
--- a/internal/loading/events.go
+++ b/internal/loading/events.go
@@ -161,14 +161,14 @@
 	Detail         string
 }
 
-// ConfirmRelease reports to the gateways that the engine does not hold the model version and that this agent will not
+// ConfirmRelease reports to the entries that the engine does not hold the model version and that this agent will not
 // load it under any revision up to Revision.
 type ConfirmRelease struct {
 	Model    string
 	Revision uint64
 }
 
-// WantSlot asks the gateways for a slot on another engine.
+// WantSlot asks the entries for a slot on another engine.
 type WantSlot struct {
 	Model  string
 	Reason wirepb.RefusalReason
@@ -208,7 +208,7 @@
 	Seed uint64
 }
 
-// ReplicaStatus is the state of one replica as reported to the gateways.
+// ReplicaStatus is the state of one replica as reported to the entries.
 type ReplicaStatus struct {
 	Model    string
 	State    wirepb.ReplicaState
@@ -218,7 +218,7 @@
 	Revision uint64
 }
 
-// Status is the machine's state as reported to the gateways.
+// Status is the machine's state as reported to the entries.
 type Status struct {
 	Ready            bool
 	Leaving          bool
--- a/internal/loading/slots_test.go
+++ b/internal/loading/slots_test.go
@@ -40,7 +40,7 @@
 			),
 		},
 		{
-			// The release at 11 was confirmed; the grant of 10 arrives again from a gateway that was partitioned.
+			// The release at 11 was confirmed; the grant of 10 arrives again from an entry that was partitioned.
 			name: "a row older than a confirmed release is ignored",
 			lines: lines(started("x@1"),
 				line{event: RowSeen{Row: rowOf("x@1", 11, releasingSlot("e"))}, want: "confirm x@1 11"},
--- a/internal/loading/status.go
+++ b/internal/loading/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Status returns the machine's state as reported to the gateways.
+// Status returns the machine's state as reported to the entries.
 func (m *Machine) Status(now time.Time) Status {
 	now = later(m.now, now)
 	s := Status{
