--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -58,7 +58,7 @@
 
 // Each rule is violated once, as a client or an endpoint would observe it, and the checker must report it. Similar cases that
 // are allowed must not be reported.
-func TestJudge(t *testing.T) {
+func TestChecker(t *testing.T) {
 	closed := outcome{maybeSent: true, took: time.Second, err: http.ErrServerClosed}
 	cases := []struct {
 		name   string
