--- a/cmd/balsamsail/timeline.go
+++ b/cmd/balsamsail/timeline.go
@@ -64,7 +64,7 @@
 	if causes > 0 && len(filter.Requests) == 0 {
 		return errors.Wrap(errUsage, "-causes needs -request")
 	}
-	var lines timeline.LogLines
+	var lines timeline.LogReader
 	for _, name := range files {
 		if err := readLog(&lines, name); err != nil {
 			return err
@@ -74,7 +74,7 @@
 		return printer.Print(lines.Collection(lines.Matching(filter)))
 	}
 	for _, request := range filter.Requests {
-		events := lines.Causes(request, causes)
+		events := lines.RelatedEvents(request, causes)
 		if events == nil {
 			return errors.Errorf("no line on request %s: was its line left out, or is a log missing?", request)
 		}
@@ -86,7 +86,7 @@
 }
 
 // readLog reads a log file, or standard input if the name is "-".
-func readLog(lines *timeline.LogLines, name string) error {
+func readLog(lines *timeline.LogReader, name string) error {
 	if name == "-" {
 		return lines.Read(os.Stdin)
 	}
--- a/internal/app/engineagent.go
+++ b/internal/app/engineagent.go
@@ -64,7 +64,7 @@
 }
 
 // reload reads the settings again and logs which sections changed. All changes take effect at the next start.
-func (r engineAgentRole) reload() { reloadSettings(r.Settings, r.Settings.Again, r.Logger) }
+func (r engineAgentRole) reload() { reloadSettings(r.Settings, r.Settings.Reload, r.Logger) }
 
 func (r engineAgentRole) run(ctx context.Context) error {
 	links, err := listenKeepAlive(r.Settings.Control.Listen)
--- a/internal/app/site.go
+++ b/internal/app/site.go
@@ -65,8 +65,8 @@
 type configSink struct{ *siteSync }
 
 func (s configSink) Replace(rows []watch.Row) { s.Apply(rows) }
-func (s configSink) Lost(error)               {}
-func (s configSink) Back()                    {}
+func (s configSink) Unavailable(error)        {}
+func (s configSink) Available()               {}
 
 func (s configSink) Apply(rows []watch.Row) {
 	for _, row := range rows {
@@ -114,8 +114,8 @@
 	}
 }
 
-func (s endpointSink) Lost(error) { s.updates <- s.endpoints.StoreLost }
-func (s endpointSink) Back()      { s.updates <- func() { s.endpoints.StoreBack(time.Now()) } }
+func (s endpointSink) Unavailable(error) { s.updates <- s.endpoints.StoreLost }
+func (s endpointSink) Available()        { s.updates <- func() { s.endpoints.StoreBack(time.Now()) } }
 
 func (s endpointSink) decode(row watch.Row) (catalog.Endpoint, bool) {
 	e, err := platform.DecodeEndpoint(row.Key, row.Value, row.Revision)
--- a/internal/joined/agent_test.go
+++ b/internal/joined/agent_test.go
@@ -68,7 +68,7 @@
 	if h.kind == kindEngine {
 		machine = loading.NewMachine(loading.Options{
 			Engine: h.endpoint, Host: h.id, MemoryBytes: engineLimit, ChecksFencing: h.engine.fencing != fencingIgnored,
-			OrderLife: orderLife, StateInterval: 5 * time.Second, PermitPatience: time.Second, Seed: w.random.Uint64(),
+			OrderLifetime: orderLife, StateInterval: 5 * time.Second, PermitTimeout: time.Second, Seed: w.random.Uint64(),
 		}, policy)
 	}
 	a.core = newCore(a, queue, machine, policy)
@@ -114,7 +114,7 @@
 func (a *agent) perform(actions []loading.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case loading.GiveOrder:
+		case loading.SendOrder:
 			if isUnload(action.Order) {
 				a.unloads++
 			}
@@ -125,7 +125,7 @@
 			a.requestRows()
 		case loading.AskPermit:
 			a.requestPermit(action)
-		case loading.EndPermit:
+		case loading.ReleasePermit:
 			a.broadcast(func(up *wirepb.ControlUp) { up.PermitsDone = append(up.PermitsDone, action.ID) })
 		case loading.ConfirmRelease:
 			release := &wirepb.SlotRelease{Model: action.Model, Revision: action.Revision}
@@ -190,7 +190,7 @@
 		}
 		a.w.after(sampledAt, func() {
 			if !e.up || lost {
-				a.later(duration-sampledAt, func() { finish(loading.EngineLost{ID: id}) })
+				a.later(duration-sampledAt, func() { finish(loading.EngineReadFailed{ID: id}) })
 				return
 			}
 			state := e.state()
--- a/internal/joined/attempt_test.go
+++ b/internal/joined/attempt_test.go
@@ -74,7 +74,7 @@
 	}
 	if t.write(&wirepb.ToAgent{Frame: &wirepb.ToAgent_Offer{Offer: offer}}) != nil {
 		if t.idempotent {
-			t.finish(routing.OutcomeBroken)
+			t.finish(routing.OutcomeUnknown)
 			return
 		}
 		t.finish(routing.OutcomeNotSent)
@@ -99,7 +99,7 @@
 	case !t.running && !t.noAlternative:
 		wait = min(left, t.responseTimeout(left))
 	}
-	t.wait(max(wait, time.Millisecond), func() { t.step(atmostonce.GaveUp) })
+	t.wait(max(wait, time.Millisecond), func() { t.step(atmostonce.Abandoned) })
 }
 
 // wait runs a function after a delay, unless the phase changes or wait is called again before.
@@ -116,7 +116,7 @@
 func (t *attempt) responseTimeout(left time.Duration) time.Duration {
 	switch {
 	case !t.cold:
-		return routing.PatienceFor(t.stage, left, t.expected)
+		return routing.StageTimeout(t.stage, left, t.expected)
 	case t.expected == 0:
 		return left
 	default:
@@ -149,7 +149,7 @@
 	case phaseWithdrawing:
 		t.close()
 	default:
-		t.step(atmostonce.StreamBroke)
+		t.step(atmostonce.StreamFailed)
 	}
 }
 
@@ -177,7 +177,7 @@
 		return atmostonce.GotHead
 	case *wirepb.FromAgent_Trailer:
 		if !t.response.verify(f.Trailer) {
-			return atmostonce.StreamBroke
+			return atmostonce.StreamFailed
 		}
 		return atmostonce.GotTrailer
 	case *wirepb.FromAgent_Failed:
@@ -186,15 +186,15 @@
 		}
 		return failedEvent(f.Failed)
 	default:
-		return atmostonce.StreamBroke
+		return atmostonce.StreamFailed
 	}
 }
 
 func failedEvent(f *wirepb.Failed) atmostonce.ExchangeEvent {
 	if f.MayHaveRun {
-		return atmostonce.GotFailedUnclear
+		return atmostonce.GotFailedUnknown
 	}
-	return atmostonce.GotFailedClean
+	return atmostonce.GotFailedNotRun
 }
 
 // settlementEvent maps a frame to an event like eventOf, but ignores the answer.
@@ -213,7 +213,7 @@
 
 // step passes an event to the exchange and executes its actions.
 func (t *attempt) step(e atmostonce.ExchangeEvent) {
-	t.gaveUp = t.gaveUp || e == atmostonce.GaveUp
+	t.gaveUp = t.gaveUp || e == atmostonce.Abandoned
 	for _, action := range t.exchange.Step(e) {
 		switch action {
 		case atmostonce.SendCommit:
@@ -268,7 +268,7 @@
 		return
 	}
 	t.phase = phaseEnded
-	t.wait(maxAnswer, func() { t.step(atmostonce.StreamBroke) })
+	t.wait(maxAnswer, func() { t.step(atmostonce.StreamFailed) })
 	t.finish(t.outcome())
 }
 
@@ -285,18 +285,18 @@
 	case atmostonce.EndServed:
 		return routing.OutcomeServed
 	case atmostonce.EndUnknown:
-		return routing.OutcomeBroken
-	case atmostonce.EndCut:
+		return routing.OutcomeUnknown
+	case atmostonce.EndTruncated:
 		if !t.response.begun {
-			return routing.OutcomeBroken
+			return routing.OutcomeUnknown
 		}
-		return routing.OutcomeCut
+		return routing.OutcomeTruncated
 	}
 	switch {
 	case t.refusal != nil:
 		return routing.OutcomeRefused
 	case t.running:
-		return routing.OutcomeFailedClean
+		return routing.OutcomeFailedNotRun
 	default:
 		return routing.OutcomeNotSent
 	}
--- a/internal/joined/coordinator_test.go
+++ b/internal/joined/coordinator_test.go
@@ -27,20 +27,20 @@
 // handleReport handles an agent's batch.
 func (e *entry) handleReport(l *entryLink, up *wirepb.ControlUp) {
 	now, name := e.now(), l.name
-	e.view.Reported(now, name, up.Status)
+	e.view.ApplyReport(now, name, up.Status)
 	ep := e.endpoint(name)
 	for _, r := range up.Releases {
 		if ep != nil {
-			e.grants.Released(replicas.Release{Engine: name, Host: ep.HostID, Model: r.Model, Revision: r.Revision})
+			e.grants.ConfirmRelease(replicas.Release{Engine: name, Host: ep.HostID, Model: r.Model, Revision: r.Revision})
 			e.scheduleGrantRound(grantSettle)
 		}
 	}
 	for _, w := range up.Wanted {
-		e.grants.Wanted(name, w.Model, w.Reason, int(w.Demand))
+		e.grants.RequestSlot(name, w.Model, w.Reason, int(w.Demand))
 		e.scheduleGrantRound(grantSettle)
 	}
 	if up.Snapshot != nil {
-		_ = e.store.Learn(up.Snapshot, nil)
+		_ = e.store.ApplyFromPeer(up.Snapshot, nil)
 		e.pushRevision()
 	}
 	if up.WantSnapshot {
@@ -68,7 +68,7 @@
 // handleConnectionLost handles the end of a connection.
 func (e *entry) handleConnectionLost(l *entryLink) {
 	if e.links[l.name] == l {
-		e.view.Lost(l.name)
+		e.view.SetDisconnected(l.name)
 	}
 	e.permits.AgentGone(e.now(), l.name)
 	delete(e.sentRevision, l.name)
@@ -152,7 +152,7 @@
 
 // pushRows sends changed rows to the agents that have a slot in the new or the previous version.
 func (e *entry) pushRows() {
-	rows, deleted, next := e.grants.Changed(e.rowsCursor)
+	rows, deleted, next := e.grants.ChangedSince(e.rowsCursor)
 	e.rowsCursor = next
 	for _, row := range rows {
 		before, now := e.rowEngines[row.Model], map[string]bool{}
@@ -200,7 +200,7 @@
 
 // Declared implements replicas.DeclarationSource.
 func (e *entry) Declared() (replicas.Declared, bool) {
-	set, headRow, ok := e.store.Declared()
+	set, headRow, ok := e.store.CurrentWithHeadRow()
 	if !ok {
 		return replicas.Declared{}, false
 	}
@@ -320,7 +320,7 @@
 // reportedCandidates returns the engines that report a slot. It is used while the entry has not read the rows.
 func (e *entry) reportedCandidates(t admission.Target) []routing.Candidate {
 	var list []routing.Candidate
-	if e.grants.Complete() {
+	if e.grants.Synced() {
 		return nil
 	}
 	for _, name := range e.endpoints() {
--- a/internal/joined/execution_test.go
+++ b/internal/joined/execution_test.go
@@ -103,7 +103,7 @@
 	if !x.offer.TwoStep && x.now().Sub(x.waiting.request.Arrived) >= readyNoticeDelay {
 		x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Ready{Ready: &wirepb.Ready{}}})
 	}
-	x.step(atmostonce.TurnCame)
+	x.step(atmostonce.Admitted)
 }
 
 func (x *exchange) step(e atmostonce.ExecutionEvent) {
@@ -140,15 +140,15 @@
 		x.soon(func() { x.stopCall(errCallCancelled) })
 	case atmostonce.LeaveQueue:
 		x.core.cancel(x.key)
-	case atmostonce.GiveBackTurn:
+	case atmostonce.ReleaseAdmission:
 		x.core.finish(x.key, x.durations)
 	case atmostonce.SendRefused:
 		x.sendRefused()
 	case atmostonce.SendTrailer:
 		trailer := &wirepb.Trailer{Length: x.length, Checksum: x.checksum.Sum64(), Load: x.core.load(x.target)}
 		x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Trailer{Trailer: trailer}})
-	case atmostonce.SendFailedClean, atmostonce.SendFailedUnclear:
-		failed := &wirepb.Failed{MayHaveRun: action == atmostonce.SendFailedUnclear, Load: x.core.load(x.target)}
+	case atmostonce.SendFailedNotRun, atmostonce.SendFailedUnknown:
+		failed := &wirepb.Failed{MayHaveRun: action == atmostonce.SendFailedUnknown, Load: x.core.load(x.target)}
 		if x.status != 0 {
 			failed.Reason = wirepb.FailureReason_ENDPOINT_REFUSED
 		}
@@ -250,9 +250,9 @@
 			x.durations.whole = x.now().Sub(x.began)
 			x.step(atmostonce.CallAnswered)
 		case errors.Is(err, endpoint.ErrUnreachable), errors.Is(err, errEngineRefused):
-			x.step(atmostonce.CallFailedClean)
+			x.step(atmostonce.CallFailedNotRun)
 		default:
-			x.step(atmostonce.CallFailedUnclear)
+			x.step(atmostonce.CallFailedUnknown)
 		}
 	})
 }
--- a/internal/joined/hold_test.go
+++ b/internal/joined/hold_test.go
@@ -34,7 +34,7 @@
 	if c.isUsable(t) {
 		return false
 	}
-	options := idle.HoldOptions{Longest: maxHold, Margin: 2 * time.Second}
+	options := idle.HoldOptions{MaxHold: maxHold, Margin: 2 * time.Second}
 	w.loadAt = idle.HoldUntil(t.Model, now, w.request.Deadline, c.readyIn(w), options)
 	if !w.loadAt.After(now) {
 		return false
@@ -46,7 +46,7 @@
 func (c *core) demandLoad(now time.Time, w *queuedRequest) []loading.Action {
 	delete(c.heldBatch, w.request.ID)
 	t := w.request.Target
-	return c.stepMachine(now, loading.Demanded{
+	return c.stepMachine(now, loading.RequestWaiting{
 		Request: w.request.ID, Model: t.Model, Adapter: t.Adapter, Deadline: w.request.Deadline, Class: w.request.Class,
 	})
 }
--- a/internal/joined/orders_test.go
+++ b/internal/joined/orders_test.go
@@ -73,12 +73,12 @@
 	case !e.up || e.fencing == fencingVolatile && o.incarnation != e.incarnation:
 		e.answer(o, endpoint.ErrOutcomeUnknown)
 		return
-	case e.fencing != fencingIgnored && o.Fence < e.highestFence:
+	case e.fencing != fencingIgnored && o.FencingToken < e.highestFence:
 		e.logf("%s rejects the fenced %v %s", e.host.endpoint, o.Kind, o.ID)
 		e.answer(o, endpoint.ErrFenced)
 		return
 	}
-	e.highestFence = max(e.highestFence, o.Fence)
+	e.highestFence = max(e.highestFence, o.FencingToken)
 	e.checkSender(o)
 	if e.faulty(20) {
 		e.answer(o, endpoint.ErrUnavailable)
--- a/internal/joined/request_test.go
+++ b/internal/joined/request_test.go
@@ -67,7 +67,7 @@
 	tried       []string
 	response    *responseBuffer
 	current     *attempt
-	claimHandle atmostonce.Held
+	claimHandle atmostonce.ClaimRow
 	claimed     bool
 	// pickDeadline is the time until which the request waits for an endpoint; slotRequested is set once a slot was
 	// requested.
@@ -130,7 +130,7 @@
 	case r.entry.picking[r]:
 		r.repick()()
 	case r.current != nil && r.current.phase == phaseActive:
-		r.current.step(atmostonce.GaveUp)
+		r.current.step(atmostonce.Abandoned)
 	}
 }
 
@@ -150,7 +150,7 @@
 		case outcome == atmostonce.ClaimGranted:
 			r.claimHandle, r.claimed = handle, true
 			r.forward()
-		case outcome == atmostonce.ClaimAnswered:
+		case outcome == atmostonce.ClaimCompleted:
 			r.conclude(resultReplayed, string(handle.Claim.Body))
 		default:
 			r.conclude(resultUnknown, "")
@@ -187,7 +187,7 @@
 	}
 	if !r.slotRequested && r.target.Model != "" {
 		r.slotRequested = true
-		e.grants.Wanted("", r.target.Model, wirepb.RefusalReason_NOT_GRANTED, 1)
+		e.grants.RequestSlot("", r.target.Model, wirepb.RefusalReason_NOT_GRANTED, 1)
 		e.scheduleGrantRound(grantSettle)
 	}
 	left := r.pickDeadline.Sub(e.now())
@@ -237,7 +237,7 @@
 // handleAttemptEnd handles the end of an attempt.
 func (r *request) handleAttemptEnd(t *attempt, a routing.Attempt) {
 	e := r.entry
-	r.state.AnswerBegun, r.state.Untried = r.response.begun, r.hasUntried()
+	r.state.AnswerBegun, r.state.HasUntried = r.response.begun, r.hasUntried()
 	verdict := routing.Decide(e.now(), a, r.state)
 	e.logf("%s: attempt of %s at %s ended %d, verdict %d %v wait %v", e.name, r.id, a.Endpoint, a.Outcome, verdict.Kind, a.Reason, verdict.Wait)
 	if verdict.Kind == routing.VerdictDone {
@@ -307,9 +307,9 @@
 	case f == settledNotRun:
 		err = r.entry.claims.Free(ctx, r.claimHandle)
 	case f == settledServed && kept:
-		err = r.entry.claims.Finish(ctx, r.claimHandle, atmostonce.ClaimDone, atmostonce.Answer{Status: 200, Body: []byte(body)})
+		err = r.entry.claims.Finish(ctx, r.claimHandle, atmostonce.ClaimDone, atmostonce.Response{Status: 200, Body: []byte(body)})
 	default:
-		err = r.entry.claims.Finish(ctx, r.claimHandle, atmostonce.ClaimUnknown, atmostonce.Answer{})
+		err = r.entry.claims.Finish(ctx, r.claimHandle, atmostonce.ClaimUnknown, atmostonce.Response{})
 	}
 	r.entry.logf("%s settles the claim of %s as %d: %v", r.entry.name, r.id, f, errors.Cause(err))
 	return time.Since(began)
--- a/internal/loading/permits/options.go
+++ b/internal/loading/permits/options.go
@@ -1,6 +1,6 @@
 // Package permits shares the weight store's load budget among the agents that load from it.
 //
-// One gateway, chosen by rendezvous hashing, is the issuer: it holds a Budget and grants the permits. The Budget is
+// One entry, chosen by rendezvous hashing, is the issuer: it holds a Budget and grants the permits. The Budget is
 // soft state in memory only, and a new issuer rebuilds it from the agents' reports. An inaccurate Budget, or two
 // issuers at once, may put more loads in flight than the store serves at full speed, which slows loads down but is
 // safe: no correctness property depends on permits.
@@ -22,8 +22,8 @@
 	LoadsPerSecond float64
 	// LoadsAtOnce is the maximum number of concurrent loads of weights; 0 means unlimited.
 	LoadsAtOnce int
-	// AdaptersInTransit is the maximum number of concurrent loads of adapters; 0 means unlimited.
-	AdaptersInTransit int
+	// MaxAdapterLoads is the maximum number of concurrent loads of adapters; 0 means unlimited.
+	MaxAdapterLoads int
 	// Lease is how long a permit or a report remains valid without a renewal by its agent (optional).
 	Lease time.Duration
 	// StartWithin is the time within which a permit must be used (optional).
