--- a/internal/joined/doc.go
+++ b/internal/joined/doc.go
@@ -18,7 +18,7 @@
 //   - P4: an answer belongs to its call and is complete.
 //   - P5: a call that is reported as not run has not run and does not run later.
 //   - P6: a call that must not be repeated runs at most once.
-//   - P7: an endpoint that is leaving or drained gets no new requests.
+//   - P7: an endpoint that is leaving or drained gets no new requests after a few seconds.
 //   - P8: planned stops and unloads do not abort running requests.
 //   - P9: an accepted edit comes into force in time in all reachable processes, and revisions never go back.
 //
