--- a/internal/catalog/endpoints.go
+++ b/internal/catalog/endpoints.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// reregisterGrace is how long an endpoint whose entry expired during an outage of the store stays in use after the
-// store recovers. According to the platform's documentation running endpoints register again within about two seconds;
-// one that has not done so by then is gone.
+// reregisterGrace is how long an endpoint whose registration expired during an outage of the store stays in use after
+// the store recovers. According to the platform's documentation running endpoints register again within about two
+// seconds; one that has not done so by then is gone.
 const reregisterGrace = 2 * time.Second
 
 // Endpoint is one incarnation of an endpoint, as it registered itself.
@@ -24,15 +24,15 @@
 	Remaining time.Duration
 	// Models are the models loaded when the endpoint last registered; its agent's reports are more recent.
 	Models []string
-	// Revision is the revision of the store at which the entry was last written.
+	// Revision is the revision of the store at which the registration was last written.
 	Revision int64
 }
 
 // Endpoints is a process's local list of endpoints. It is not safe for concurrent use.
 type Endpoints struct {
 	listed map[string]Endpoint
-	// lapsed holds endpoints whose entry expired during an outage of the store, with the time until which they stay in
-	// use.
+	// lapsed holds endpoints whose registration expired during an outage of the store, with the time until which they
+	// stay in use.
 	lapsed map[string]lapsedEndpoint
 	// storeDown is set while the store is unavailable.
 	storeDown bool
@@ -61,7 +61,7 @@
 	}
 }
 
-// Put stores a registration, unless a newer one is known.
+// Put stores a registration, unless a newer one is already stored.
 func (e *Endpoints) Put(endpoint Endpoint) {
 	if endpoint.Revision < e.listed[endpoint.ID].Revision {
 		return
@@ -70,10 +70,10 @@
 	delete(e.lapsed, endpoint.ID)
 }
 
-// Remove removes an endpoint whose entry was deleted from the store.
+// Remove removes an endpoint whose registration was deleted from the store.
 //
-// An entry that expired during an outage of the store does not mean that the endpoint is gone: its heartbeats could not
-// be written. Removing it at once would leave requests without endpoints for two seconds after each outage, so it stays
+// A registration that expired during an outage of the store does not mean that the endpoint is gone: its heartbeats
+// could not be written. Removing it at once would leave requests without endpoints for two seconds after each outage, so it stays
 // in use for reregisterGrace.
 func (e *Endpoints) Remove(id string, now time.Time) {
 	endpoint, ok := e.listed[id]
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// A gateway that agents report has not sent its demand yet. Without that demand, the coordinator would unload models that only
-// that gateway's requests wait for; so it waits for it, but no longer than activationDelay.
+// A gateway that agents report has not sent its demand yet. The coordinator must wait for the demand, but no longer than
+// activationDelay: without it, the coordinator would unload models that only that gateway's requests need.
 func TestCoordinatorWaitsForTheOthersForAWhile(t *testing.T) {
 	listener := listenLoopback(t)
 	agent := startAgent(t, listener.Addr().String(), "127.255.255.254:1")
--- a/internal/engineagent/adapters.go
+++ b/internal/engineagent/adapters.go
@@ -53,8 +53,8 @@
 // reservedByCommand returns the memory that the current command's load will take.
 //
 // An engine does not report a model until its load is complete; an adapter loaded in the meantime could take the memory
-// that the model needs. An agent that restarted during a load does not know which model is being loaded and reserves memory
-// for the largest one.
+// that the model needs. An agent that restarted during a load cannot determine which model is being loaded and reserves
+// memory for the largest one.
 func (c *Core) reservedByCommand() float64 {
 	if c.command == nil && c.report.Busy {
 		return c.largestModel()
--- a/internal/engineagent/core.go
+++ b/internal/engineagent/core.go
@@ -99,7 +99,8 @@
 	return [...]string{"accepted", "conflict", "wrong_endpoint", "rejected", "unknown"}[r]
 }
 
-// Command requests a change of the loaded models: unload those in Unload, then load Load.
+// Command requests a change of the loaded models: unload those in Unload, then load Load. The coordinator sends it to the
+// agent, which carries it out by sending orders to the engine.
 type Command struct {
 	ID         uint64
 	EndpointID string
--- a/internal/engineagent/core_test.go
+++ b/internal/engineagent/core_test.go
@@ -194,8 +194,8 @@
 	}
 }
 
-// An agent restarts while its engine loads a model and does not know which model that is. Adapters must not take the memory
-// that the load needs.
+// An agent restarts while its engine loads a model and cannot determine which model that is. Adapters must not take the
+// memory that the load needs.
 func TestRestartedAgentLeavesRoomForAnUnknownLoad(t *testing.T) {
 	e := newEngine(t, "a", "b")
 	e.class.Models["a"] = Model{SizeMB: 72_000, AdapterMB: 5_000}
@@ -209,8 +209,9 @@
 	}
 }
 
-// Requests wait for an adapter on an engine that takes six seconds to load a model and refuses all orders until then. An agent
-// that sent an order every 90 ms paid for each refused call, and the requests stayed bound to this engine.
+// Requests wait for an adapter on an engine that takes six seconds to load a model and refuses all orders until then. The
+// agent used to send an order every 90 ms: each call was refused, and the requests kept waiting for this engine. It must
+// send none while the engine is busy.
 func TestBusyEngineIsNotOrdered(t *testing.T) {
 	c, e := NewCore(100*time.Millisecond), newEngine(t, "a", "b", "c")
 	sendGatewayMessage(c, start, GatewayMessage{Command: &Command{ID: 1, EndpointID: "i1", Unload: []string{"b"}, Load: "d"}})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,7 +33,7 @@
 	Down bool
 	// Models are the loaded models, each with its loaded adapters.
 	Models map[string]map[string]bool
-	// Busy is set while the engine executes a command.
+	// Busy is set while the engine loads or unloads a model.
 	Busy bool
 	// Loading is the model that is being loaded, or will be once the models in Unloading are unloaded.
 	Loading   string
@@ -59,10 +59,13 @@
 	// pendingPromptTokens is the number of prompt tokens sent to the endpoint in requests whose first event has not
 	// arrived.
 	pendingPromptTokens int
-	adapters            map[Adapter]int
-	absent              map[Adapter]time.Time
-	headerLoad          int
-	headerLoadAt        time.Time
+	// adapters counts this gateway's requests in flight per adapter. absent holds the models and adapters that the
+	// endpoint reported as not loaded, each with the time until which it gets no requests for them.
+	adapters map[Adapter]int
+	absent   map[Adapter]time.Time
+	// headerLoad is the number of running and queued requests in the last response header, received at headerLoadAt.
+	headerLoad   int
+	headerLoadAt time.Time
 	// connected is set while the connection to the agent is open.
 	connected bool
 	// refusedUntil is the time until which the endpoint gets no requests because it refused a connection.
--- a/internal/fleet/silence_test.go
+++ b/internal/fleet/silence_test.go
@@ -13,21 +13,21 @@
 	f := New("here", 1)
 	var list []catalog.Endpoint
 	for _, id := range []string{"p1", "p2", "p3"} {
-		list = append(list, catalog.Endpoint{ID: id, Service: "pads", Address: id, Revision: 1})
+		list = append(list, catalog.Endpoint{ID: id, Service: "plain", Address: id, Revision: 1})
 	}
 	f.SetEndpoints(list)
 	return f
 }
 
 func plainRequest(repeatable bool) *Request {
-	return &Request{Target: Target{Service: "pads"}, Repeatable: repeatable}
+	return &Request{Target: Target{Service: "plain"}, Repeatable: repeatable}
 }
 
 // completeRequest ends a request with a complete answer.
 func completeRequest(f *Fleet, now time.Time, c Choice) {
 	const took = 100 * time.Millisecond
 	f.ObserveResponse(now, c.ID, took)
-	f.Observe(now, routing.Observation{Endpoint: c.ID, Target: "pads", Outcome: routing.OutcomeServed, FirstByte: took})
+	f.Observe(now, routing.Observation{Endpoint: c.ID, Target: "plain", Outcome: routing.OutcomeServed, FirstByte: took})
 	f.Done(c, plainRequest(false))
 }
 
@@ -35,10 +35,10 @@
 // but the unresponsive one answer after 0.1 s; clients of requests sent there disconnect after 1.5 s. It returns the
 // number of these.
 func simulateLoad(f *Fleet, unresponsive string, from time.Duration, length time.Duration, repeatable bool) int {
-	const tick, answer, patience = 10 * time.Millisecond, 100 * time.Millisecond, 1500 * time.Millisecond
+	const tick, answer, clientTimeout = 10 * time.Millisecond, 100 * time.Millisecond, 1500 * time.Millisecond
 	open := make(map[time.Duration][]Choice)
 	lost := 0
-	for at := from; at < from+length+patience; at += tick {
+	for at := from; at < from+length+clientTimeout; at += tick {
 		now := start.Add(at)
 		for _, c := range open[at] {
 			if c.ID == unresponsive {
@@ -52,7 +52,7 @@
 		}
 		if c, _, ok := f.Choose(now, plainRequest(repeatable)); ok && c.ID == unresponsive {
 			lost++
-			open[at+patience] = append(open[at+patience], c)
+			open[at+clientTimeout] = append(open[at+clientTimeout], c)
 		} else if ok {
 			open[at+answer] = append(open[at+answer], c)
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -88,8 +88,8 @@
 // Active returns the number of requests in flight.
 func (g *Gateway) Active() int { return int(g.active.Load()) }
 
-// Before a planned exit, waiting requests are refused refuseWaitingBeforeExit earlier, and requests at endpoints are aborted
-// abortBeforeExit earlier, so that each client still gets an answer on its connection.
+// refuseWaitingBeforeExit and abortBeforeExit are how long before a planned exit waiting requests are refused and
+// requests at endpoints are aborted, so that each client still gets an answer on its connection.
 const (
 	refuseWaitingBeforeExit = time.Second
 	abortBeforeExit         = 150 * time.Millisecond
@@ -235,7 +235,7 @@
 // exhausted reports whether the request has used all its attempts.
 func (q *request) exhausted() bool { return q.attempts-q.mismatches >= maxTotalAttempts }
 
-// pacedUntil returns until when the request is held back from engines that have prompts to process.
+// pacedUntil returns the time until which the request is held back from engines that have prompts to process.
 //
 // A request that waited for a model to load is late when the load ends, and so are all others that waited for it.
 // Sending them all at once would also delay the requests that already run on the engine; sending them one after another
@@ -258,9 +258,9 @@
 	}
 }
 
-// budget returns the retry budget of a service. Its burst is divided by the current number of gateways: divided by a
-// constant, the gateways of a site four times as large would send four times the retries that its endpoints are meant
-// to get in the first seconds of a fault.
+// budget returns the retry budget of a service. Its burst is divided by the current number of gateways: if it were
+// divided by a constant, a site with four times as many gateways would send its endpoints four times the intended
+// number of retries in the first seconds of a fault.
 func (g *Gateway) budget(service string) *routing.RetryBudget {
 	b := g.budgets[service]
 	if b == nil {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -100,7 +100,7 @@
 		events(1, 6, false)(w, r)
 	}
 	r := newRig(t, map[string]endpointScript{"engine-1": script, "engine-2": script})
-	if got := r.send("a", "/case/x", "m"); got.err != nil || numbers(got.body) != "1,2,3,4,5,6" {
+	if got := r.send("a", "/resumable/x", "m"); got.err != nil || numbers(got.body) != "1,2,3,4,5,6" {
 		t.Errorf("resumable: events %s, error %v, want 1 to 6 once each", numbers(got.body), got.err)
 	}
 	if got := r.send("b", "/chat/x", "m"); got.err == nil || numbers(got.body) != "1,2,3" {
@@ -121,7 +121,7 @@
 		}
 	}
 	r := newRig(t, map[string]endpointScript{"engine-1": pauses})
-	if got := r.send("a", "/case/x", "m"); got.err != nil || numbers(got.body) != "1,2,3,4" || r.attempts("a") != 1 {
+	if got := r.send("a", "/resumable/x", "m"); got.err != nil || numbers(got.body) != "1,2,3,4" || r.attempts("a") != 1 {
 		t.Errorf("events %s, error %v, %d attempts, want 1 to 4 from one attempt", numbers(got.body), got.err, r.attempts("a"))
 	}
 }
@@ -137,7 +137,7 @@
 		}
 		events(1, 6, false)(w, request)
 	}})
-	if got := r.send("a", "/case/x", "m"); got.err != nil || numbers(got.body) != "1,2,3,4,5,6" {
+	if got := r.send("a", "/resumable/x", "m"); got.err != nil || numbers(got.body) != "1,2,3,4,5,6" {
 		t.Errorf("events %s, error %v, want 1 to 6 once each", numbers(got.body), got.err)
 	}
 	if got := r.send("b", "/chat/x", "m"); got.err == nil {
@@ -155,7 +155,7 @@
 	}
 	r := newRig(t, scripts)
 	for _, id := range []string{"a", "b", "c"} {
-		if got := r.send(id, "/case/x", "m"); got.status != 200 || got.err != nil {
+		if got := r.send(id, "/resumable/x", "m"); got.status != 200 || got.err != nil {
 			t.Errorf("request %s: status %d, error %v after %d attempts", id, got.status, got.err, r.attempts(id))
 		}
 	}
@@ -165,8 +165,8 @@
 }
 
 // Two thirds of a large site's endpoints reset connections. The burst of the retry budget must be divided by the actual
-// number of gateways: divided by a constant six, many gateways overloaded the remaining endpoints with retries. With a
-// hundred gateways each may save up one retry.
+// number of gateways: when it was divided by a constant six, the many gateways of the site overloaded the remaining
+// endpoints with retries. With a hundred gateways each may save up one retry.
 func TestRetryBudgetIsDividedByTheGateways(t *testing.T) {
 	r := newRig(t, map[string]endpointScript{"plain-1": resetsConnection, "plain-2": resetsConnection})
 	r.gateways = 100
@@ -191,7 +191,7 @@
 	}
 	r := newRig(t, map[string]endpointScript{"engine-1": good, "plain-1": noResponse})
 	waiting, running := make(chan answer, 1), make(chan answer, 1)
-	go func() { waiting <- r.send("w", "/chat/x", "sleeping") }()
+	go func() { waiting <- r.send("w", "/chat/x", "not-loaded") }()
 	go func() { running <- r.send("r", "/plain/x", "") }()
 	time.Sleep(100 * time.Millisecond)
 	r.gateway.ShutdownAt(time.Now().Add(refuseWaitingBeforeExit + 300*time.Millisecond))
@@ -240,11 +240,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	crashed := catalog.Endpoint{ID: "engine-0", Service: "engine", Address: unused.Addr().String(), Models: []string{"sleeping"}, Revision: 1}
+	crashed := catalog.Endpoint{ID: "engine-0", Service: "engine", Address: unused.Addr().String(), Models: []string{"not-loaded"}, Revision: 1}
 	unused.Close()
 	r.fleet.SetEndpoints([]catalog.Endpoint{crashed})
 	result := make(chan answer, 1)
-	go func() { result <- r.send("a", "/chat/x", "sleeping") }()
+	go func() { result <- r.send("a", "/chat/x", "not-loaded") }()
 	time.Sleep(300 * time.Millisecond)
 	select {
 	case got := <-result:
@@ -252,7 +252,7 @@
 	default:
 	}
 	other := r.endpoints["engine-1"]
-	other.Models, other.Revision = []string{"sleeping"}, 2
+	other.Models, other.Revision = []string{"not-loaded"}, 2
 	r.fleet.SetEndpoints([]catalog.Endpoint{crashed, other})
 	if got := <-result; got.status != 200 || numbers(got.body) != "1,2" {
 		t.Errorf("status %d, body %q, error %v, want the other engine's response", got.status, got.body, got.err)
@@ -264,7 +264,7 @@
 // being held. It must also count as waiting until the client is back, because otherwise the model would not be loaded.
 func TestModelThatComesTooLateIsRefusedWithItsTime(t *testing.T) {
 	r := newRig(t, map[string]endpointScript{"engine-1": good})
-	got := r.send("a", "/chat/x", "distant")
+	got := r.send("a", "/chat/x", "store-only")
 	after, err := time.ParseDuration(got.header.Get("Retry-After"))
 	if got.status != 503 || err != nil || got.took > 500*time.Millisecond {
 		t.Fatalf("status %d, Retry-After %q after %v, want an immediate 503 with Retry-After", got.status, got.header.Get("Retry-After"), got.took)
@@ -274,7 +274,7 @@
 	}
 	waiting := int32(0)
 	for _, m := range r.fleet.Demand(time.Now()).Models {
-		if m.Model == "distant" {
+		if m.Model == "store-only" {
 			waiting = m.Waiting
 		}
 	}
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -24,7 +24,7 @@
 type testCodec struct{}
 
 func (testCodec) ReadCall(r *http.Request) (Call, error) {
-	ms, _ := strconv.Atoi(r.Header.Get("Patience"))
+	ms, _ := strconv.Atoi(r.Header.Get("Timeout"))
 	model, adapter, _ := strings.Cut(r.Header.Get("Model"), "/")
 	return Call{ID: r.Header.Get("Id"), Model: model, Adapter: adapter, Timeout: time.Duration(ms) * time.Millisecond}, nil
 }
@@ -78,8 +78,8 @@
 	runs map[string]int
 }
 
-// newRig returns a gateway with the routes /plain/ (run once), /read/ (idempotent), /chat/ (a stream) and /case/ (a
-// resumable stream). An endpoint's name begins with the name of its service.
+// newRig returns a gateway with the routes /plain/ (run once), /read/ (idempotent), /chat/ (a stream) and /resumable/
+// (a resumable stream). An endpoint's name begins with the name of its service.
 func newRig(t *testing.T, endpoints map[string]endpointScript) *rig {
 	t.Helper()
 	r := &rig{t: t, fleet: fleet.New("here", 1), runs: make(map[string]int), endpoints: make(map[string]catalog.Endpoint)}
@@ -114,9 +114,9 @@
 	read.Repeat = catalog.Idempotent
 	chat := route("/chat/", "engine")
 	chat.Streaming = true
-	resumable := route("/case/", "engine")
+	resumable := route("/resumable/", "engine")
 	resumable.Streaming, resumable.Resumable, resumable.GapTarget = true, true, 50*time.Millisecond
-	engine := &catalog.EngineClass{Batch: 8, Models: map[string]catalog.Model{"m": {Name: "m"}, "sleeping": {Name: "sleeping"}, "distant": {Name: "distant", StoreLoadTime: 6 * time.Second}}}
+	engine := &catalog.EngineClass{Batch: 8, Models: map[string]catalog.Model{"m": {Name: "m"}, "not-loaded": {Name: "not-loaded"}, "store-only": {Name: "store-only", StoreLoadTime: 6 * time.Second}}}
 	services := map[string]*catalog.Service{"plain": {Name: "plain"}, "engine": {Name: "engine", Engine: engine}}
 	return catalog.NewConfig(1, catalog.ClientLimits{}, services, []*catalog.Route{route("/plain/", "plain"), read, chat, resumable})
 }
@@ -196,7 +196,8 @@
 	}
 }
 
-// events sends a stream of numbered events; if breaks is set, it then resets the connection in the middle of the next event.
+// events sends a stream of numbered events; if breaks is set, it then resets the connection in the middle of the next
+// event.
 func events(from, to int, breaks bool) endpointScript {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", r.Header.Get("Id"))
--- a/internal/placement/pipe.go
+++ b/internal/placement/pipe.go
@@ -5,9 +5,10 @@
 const (
 	// initialLimit is the concurrency limit before any load has completed.
 	initialLimit = 2
-	// slowStartBelow is the limit below which it doubles after loads at full speed; from there on it grows by one. With
-	// it, a store that serves four loads of 6 s at once is fully used after 7 s instead of 13 s, which raises the
-	// served worth on the two sites of examples/experiment from 0.745 and 0.681 to 0.756 and 0.693.
+	// slowStartBelow is the limit below which the limit doubles after loads at full speed; from there on it grows by
+	// one. Compared with growth by one from the start, a store that serves four loads of 6 s at once is fully used
+	// after 7 s instead of 13 s, and the worth served on the two sites of examples/experiment rises from 0.745 and
+	// 0.681 to 0.756 and 0.693.
 	slowStartBelow = 3
 	// maxLimit is the upper bound of the limit.
 	maxLimit = 32
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -306,8 +306,8 @@
 	return list
 }
 
-// load sends the best free engine a command to load a model, from a source no slower than the given one. It reports
-// whether an engine was found.
+// load adds a command that loads a model on the best free engine, from a source no slower than the given one. Only an
+// urgent load evicts replicas that cost avoidEvictCost or more. It reports whether an engine was found.
 func (p *plan) load(model, reason string, slowest Source, urgent bool) bool {
 	var best *Engine
 	var bestUnload []string
@@ -362,6 +362,7 @@
 	return cost
 }
 
+// issue adds a command to the plan. Its engine is not free for another one.
 func (p *plan) issue(e *Engine, model string, unload []string, reason string) {
 	source := e.SourceOf(model)
 	if source == FromStore {
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -56,16 +56,18 @@
 	// model that requests wait for.
 	neverEvictCost = 1000.0
 	avoidEvictCost = 100.0
-	// drainCost is the typical time, in seconds, until the running streams of a surplus replica have ended. The load
-	// starts only then, which delayed one for a waiting request by 2.2 s where an idle model could have been evicted.
+	// drainCost is the typical time, in seconds, until the running streams of a surplus replica have ended. A load that
+	// replaces the replica starts only after that. Without this cost, a load for a waiting request started 2.2 s late
+	// although an idle model could have been evicted instead.
 	drainCost = 1.5
 )
 
 // evictionCost returns the cost of evicting a model's replica from an engine, in seconds of load time that requests are
 // expected to wait.
 //
-// A replica counts as surplus only if enough others are ready. Counting replicas still being loaded evicted the only
-// ready one with 31 requests running, and the engine was blocked until all of these had ended.
+// A replica counts as surplus only if enough others are ready. When replicas that were still being loaded counted as
+// well, the only ready one was evicted with 31 requests running, and its engine was blocked until all of these had
+// ended.
 func (p *plan) evictionCost(e *Engine, model string) float64 {
 	d := p.Demand[model]
 	surplus := p.ready[model] - max(1, p.targetReplicas(model, scaleOutShare))
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -18,7 +18,8 @@
 	halfLifeFactor      = 20
 	// maxSlowness bounds the slowness ratio of a single sample.
 	maxSlowness = 100.0
-	// referenceStep is the relative step by which a sample moves a reference towards the median.
+	// referenceStep is the relative step by which a sample moves a target's typical time to the first byte towards the
+	// median.
 	referenceStep = 0.05
 	// initialReference is the assumed time to the first byte before the first sample.
 	initialReference = 100 * time.Millisecond
@@ -71,9 +72,10 @@
 // first byte are therefore compared with its reports and with the times of the other endpoints, and its cost is
 // multiplied by the ratio.
 type healthTracker struct {
-	options    Options
-	random     *rand.Rand
-	endpoints  map[string]*health
+	options   Options
+	random    *rand.Rand
+	endpoints map[string]*health
+	// references holds the typical time to the first byte per target, without the expected queueing time.
 	references map[string]time.Duration
 	// typicalFirstByte is the reference over all targets.
 	typicalFirstByte time.Duration
--- a/internal/routing/policy_test.go
+++ b/internal/routing/policy_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// The parameters of a simulation of several entries that send requests to loaded engines. The engines report their load with
-// a delay, and one engine is slower than it reports.
+// The parameters of a simulation of several entries that send requests to loaded engines. The engines report their load
+// with a delay, and one engine is slower than it reports.
 const (
 	fleetEngines = 10
 	fleetServers = 4
--- a/internal/routing/retry_test.go
+++ b/internal/routing/retry_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestDecide(t *testing.T) {
-	broken := Attempt{Outcome: OutcomeUnknown}
+	unknown := Attempt{Outcome: OutcomeUnknown}
 	committed := Attempt{Outcome: OutcomeUnknown, Committed: true}
 	full := Attempt{Outcome: OutcomeRefused, Reason: wirepb.RefusalReason_QUEUE_FULL, RetryAfter: time.Second}
 	noMemory := Attempt{Outcome: OutcomeRefused, Reason: wirepb.RefusalReason_NO_MEMORY}
@@ -36,22 +36,22 @@
 	}{
 		{"served", request(nil), Attempt{Outcome: OutcomeServed}, VerdictDone, 0},
 		{"failed after bytes of the answer were forwarded", request(idempotent), Attempt{Outcome: OutcomeTruncated}, VerdictAbort, 0},
-		{"broken after the answer has begun", request(func(s *RequestState) { s.Idempotent, s.AnswerBegun = true, true }), broken, VerdictAbort, 0},
-		{"idempotent broken", request(idempotent), broken, VerdictRetry, 0},
-		{"idempotent broken, no untried candidate", request(func(s *RequestState) { s.Idempotent, s.HasUntried = true, false }), broken, VerdictUnknown, 0},
-		{"idempotent broken, no time left", request(func(s *RequestState) { s.Idempotent, s.Deadline = true, start }), broken, VerdictUnknown, 0},
-		{"idempotent broken, last attempt", request(func(s *RequestState) { s.Idempotent, s.Attempts = true, 2 }), broken, VerdictUnknown, 0},
-		{"idempotent broken, no budget", request(func(s *RequestState) { s.Idempotent, s.Budget = true, nil }), broken, VerdictUnknown, 0},
-		{"refused after a broken attempt", request(func(s *RequestState) { s.Idempotent, s.MayHaveRun, s.Attempts = true, true, 2 }), full, VerdictUnknown, 0},
-		{"refused after a broken attempt, attempts left", request(func(s *RequestState) { s.Idempotent, s.MayHaveRun, s.Attempts, s.HasUntried = true, true, 1, false }), full, VerdictRetry, time.Second},
-		{"refused without Retry-After, after a broken attempt", request(func(s *RequestState) { s.Idempotent, s.MayHaveRun, s.Attempts, s.HasUntried = true, true, 1, false }), noMemory, VerdictRetry, minRetryAfter},
-		{"refused after a broken attempt, no budget", request(func(s *RequestState) {
+		{"outcome unknown after the answer has begun", request(func(s *RequestState) { s.Idempotent, s.AnswerBegun = true, true }), unknown, VerdictAbort, 0},
+		{"idempotent, outcome unknown", request(idempotent), unknown, VerdictRetry, 0},
+		{"idempotent, outcome unknown, no untried candidate", request(func(s *RequestState) { s.Idempotent, s.HasUntried = true, false }), unknown, VerdictUnknown, 0},
+		{"idempotent, outcome unknown, no time left", request(func(s *RequestState) { s.Idempotent, s.Deadline = true, start }), unknown, VerdictUnknown, 0},
+		{"idempotent, outcome unknown, last attempt", request(func(s *RequestState) { s.Idempotent, s.Attempts = true, 2 }), unknown, VerdictUnknown, 0},
+		{"idempotent, outcome unknown, no budget", request(func(s *RequestState) { s.Idempotent, s.Budget = true, nil }), unknown, VerdictUnknown, 0},
+		{"refused after an attempt with an unknown outcome", request(func(s *RequestState) { s.Idempotent, s.MayHaveRun, s.Attempts = true, true, 2 }), full, VerdictUnknown, 0},
+		{"refused after an attempt with an unknown outcome, attempts left", request(func(s *RequestState) { s.Idempotent, s.MayHaveRun, s.Attempts, s.HasUntried = true, true, 1, false }), full, VerdictRetry, time.Second},
+		{"refused without Retry-After, after an attempt with an unknown outcome", request(func(s *RequestState) { s.Idempotent, s.MayHaveRun, s.Attempts, s.HasUntried = true, true, 1, false }), noMemory, VerdictRetry, minRetryAfter},
+		{"refused after an attempt with an unknown outcome, no budget", request(func(s *RequestState) {
 			s.Idempotent, s.MayHaveRun, s.Attempts, s.HasUntried, s.Budget = true, true, 1, false, nil
 		}), full, VerdictUnknown, 0},
 		{"two-step, refused after an attempt that may have run", request(func(s *RequestState) { s.MayHaveRun, s.Attempts, s.HasUntried = true, 1, false }), full, VerdictUnknown, 0},
-		{"two-step, broken before the commit", request(nil), broken, VerdictRetry, 0},
-		{"two-step, broken before the commit, no untried candidate", request(func(s *RequestState) { s.HasUntried = false }), broken, VerdictRefuse, 0},
-		{"two-step, broken after the commit", request(nil), committed, VerdictUnknown, 0},
+		{"two-step, failed before the commit", request(nil), unknown, VerdictRetry, 0},
+		{"two-step, failed before the commit, no untried candidate", request(func(s *RequestState) { s.HasUntried = false }), unknown, VerdictRefuse, 0},
+		{"two-step, outcome unknown after the commit", request(nil), committed, VerdictUnknown, 0},
 		{"two-step, confirmed not run after the commit", request(nil), Attempt{Outcome: OutcomeFailedNotRun, Committed: true}, VerdictRetry, 0},
 		{"queue full", request(nil), full, VerdictRetry, 0},
 		{"queue full, no budget", request(func(s *RequestState) { s.Budget = nil }), full, VerdictRefuse, 0},
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestPatienceFor(t *testing.T) {
+func TestStageTimeout(t *testing.T) {
 	cases := []struct {
 		name           string
 		stage          Stage
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,5 +1,5 @@
 // Package routing chooses the endpoint for each request at an entry, decides about retries and bounds them by a retry
-// budget.
+// budget. An entry is a process that accepts client requests; a gateway is one as well.
 package routing
 
 import (
