--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -44,13 +44,13 @@
 	// Ready is set when the target can run now; otherwise ReadyIn is the expected time until it can.
 	Ready   bool
 	ReadyIn time.Duration
-	// Service is the mean time of one request, Concurrency is how many requests run at once, and Running is how many
-	// run now.
+	// MeanServiceTime is the mean time from the start of a request to its end, Concurrency is how many requests run at
+	// once, and Running is how many run now.
 	MeanServiceTime time.Duration
 	Concurrency     int
 	Running         int
-	// First and Whole are conservative estimates of the time from the start of a request to its first token and to its
-	// end; 0 means Service.
+	// TimeToFirstToken and TotalTime are conservative estimates of the time from the start of a request to its first
+	// token and to its end; 0 means MeanServiceTime.
 	TimeToFirstToken, TotalTime time.Duration
 }
 
--- a/internal/admission/ordered.go
+++ b/internal/admission/ordered.go
@@ -21,12 +21,11 @@
 	return w.sequence < other.sequence
 }
 
-// treap is a set of waiters ordered by deadline. Each node stores the size of its subtree, so that a rank is found in
-// O(log n), and the minimum slack in it, so that a waiter that cannot meet its deadline at its rank is found in O(log
-// n).
+// treap is a set of waiters ordered by deadline. Each node stores the size of its subtree and the minimum slack in it.
+// With these, a rank and the first waiter that cannot meet its deadline at its rank are each found in O(log n).
 //
-// The slack of the waiter at rank r is deadline - r*spacing: the time by which the first waiter must be done for this
-// one to meet its deadline when one is done every spacing.
+// The slack of the waiter at rank r is deadline - r*spacing: if one waiter finishes every spacing, it is the latest
+// time at which the first one may finish for this one to meet its deadline.
 type treap struct {
 	root    *node
 	spacing time.Duration
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// runOrder sends one order and reports its result. The order is not cancelled when the agent stops: its answer would be
+// runOrder sends one order and reports its result. The order is not cancelled when the agent stops: its result would be
 // lost, and the next agent would have to wait until the order can no longer take effect.
 func (x *orderExecutor) runOrder(g loading.SendOrder) {
 	a := x.agent
@@ -136,7 +136,7 @@
 //
 // Each result carries the ID of the latest read requested when it began. After a long freeze the machine asks again
 // while a read is still in flight, and both are executed. Without the ID, the result of the second, which nothing waits
-// for, would be taken as the answer to the next request although it began earlier: a model whose load finished in
+// for, would be taken as the result of the next request although it began earlier: a model whose load finished in
 // between would count as absent, and its memory would be assigned twice.
 func (a *Agent) runEngineReads(ctx context.Context) {
 	x := a.core.executor.(*orderExecutor)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -75,7 +75,7 @@
 	TableRetryInterval time.Duration
 }
 
-// Dependencies are the collaborators of an Agent.
+// Dependencies are the components that an Agent uses.
 type Dependencies struct {
 	Engine     endpoint.Engine
 	Caller     endpoint.Caller
@@ -146,7 +146,7 @@
 		machine = loading.NewMachine(o.Loading, d.Policy)
 	}
 	a.core = newCore(d.Clock, admission.NewQueue(o.Queue), machine, d.Policy, o.Capacity)
-	a.core.longestHold = o.MaxBatchHold
+	a.core.maxBatchHold = o.MaxBatchHold
 	a.core.onChange = a.wakeWriters
 	return a
 }
@@ -206,8 +206,8 @@
 	tasks.Go(func() { a.runRowReads(ctx) })
 }
 
-// drainLinger is how long connections are kept open after the last answer was written. Closing a connection with unread
-// input, such as a heartbeat in transit, resets it, and the reset may discard the last bytes of the answer.
+// drainLinger is how long connections are kept open after the last response was written. Closing a connection with
+// unread input, such as a heartbeat in transit, resets it, and the reset may discard the last bytes of the response.
 const drainLinger = 500 * time.Millisecond
 
 // drain waits for the running requests to finish.
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -194,7 +194,7 @@
 		applied, gap := a.receiver.ApplyDelta(d)
 		changed = changed || applied
 		if err := a.receiver.Err(); err != nil {
-			a.logger.Error("adopting declarations from an entry failed", "error", err)
+			a.logger.Error("applying declarations from an entry failed", "error", err)
 		}
 		if gap {
 			s.enqueue(func(up *wirepb.ControlUp) { up.WantSnapshot = true })
@@ -313,8 +313,8 @@
 	return best
 }
 
-// requestPermit asks the issuer for a permit. If there is no issuer or no answer, the machine starts the load without a
-// permit after a timeout.
+// requestPermit asks the issuer for a permit. If there is no issuer or it does not answer, the machine starts the load
+// without a permit after a timeout.
 func (a *Agent) requestPermit(action loading.AskPermit) {
 	s := a.permitIssuer()
 	if s == nil {
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -51,8 +51,8 @@
 	executor actionExecutor
 	onChange func()
 	capacity int
-	// longestHold is the longest time a batch request is held so that one load serves several requests.
-	longestHold time.Duration
+	// maxBatchHold is the longest time a batch request is held so that one load serves several requests.
+	maxBatchHold time.Duration
 
 	mu      sync.Mutex
 	queue   *admission.Queue
--- a/internal/agent/core_property_test.go
+++ b/internal/agent/core_property_test.go
@@ -204,7 +204,7 @@
 			properties := gopter.NewProperties(parameters)
 			properties.Property("one outcome for each request, limits are kept, and nothing leaks", prop.ForAll(func(ops []coreOp) bool {
 				r := newCoreHarness(failProperty, c.queue)
-				r.core.longestHold = c.hold
+				r.core.maxBatchHold = c.hold
 				for _, op := range ops {
 					r.apply(op)
 					r.check()
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -235,7 +235,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newCoreHarness(t.Fatalf, admission.Options{})
-			r.core.longestHold = hold
+			r.core.maxBatchHold = hold
 			c.run(r)
 			r.check()
 			for id, want := range c.want {
--- a/internal/agent/execute.go
+++ b/internal/agent/execute.go
@@ -24,7 +24,7 @@
 // callResult is the outcome of a call.
 type callResult struct {
 	took serviceTime
-	// trailer is set if the whole answer was relayed.
+	// trailer is set if the whole response was relayed.
 	trailer *wirepb.Trailer
 	// err is the failure, if any, and reason its class. notExecuted is set when the endpoint certainly did not run the
 	// request.
@@ -71,7 +71,7 @@
 	}()
 }
 
-// execute makes the call and relays the answer except for its trailer.
+// execute makes the call and relays the response except for its trailer.
 func (x *exchange) execute(ctx context.Context) *callResult {
 	a := x.agent
 	request, err := x.endpointRequest(ctx)
@@ -98,12 +98,12 @@
 // errEngineBusy is returned when the engine is overloaded or has not loaded the requested model.
 var errEngineBusy = errors.New("agent: the engine refused")
 
-// engineRefused reports whether an engine refused to run a request, so that another replica may run it. Answers of
+// engineRefused reports whether an engine refused to run a request, so that another replica may run it. Responses of
 // plain services are always relayed, because their status codes may have any meaning.
 //
-// A restarted engine has lost its models, which the agent learns only with the next read of its state. Until then the
-// engine answers 404 for the model. If that were relayed, a caller would get "not found" for a model that is declared
-// and served.
+// A restarted engine has lost its models, which the agent detects only with the next read of its state. Until then the
+// engine responds with 404 for the model. If that were relayed, a caller would get "not found" for a model that is
+// declared and served.
 func (x *exchange) engineRefused(response *http.Response) bool {
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusNotFound:
@@ -154,7 +154,7 @@
 	}
 }
 
-// probe reports whether a plain service answers at its report path.
+// probe reports whether a plain service responds at its report path.
 func (a *Agent) probe(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, max(a.options.ProbeInterval, time.Second))
 	defer cancel()
--- a/internal/agent/grants.go
+++ b/internal/agent/grants.go
@@ -38,7 +38,7 @@
 //
 // The registration is a write, so the revision of the subsequent listing is higher than every revision that an earlier
 // agent of this endpoint can have read. Fencing tokens derived from it are therefore higher than all earlier ones. If
-// the answer to the write is lost, the listing may show a lower revision, so the whole read is repeated.
+// the response to the write is lost, the listing may show a lower revision, so the whole read is repeated.
 func (a *Agent) readRows(ctx context.Context) (loading.RowsRead, error) {
 	put := backing.Put{
 		Key:   registrationPrefix + a.options.Endpoint,
--- a/internal/agent/hold.go
+++ b/internal/agent/hold.go
@@ -26,10 +26,10 @@
 // whether it did. A held request is dispatched as soon as another request gets the model loaded.
 func (c *core) holdBatch(now time.Time, w *pendingRequest) bool {
 	t := w.request.Target
-	if c.isUsable(t) || c.longestHold == 0 {
+	if c.isUsable(t) || c.maxBatchHold == 0 {
 		return false
 	}
-	w.holdUntil = idle.HoldUntil(t.Model, now, w.request.Deadline, c.timeToReady(w), idle.HoldOptions{MaxHold: c.longestHold})
+	w.holdUntil = idle.HoldUntil(t.Model, now, w.request.Deadline, c.timeToReady(w), idle.HoldOptions{MaxHold: c.maxBatchHold})
 	if !w.holdUntil.After(now) {
 		return false
 	}
--- a/internal/agent/inflight.go
+++ b/internal/agent/inflight.go
@@ -2,8 +2,9 @@
 
 import "sync"
 
-// inflight counts operations in flight. Unlike a sync.WaitGroup it allows new entries while another goroutine waits: an
-// entry that has not yet received the agent's drain status still opens streams, which are then refused.
+// inflight counts operations in flight. Unlike a sync.WaitGroup it allows the count to rise from zero while another
+// goroutine waits: an entry that has not yet received the agent's drain status still opens streams, whose requests are
+// then refused.
 type inflight struct {
 	mu      sync.Mutex
 	n       int
--- a/internal/agent/load.go
+++ b/internal/agent/load.go
@@ -39,7 +39,7 @@
 	return max(0, at.Sub(c.clock.Now()))
 }
 
-// load returns the endpoint's load as sent in answers and reports.
+// load returns the endpoint's load as sent in final frames and reports.
 func (c *core) load(t admission.Target) *wirepb.Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -21,14 +21,14 @@
 	eventStream = "text/event-stream"
 	// streamEnd is the last event of a streamed chat completion.
 	streamEnd = "data: [DONE]"
-	// streamTailBytes is how much of the end of a streamed answer is kept to search for streamEnd.
+	// streamTailBytes is how much of the end of a streamed response is kept to search for streamEnd.
 	streamTailBytes = 64
 )
 
-// errNoStreamEnd is returned when a streamed answer ended without its last event.
-var errNoStreamEnd = errors.New("agent: streamed answer without its last event")
+// errNoStreamEnd is returned when a streamed response ended without its last event.
+var errNoStreamEnd = errors.New("agent: streamed response ended without its last event")
 
-// deadlineTimer cancels a call whose answer has not started or, if it is not streamed, not ended by the deadline.
+// deadlineTimer cancels a call whose response has not started or, if it is not streamed, not ended by the deadline.
 type deadlineTimer struct {
 	stopped chan struct{}
 	timer   clock.Timer
@@ -57,7 +57,7 @@
 	}
 }
 
-// relay copies one answer of the endpoint to the entry.
+// relay copies one response of the endpoint to the entry.
 type relay struct {
 	exchange *exchange
 	response *http.Response
@@ -81,7 +81,7 @@
 
 // run relays the head and the body.
 //
-// If the entry of a request that may run only once has disconnected, the rest of the answer is read and discarded.
+// If the entry of a request that may run only once has disconnected, the rest of the response is read and discarded.
 // Closing the body would cut the connection to the endpoint, which may still be processing the request, and abort it at
 // an unknown point.
 func (r *relay) run() error {
@@ -123,7 +123,7 @@
 	return x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Head{Head: head}})
 }
 
-// eventBufferBytes is the buffer size for a streamed answer. Its events are small, and the buffer is held for as long
+// eventBufferBytes is the buffer size for a streamed response. Its events are small, and the buffer is held for as long
 // as the stream is open.
 const eventBufferBytes = 2 << 10
 
@@ -148,7 +148,7 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(err, "agent: answer broke")
+			return errors.Wrap(err, "agent: cannot read the response body")
 		}
 	}
 }
@@ -172,7 +172,7 @@
 }
 
 // streamEndCheck verifies that a streamed chat completion ends with its last event: an engine that shuts down
-// gracefully in the middle of an answer ends the body without an error.
+// gracefully in the middle of a response ends the body without an error.
 type streamEndCheck struct {
 	enabled bool
 	tail    []byte
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -29,7 +29,7 @@
 	id, key string
 	offer   *wirepb.Offer
 	target  admission.Target
-	// deadline is when the answer must have started or, if it is not streamed, ended.
+	// deadline is when the response must have started or, if it is not streamed, ended.
 	deadline time.Time
 	began    time.Time
 	body     *bodyReader
@@ -265,7 +265,7 @@
 	_ = x.send(&wirepb.FromAgent{Frame: &wirepb.FromAgent_Refused{Refused: refused}})
 }
 
-// sendTrailer ends the exchange after a complete answer.
+// sendTrailer ends the exchange after a complete response.
 func (x *exchange) sendTrailer(r *callResult) {
 	x.record(timeline.RequestCompleted, "")
 	r.trailer.Load = x.agent.core.load(x.target)
--- a/internal/agent/shell_test.go
+++ b/internal/agent/shell_test.go
@@ -106,7 +106,7 @@
 	})
 }
 
-// A restarted engine has lost its models, and its agent learns this seconds later. Until then the engine's "not found"
+// A restarted engine has lost its models, and its agent detects this seconds later. Until then the engine's "not found"
 // must not be relayed to callers as the answer to their requests.
 func TestEngineThatHasNotLoadedTheModelRefuses(t *testing.T) {
 	model, service := admission.Target{Model: "m@1"}, admission.Target{Service: "ledger"}
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -7,8 +7,8 @@
 	"balsamsail/internal/loading"
 )
 
-// serviceTime is how long a request ran until its first answer bytes and until its end. A value of 0 means that it did
-// not get that far.
+// serviceTime is how long a request ran until the first bytes of its response and until its end. A value of 0 means
+// that it did not get that far.
 type serviceTime struct{ firstByte, total time.Duration }
 
 // finish removes a running request and dispatches waiting ones.
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -20,7 +20,7 @@
 type statusChange int
 
 const (
-	// changeNone means that nothing differs that the entry cannot compute itself.
+	// changeNone means that nothing differs except idle times, which the entry computes itself.
 	changeNone statusChange = iota
 	// changeLoad means that only the numbers of running or queued requests differ, or whether a replica is idle.
 	changeLoad
--- a/internal/atmostonce/exchange.go
+++ b/internal/atmostonce/exchange.go
@@ -57,11 +57,11 @@
 	twoStep bool
 	// committed is set when the commit was passed to the stream.
 	committed bool
-	// answerStarted is set when the response began, ended when the attempt ended, and settled when no action can
+	// responseStarted is set when the response began, ended when the attempt ended, and settled when no action can
 	// follow.
-	answerStarted bool
-	ended         bool
-	settled       bool
+	responseStarted bool
+	ended           bool
+	settled         bool
 }
 
 // NewExchange returns the state of an offer that is being sent.
@@ -87,7 +87,7 @@
 	case GotReady:
 		return x.ready()
 	case GotHead:
-		x.answerStarted = true
+		x.responseStarted = true
 	case GotTrailer:
 		return x.finish(EndServed, SettleServed)
 	case GotRefused, GotFailedNotRun:
@@ -118,7 +118,7 @@
 
 // refused ends the attempt as not run. A refusal after the response began cannot be true and is treated as a failure.
 func (x *Exchange) refused() []ExchangeAction {
-	if x.answerStarted {
+	if x.responseStarted {
 		return x.failed()
 	}
 	return x.finish(EndNotRun, SettleNotRun)
@@ -158,7 +158,7 @@
 }
 
 func (x *Exchange) unknownEnd() ExchangeAction {
-	if x.answerStarted {
+	if x.responseStarted {
 		return EndTruncated
 	}
 	return EndUnknown
--- a/internal/atmostonce/execution.go
+++ b/internal/atmostonce/execution.go
@@ -29,7 +29,7 @@
 
 // The actions of an execution.
 const (
-	// SendReady tells the entry that the agent is ready and waits for the commit.
+	// SendReady notifies the entry that the agent is ready and waits for the commit.
 	SendReady ExecutionAction = iota
 	// StartCall sends the request to the endpoint. It is returned at most once.
 	StartCall
@@ -39,11 +39,11 @@
 	LeaveQueue
 	// ReleaseAdmission releases the admission of a ready or running request.
 	ReleaseAdmission
-	// SendRefused tells the entry that the request did not run.
+	// SendRefused reports to the entry that the request did not run.
 	SendRefused
 	// SendTrailer ends the response.
 	SendTrailer
-	// SendFailedNotRun and SendFailedUnknown tell the entry that the endpoint call failed.
+	// SendFailedNotRun and SendFailedUnknown report to the entry that the endpoint call failed.
 	SendFailedNotRun
 	SendFailedUnknown
 )
--- a/internal/declarations/edit.go
+++ b/internal/declarations/edit.go
@@ -155,9 +155,9 @@
 	OperationUnknown OperationState = "unknown"
 )
 
-// Operation looks up an edit by its identifier and returns its state and, if it was made, its revision. BasedOn is the
-// revision that the edit was based on, or 0 if unknown; without it, an edit that was never made can't be distinguished
-// from one that is still in flight. The error wraps ErrUnavailable if the table can't be read.
+// Operation looks up an edit by its identifier and returns its state and, if it was committed, its revision. basedOn is
+// the revision that the edit was based on, or 0 if unknown; without it, an edit that was never committed cannot be
+// distinguished from one that is still in flight. The error wraps ErrUnavailable if the table cannot be read.
 func (s *Store) Operation(ctx context.Context, id string, basedOn uint64) (OperationState, uint64, error) {
 	view, err := s.refresh(ctx)
 	if err != nil {
--- a/internal/declarations/edit_test.go
+++ b/internal/declarations/edit_test.go
@@ -35,7 +35,7 @@
 			t.Errorf("in force after %v", took)
 		}
 		if _, ok := reader.Current().Engine("e"); !ok || !reader.Ready() || !reader.OutageSince().IsZero() {
-			t.Error("the reader lacks the edit or isn't ready")
+			t.Error("the reader lacks the edit or is not ready")
 		}
 		deltas, ok := reader.DeltasSince(0)
 		if !ok || len(deltas) != 1 || deltas[0].GetOperationId() != "op" {
--- a/internal/declarations/errors.go
+++ b/internal/declarations/errors.go
@@ -42,7 +42,7 @@
 }
 
 // OutcomeUnknownError reports that the deadline passed while a write whose response was lost could still commit. It
-// wraps ErrOutcomeUnknown. Store.Operation reports later whether the edit was made.
+// wraps ErrOutcomeUnknown. Store.Operation reports later whether the edit was committed.
 type OutcomeUnknownError struct {
 	OperationID string
 	// BasedOn is the revision that the write is conditional on.
--- a/internal/declarations/holder.go
+++ b/internal/declarations/holder.go
@@ -105,8 +105,7 @@
 	h.changed = make(chan struct{})
 }
 
-// since returns the deltas after a revision up to the current one; false if the history does not hold all of
-// them.
+// since returns the deltas after a revision up to the current one; false if the history does not hold all of them.
 func (h *holder) since(revision uint64) ([]*pb.Delta, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/declarations/race_test.go
+++ b/internal/declarations/race_test.go
@@ -308,7 +308,7 @@
 	}
 	t.Logf("%d seeds: %d edits made, %d lost to another, %d unknown", raceSeeds, made, conflicts, unknown)
 	if made == 0 || conflicts == 0 || unknown == 0 {
-		t.Error("the seeds don't cover every outcome")
+		t.Error("the seeds do not cover every outcome")
 	}
 }
 
@@ -370,7 +370,7 @@
 		wrap func(*editor) stateMachine
 	}{
 		{"a lost response counts as a failure", func(e *editor) stateMachine { return treatsLostAsFailed{e} }},
-		{"the log isn't searched for the operation", func(e *editor) stateMachine { return skipsReadBack{e} }},
+		{"the log is not searched for the operation", func(e *editor) stateMachine { return skipsReadBack{e} }},
 		{"one read decides that a write is lost", func(e *editor) stateMachine { return trustsOneRead{e} }},
 	}
 	for _, c := range cases {
--- a/internal/declarations/receiver_test.go
+++ b/internal/declarations/receiver_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// An agent of an older build gets a selector in a syntax that it can't parse. It must keep its current set and report
+// An agent of an older build gets a selector in a syntax that it cannot parse. It must keep its current set and report
 // the error, not apply part of a revision.
 func TestReceiverKeepsItsSetWhenItCannotRead(t *testing.T) {
 	receiver := NewReceiver()
--- a/internal/declarations/table.go
+++ b/internal/declarations/table.go
@@ -25,7 +25,7 @@
 
 func objectKey(key *pb.ObjectKey) string { return objectPrefix + key.GetKind() + "/" + key.GetName() }
 
-// ErrMalformedRow reports that a row of the table can't be decoded.
+// ErrMalformedRow reports that a row of the table cannot be decoded.
 var ErrMalformedRow = errors.New("declarations: malformed row")
 
 func decodeRow(row backing.Row, message proto.Message) error {
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -102,8 +102,8 @@
 	a.w.WriteHeader(int(a.head.Status))
 }
 
-// stallTimeout bounds each write to a caller that has stopped reading. Without it such a caller would hold a place at
-// the engine for up to MaxResponseDuration.
+// stallTimeout bounds each write to a caller that has stopped reading. Without it such a caller would occupy part of
+// the engine's concurrency for up to MaxResponseDuration.
 const stallTimeout = 30 * time.Second
 
 // send writes data to the caller, after any held bytes.
@@ -159,8 +159,8 @@
 	"Upgrade":             true,
 }
 
-// claimAnswer returns the response as a claim records it; the body is included only when all of it was held back.
-func (a *response) claimAnswer() atmostonce.Response {
+// recordedResponse returns the response to record in a claim; Dropped is set unless its whole body was held back.
+func (a *response) recordedResponse() atmostonce.Response {
 	if a.head == nil {
 		return atmostonce.Response{}
 	}
--- a/internal/entry/behind.go
+++ b/internal/entry/behind.go
@@ -16,8 +16,8 @@
 // revisionLag decides when to request the declarations from an agent.
 //
 // It covers a table outage right after another entry had an edit accepted, or this entry losing its connection to the
-// table. The agents have the new revision from the other entry and the operator was told that it is accepted, but this
-// entry would use the older one until the outage ends. Agents hold only accepted revisions, so a revision that an agent
+// table. The agents have the new revision from the other entry and the operator got a confirmation, but this entry
+// would use the older one until the outage ends. Agents hold only accepted revisions, so a revision that an agent
 // reports may be adopted. Normally the table shows the revision within one poll; waiting for that first prevents every
 // entry from requesting a whole snapshot after every edit.
 type revisionLag struct {
--- a/internal/entry/callers_test.go
+++ b/internal/entry/callers_test.go
@@ -193,9 +193,9 @@
 	}
 }
 
-// A caller reads a long response slowly. A caller that stops reading is disconnected after stallTimeout, so that it does
-// not hold its place at the endpoint for up to MaxResponseDuration; one that reads on must get the complete response,
-// however late, and other callers must not be delayed.
+// A caller reads a long response slowly. A caller that stops reading is disconnected after stallTimeout, so that it
+// does not hold its place at the endpoint for up to MaxResponseDuration; one that reads on must get the complete
+// response, however late, and other callers must not be delayed.
 func TestSlowReader(t *testing.T) {
 	s := newSite(t, siteOptions{agents: 1})
 	const parts = 2000
--- a/internal/entry/claimed.go
+++ b/internal/entry/claimed.go
@@ -42,8 +42,8 @@
 		Service: rq.target.Service,
 		Key:     key,
 		Owner:   rq.id,
-		// Callers are not distinguished: credentials may change between two tries, and the same key would then count as
-		// a new one and let the request run twice.
+		// Caller is left empty: a caller's credentials may change between two attempts, and the same key would then
+		// count as a new one and let the request run twice.
 		Fingerprint: fingerprint(rq),
 		Deadline:    rq.deadline,
 	})
@@ -119,7 +119,7 @@
 	if ended.execution == executionServed {
 		state = atmostonce.ClaimDone
 	}
-	recorded := out.claimAnswer()
+	recorded := out.recordedResponse()
 	e.settling.Go(func() { e.finishClaim(rq, held, ended.execution == executionNotRun, state, recorded) })
 }
 
--- a/internal/entry/coordinator.go
+++ b/internal/entry/coordinator.go
@@ -161,8 +161,9 @@
 	e.changes.broadcast()
 }
 
-// notifyLeaving tells an agent that its host is leaving, until the agent reports it. A host list that arrived between
-// the agent's connection and its first report was not sent to it, and the list is not sent again unless it changes.
+// notifyLeaving notifies an agent that its host is leaving, until the agent reports it. A host list that arrived
+// between the agent's connection and its first report was not sent to it, and the list is not sent again unless it
+// changes.
 func (c *coordinator) notifyLeaving(endpoint string, ep *membership.Endpoint) {
 	if ep.Listed == backing.HostLeaving && !ep.Status.GetLeaving() {
 		c.entry.members.Send(endpoint, &wirepb.ControlDown{HostState: wirepb.HostState_HOST_LEAVING})
@@ -234,7 +235,7 @@
 	}
 }
 
-// requestSlot tells the grants manager that a request found no engine for its model.
+// requestSlot reports to the grants manager that a request found no engine for its model.
 func (c *coordinator) requestSlot(model string, reason wirepb.RefusalReason) {
 	c.entry.grants.RequestSlot("", model, reason, 1)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -128,8 +128,8 @@
 }
 
 // hasNewestRevision reports whether an entry that cannot read the table holds the highest declarations revision among
-// the connected agents. A disconnected agent may hold a higher revision; the entry learns it when that agent connects,
-// and never returns to a lower one.
+// the connected agents. A disconnected agent may hold a higher revision; the entry receives it when that agent
+// connects, and never returns to a lower one.
 func (e *Entry) hasNewestRevision() bool {
 	revision := e.store.Current().Revision()
 	if revision == 0 {
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -19,7 +19,7 @@
 	// abort is set when the caller's connection must be aborted, because the caller has left or a part of the response
 	// was sent.
 	abort bool
-	// execution is whether the request is known to have run, whatever the caller was told. pending is set when the
+	// execution is whether the request is known to have run, whatever response the caller got. pending is set when the
 	// request was committed and its definite result is still to come.
 	execution execution
 	pending   <-chan execution
--- a/internal/entry/inputs_test.go
+++ b/internal/entry/inputs_test.go
@@ -11,7 +11,7 @@
 // An agent is restarted while its engine keeps running. The agent reports that it is leaving, so that it gets no new
 // work. If the grants treated that as the host leaving, they would release its slots, and after the restart its models
 // would be unserved until no order of the old agent could still be in flight: minutes, for an engine that ignores
-// fencing numbers. Only the host list may make an engine lose its slots.
+// fencing tokens. Only the host list may make an engine lose its slots.
 func TestRestartOfAnAgentKeepsItsSlots(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -65,14 +65,14 @@
 	resultServed  = "served"
 	resultNotRun  = "not_run"
 	resultUnknown = "outcome_unknown"
-	resultCut     = "cut"
+	resultAborted = "cut"
 )
 
 func (m *metrics) observeRequest(rq *request, res result, took time.Duration) {
 	label := resultServed
 	switch {
 	case res.abort:
-		label = resultCut
+		label = resultAborted
 	case res.err != nil && res.err.outcome == OutcomeNotRun:
 		label = resultNotRun
 	case res.err != nil:
--- a/internal/loading/barrier.go
+++ b/internal/loading/barrier.go
@@ -1,8 +1,9 @@
 package loading
 
-// barrier sends the first order to an engine that checks fencing numbers: the unload of a model version that the engine
+// barrier sends the first order to an engine that checks fencing tokens: the unload of a model version that the engine
 // does not hold. Once it is carried out, no order of a previous agent can still take effect, and a read shows all those
-// that did. Otherwise such a load could arrive between this agent's first loads and overcommit the engine's memory.
+// that did. Without it, a load ordered by a previous agent could take effect among this agent's first loads and
+// overcommit the engine's memory.
 func (m *Machine) barrier() {
 	if !m.options.ChecksFencing || m.engine.predecessorsDone || m.ineffective(&m.predecessor, m.now, m.step) {
 		return
--- a/internal/loading/compare.go
+++ b/internal/loading/compare.go
@@ -71,9 +71,9 @@
 func isLoad(o *order) bool   { return o.isLoad() }
 func isUnload(o *order) bool { return !o.isLoad() }
 
-// mayTakeEffect reports whether an unresolved order of a kind could still take effect after the read began. The engine
-// does not list adapters while it loads them; a higher fencing number only stops orders that have not arrived, so it
-// proves nothing for adapters.
+// mayTakeEffect reports whether an unresolved order of a kind could still take effect after the read began. For
+// adapters only the lifetime of the order counts: a higher fencing token only stops orders that have not arrived yet,
+// and the engine does not list an adapter while it loads it.
 func (m *Machine) mayTakeEffect(h *holding, kind func(*order) bool) bool {
 	return slices.ContainsFunc(h.unresolved, func(o *order) bool {
 		if !kind(o) {
--- a/internal/loading/demand_test.go
+++ b/internal/loading/demand_test.go
@@ -59,10 +59,10 @@
 				line{event: demandOf("a", "x@1", "", time.Hour), want: "load x@1"},
 				line{event: orderResult{order: "load x@1", err: endpoint.ErrLoadFailed}, want: "refuse x@1 LOAD_FAILED; want x@1 LOAD_FAILED"},
 				line{event: demandOf("b", "x@1", "", time.Hour), want: "refuse b x@1 LOAD_FAILED; want x@1 LOAD_FAILED"},
-				line{after: minBackOff - 1, event: demandOf("c", "x@1", "", time.Hour), want: "refuse c x@1 LOAD_FAILED; want x@1 LOAD_FAILED"},
-				line{after: minBackOff + 1, event: demandOf("d", "x@1", "", time.Hour), want: "load x@1"},
+				line{after: minBackoff - 1, event: demandOf("c", "x@1", "", time.Hour), want: "refuse c x@1 LOAD_FAILED; want x@1 LOAD_FAILED"},
+				line{after: minBackoff + 1, event: demandOf("d", "x@1", "", time.Hour), want: "load x@1"},
 				line{event: orderResult{order: "load x@1", err: endpoint.ErrLoadFailed}, want: "*"},
-				line{after: 2 * minBackOff, event: demandOf("e", "x@1", "", time.Hour), want: "refuse e x@1 LOAD_FAILED; want x@1 LOAD_FAILED"},
+				line{after: 2 * minBackoff, event: demandOf("e", "x@1", "", time.Hour), want: "refuse e x@1 LOAD_FAILED; want x@1 LOAD_FAILED"},
 			),
 		},
 		{
--- a/internal/loading/doc.go
+++ b/internal/loading/doc.go
@@ -17,13 +17,13 @@
 //
 // An order whose outcome is unknown may take effect until Options.OrderLifetime has passed since it was abandoned. For
 // orders of previous agents the time counts from the start of this agent, because no earlier agent runs after that. If
-// the engine rejects stale fencing numbers, an order also becomes ineffective once the engine has carried out one with
-// a higher number: from then on the machine reuses its memory and may order the same model again. But an engine that
-// restarts may lose the numbers it has seen and accept an order that it would have rejected. The machine counts such
+// the engine rejects stale fencing tokens, an order also becomes ineffective once the engine has carried out one with a
+// higher token: from then on the machine reuses its memory and may order the same model again. But an engine that
+// restarts may lose the tokens it has seen and accept an order that it would have rejected. The machine counts such
 // orders again as soon as it detects a restart. A confirmed release cannot be undone, so it never relies on fencing
-// numbers.
+// tokens.
 //
-// One window remains if the engine checks fencing numbers but loses them on restart: between the restart and the read
+// One window remains if the engine checks fencing tokens but loses them on restart: between the restart and the read
 // that detects it, an order that had reached neither process can still take memory that the ledger has already reused.
 // This requires an order that outlives the process it was sent to and arrives within its lifetime.
 //
--- a/internal/loading/engine.go
+++ b/internal/loading/engine.go
@@ -145,7 +145,7 @@
 }
 
 // engineRestarted discards the state of the previous incarnation. Orders that were in flight stay: they may reach the
-// new process, which may have lost the fencing numbers.
+// new process, which may have lost the fencing tokens.
 func (m *Machine) engineRestarted() {
 	m.accepted = accepted{}
 	m.engine.predecessorsDone = false
@@ -178,8 +178,8 @@
 	}
 }
 
-// restoreUnresolved reserves memory again for loads of unknown outcome. They had been ruled out by a fencing number
-// that the restarted engine may have lost.
+// restoreUnresolved reserves memory again for loads of unknown outcome. They had been ruled out by a fencing token that
+// the restarted engine may have lost.
 func (m *Machine) restoreUnresolved(h *holding) {
 	m.setUnknown(h)
 	for _, o := range h.unresolved {
--- a/internal/loading/events.go
+++ b/internal/loading/events.go
@@ -46,7 +46,7 @@
 // agent confirmed.
 //
 // Before the first read the agent must write a row of its own to the table, so that Revision is above every revision
-// that a previous agent has seen: the fencing numbers of orders are derived from it.
+// that a previous agent has seen: the fencing tokens of orders are derived from it.
 type RowsRead struct {
 	Rows     []*replicaspb.Row
 	Revision uint64
@@ -192,7 +192,7 @@
 	Host string
 	// MemoryBytes is the engine memory that the ledger may allocate.
 	MemoryBytes int64
-	// ChecksFencing is set if the engine rejects orders with a stale fencing number.
+	// ChecksFencing is set if the engine rejects orders with a stale fencing token.
 	ChecksFencing bool
 	// OrderLifetime is the longest time for which an order may still take effect after it was abandoned or its sender
 	// died. For a model load that means the start of the load, which the engine's state shows; for an adapter load, its
--- a/internal/loading/fence.go
+++ b/internal/loading/fence.go
@@ -1,13 +1,13 @@
 package loading
 
-// fenceCounterBits is the number of bits of a fencing number that count the orders at one table revision.
+// fenceCounterBits is the number of bits of a fencing token that count the orders at one table revision.
 const fenceCounterBits = 24
 
-// fenceSource generates fencing numbers that increase strictly, also across successive agents of an engine.
+// fenceSource generates fencing tokens that increase strictly, also across successive agents of an engine.
 //
 // The upper bits are the highest known table revision. Each agent writes to the table before its first read, so its
-// initial revision is above all that previous agents have seen, and no order of a previous agent has a number as high
-// as the first of this agent.
+// initial revision is above all that previous agents have seen, and no order of a previous agent has a token as high as
+// the first of this agent.
 type fenceSource struct {
 	revision uint64
 	last     uint64
@@ -16,10 +16,10 @@
 // observeRevision records a table revision.
 func (f *fenceSource) observeRevision(revision uint64) { f.revision = max(f.revision, revision) }
 
-// observeFence records a number that the engine has seen; the next one will be higher.
+// observeFence records a token that the engine has seen; the next one will be higher.
 func (f *fenceSource) observeFence(fence uint64) { f.last = max(f.last, fence) }
 
-// next returns the next number, or false if the numbers of the highest known revision are used up.
+// next returns the next token, or false if the tokens of the highest known revision are used up.
 func (f *fenceSource) next() (uint64, bool) {
 	fence := max(f.last+1, f.revision<<fenceCounterBits)
 	if fence == 0 || fence>>fenceCounterBits > f.revision {
@@ -28,18 +28,18 @@
 	return fence, true
 }
 
-// take returns the next number and advances the sequence.
+// take returns the next token and advances the sequence.
 func (f *fenceSource) take() uint64 {
 	fence, ok := f.next()
 	if !ok {
-		panic("loading: an order without a fencing number")
+		panic("loading: an order without a fencing token")
 	}
 	f.last = fence
 	return fence
 }
 
-// accepted is the highest fencing number that the engine's current incarnation is known to have accepted. If the engine
-// checks fencing numbers, it rejects later arrivals with lower ones.
+// accepted is the highest fencing token that the engine's current incarnation is known to have accepted. If the engine
+// checks fencing tokens, it rejects later arrivals with lower ones.
 type accepted struct {
 	fence uint64
 	// step is the step in which the machine received the result.
--- a/internal/loading/holding.go
+++ b/internal/loading/holding.go
@@ -71,7 +71,7 @@
 	running   int
 	waiting   int
 	idleSince time.Time
-	// wantedUntil keeps a load wanted, and its result in memory, for callers that were told when to retry.
+	// wantedUntil keeps a load wanted, and its result in memory, for callers that were given a retry delay.
 	wantedUntil time.Time
 
 	failures int
--- a/internal/loading/idle/histogram.go
+++ b/internal/loading/idle/histogram.go
@@ -65,7 +65,8 @@
 type hazards [bucketCount]float64
 
 // defaultHazards returns the prior used without any observations: on a logarithmic scale the likelihood falls linearly
-// from the shortest to the longest bucket. A flat likelihood unloaded models too early that had few long gaps so far.
+// from the shortest to the longest bucket. With a flat likelihood, models with few long gaps so far were unloaded too
+// early.
 func defaultHazards() hazards {
 	var hz hazards
 	for i := range hz {
--- a/internal/loading/idle/policy.go
+++ b/internal/loading/idle/policy.go
@@ -62,7 +62,7 @@
 	last time.Time
 }
 
-// Policy learns the gaps between requests of each model version. It is a state machine without clock or I/O and is not
+// Policy records the gaps between requests of each model version. It is a state machine without clock or I/O and is not
 // safe for concurrent use.
 type Policy struct {
 	opts   Options
--- a/internal/loading/ledger_test.go
+++ b/internal/loading/ledger_test.go
@@ -110,7 +110,7 @@
 		},
 		{
 			// The engine is loading xc, which it does not list yet, and carries out a later order meanwhile.
-			name:    "a higher fencing number proves nothing about an adapter that is being loaded",
+			name:    "a higher fencing token proves nothing about an adapter that is being loaded",
 			options: func(o *Options) { o.ChecksFencing = true },
 			lines: lines(started("x@1"), loadFirst("x@1"),
 				line{event: demandOf("c", "x@1", "xc", time.Hour), want: "load_adapter x@1 xc"},
@@ -250,7 +250,7 @@
 		},
 		{
 			// x was abandoned as a load that the engine would reject as stale; after the restart it would accept it.
-			name: "a fencing number that the new process has lost frees no memory",
+			name: "a fencing token that the new process has lost frees no memory",
 			options: func(o *Options) {
 				o.ChecksFencing, o.StateInterval = true, time.Second
 			},
--- a/internal/loading/order.go
+++ b/internal/loading/order.go
@@ -77,9 +77,9 @@
 func (m *Machine) expiresAt(o *order) time.Time { return o.endedAt.Add(m.options.OrderLifetime) }
 
 // ineffective reports whether an order of unknown outcome could no longer take effect after a read that began at the
-// given time and step: its lifetime had ended, or the engine had accepted an order with a higher fencing number.
+// given time and step: its lifetime had ended, or the engine had accepted an order with a higher fencing token.
 //
-// An engine may lose the fencing numbers on restart, so the result can revert to false. Irreversible decisions must use
+// An engine may lose the fencing tokens on restart, so the result can revert to false. Irreversible decisions must use
 // expired.
 func (m *Machine) ineffective(o *order, at time.Time, step uint64) bool {
 	if m.expired(o, at) {
--- a/internal/loading/orders.go
+++ b/internal/loading/orders.go
@@ -10,12 +10,12 @@
 // orderRetry is the delay before a failed barrier order, or an unload without effect, is tried again.
 const orderRetry = time.Second
 
-// canOrder reports whether orders may be sent, and requests a read of the table if the fencing numbers of the current
+// canOrder reports whether orders may be sent, and requests a read of the table if the fencing tokens of the current
 // revision are used up.
 //
-// If the engine ignores fencing numbers, an order that a previous agent left in flight may arrive until its lifetime
+// If the engine ignores fencing tokens, an order that a previous agent left in flight may arrive until its lifetime
 // ends, regardless of later orders, so nothing is ordered before that. Without a read of the table there is no fencing
-// number above all those of previous agents.
+// token above all those of previous agents.
 func (m *Machine) canOrder() bool {
 	if !m.slots.read || !m.engine.known || m.engine.failedReads > 0 {
 		return false
--- a/internal/loading/permits/account.go
+++ b/internal/loading/permits/account.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// loadEnded decrements the reported count after a permit has loadEnded.
+// loadEnded decrements the reported count after the load of a permit has ended.
 func (a *account) loadEnded(k kind) {
 	a.reported[k] = max(0, a.reported[k]-1)
 }
--- a/internal/loading/permits/budget.go
+++ b/internal/loading/permits/budget.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// Request handles a permit request. The next Decide answers it with a permit or a retry delay; a request that was told
-// to retry keeps its place in the queue meanwhile and may get its permit earlier. Repeating a request with the same id
-// is idempotent and updates the slack.
+// Request handles a permit request. The next Decide answers it with a permit or a retry delay; a request that got a
+// retry delay keeps its place in the queue meanwhile and may get its permit earlier. Repeating a request with the same
+// id is idempotent and updates the slack.
 func (b *Budget) Request(now time.Time, agent string, req *wirepb.PermitRequest) {
 	key := requestKey{agent, req.GetId()}
 	if b.repeatGrant(now, key) {
--- a/internal/loading/permits/options.go
+++ b/internal/loading/permits/options.go
@@ -1,9 +1,9 @@
 // Package permits shares the weight store's load budget among the agents that load from it.
 //
-// One entry, chosen by rendezvous hashing, is the issuer: it holds a Budget and grants the permits. The Budget is
-// soft state in memory only, and a new issuer rebuilds it from the agents' reports. An inaccurate Budget, or two
-// issuers at once, may put more loads in flight than the store serves at full speed, which slows loads down but is
-// safe: no correctness property depends on permits.
+// One entry, chosen by rendezvous hashing, is the issuer: it holds a Budget and grants the permits. The Budget is soft
+// state in memory only, and a new issuer rebuilds it from the agents' reports. An inaccurate Budget, or two issuers at
+// once, may put more loads in flight than the store serves at full speed, which slows loads down but is safe: no
+// correctness property depends on permits.
 package permits
 
 import "time"
--- a/internal/loading/permits/store_test.go
+++ b/internal/loading/permits/store_test.go
@@ -25,7 +25,7 @@
 	interactive      bool
 	// work is the duration of the load at full speed; arrives is when it is requested and slack how long it may wait.
 	work, arrives, slack time.Duration
-	// jitter randomizes the agents' patience.
+	// jitter randomizes the agents' permit timeout.
 	jitter float64
 
 	nextAsk   time.Duration
@@ -48,10 +48,10 @@
 	issuers issuers
 	// changeAt is when the issuer changes; zero for never. Waiting agents contact the new one a heartbeat later.
 	changeAt time.Duration
-	// patience is how long an agent waits for a permit before it starts without one, with a jitter of up to the same
-	// length; zero means forever. If extend is set, each answer of an issuer restarts the wait.
-	patience time.Duration
-	extend   bool
+	// permitTimeout is how long an agent waits for a permit before it starts without one, with a jitter of up to the
+	// same length; zero means forever. If extend is set, each answer of an issuer restarts the wait.
+	permitTimeout time.Duration
+	extend        bool
 
 	now         time.Duration
 	lastStart   time.Duration
@@ -87,10 +87,10 @@
 
 // givesUp returns when an agent starts without a permit if it gets no further answer.
 func (s *store) givesUp(l *modelLoad, from time.Duration) time.Duration {
-	if s.patience == 0 {
+	if s.permitTimeout == 0 {
 		return math.MaxInt64
 	}
-	return from + s.patience + time.Duration(l.jitter*float64(s.patience))
+	return from + s.permitTimeout + time.Duration(l.jitter*float64(s.permitTimeout))
 }
 
 func (s *store) allReady() bool {
--- a/internal/loading/permits/storm_test.go
+++ b/internal/loading/permits/storm_test.go
@@ -88,14 +88,14 @@
 			without := play(s(noIssuer, 0))
 			with := play(s(singleIssuer(d.options), 0))
 			two := play(s(splitIssuers(d.options), 0))
-			patience := func(extend bool) outcome {
+			runWithTimeout := func(extend bool) outcome {
 				st := s(singleIssuer(d.options), 0)
-				st.patience, st.extend = 5*time.Second, extend
+				st.permitTimeout, st.extend = 5*time.Second, extend
 				return play(st)
 			}
-			impatient, extended := patience(false), patience(true)
-			impatient.log(t, d.name+" patience 5 s")
-			extended.log(t, d.name+" patience 5 s from each answer")
+			notExtended, extended := runWithTimeout(false), runWithTimeout(true)
+			notExtended.log(t, d.name+" permit timeout 5 s")
+			extended.log(t, d.name+" permit timeout 5 s from each answer")
 			change := play(s(replacedIssuer(d.options, 5*time.Second), 5*time.Second))
 			without.log(t, d.name+" no permits")
 			with.log(t, d.name+" permits")
--- a/internal/loading/plan.go
+++ b/internal/loading/plan.go
@@ -131,7 +131,7 @@
 	if r := h.replica; m.warm(r) && !h.isAdapter() {
 		m.emit(WantSlot{Model: r.model, Reason: refusalNoMemory.reason})
 		r.noRoomCount++
-		r.warmRetryAt = m.now.Add(m.backOffTime(r.noRoomCount))
+		r.warmRetryAt = m.now.Add(m.backoffDelay(r.noRoomCount))
 		m.wakeAt(r, r.warmRetryAt)
 	}
 }
@@ -168,18 +168,18 @@
 }
 
 const (
-	minBackOff = time.Second
-	maxBackOff = 2 * time.Minute
+	minBackoff = time.Second
+	maxBackoff = 2 * time.Minute
 )
 
 // backOff sets the time of the next load attempt.
 func (m *Machine) backOff(h *holding) {
-	h.retryAt = m.now.Add(m.backOffTime(h.failures))
+	h.retryAt = m.now.Add(m.backoffDelay(h.failures))
 	m.wakeAt(h.replica, h.retryAt)
 }
 
-// backOffTime returns an exponential backoff with jitter, so that engines do not retry in lockstep.
-func (m *Machine) backOffTime(failures int) time.Duration {
-	wait := min(float64(minBackOff)*math.Pow(2, float64(failures)), float64(maxBackOff))
+// backoffDelay returns an exponential backoff with jitter, so that engines do not retry in lockstep.
+func (m *Machine) backoffDelay(failures int) time.Duration {
+	wait := min(float64(minBackoff)*math.Pow(2, float64(failures)), float64(maxBackoff))
 	return time.Duration(wait * (0.5 + 0.5*m.random.Float64()))
 }
--- a/internal/loading/property_test.go
+++ b/internal/loading/property_test.go
@@ -48,7 +48,7 @@
 	case n < 98 && w.random.IntN(3) == 0:
 		w.logf("engine restarts")
 		w.engine.restart()
-		// The restart aborts running requests; the agent learns of it later.
+		// The restart aborts running requests; the agent detects it later.
 		for _, id := range sortedKeys(w.running) {
 			w.pending = append(w.pending, Finished{Request: id})
 		}
@@ -319,7 +319,7 @@
 
 // TestPropertyNoInterleavingBreaksTheRules runs thousands of random interleavings in which orders arrive late and out
 // of order, answers are lost, engines restart and agents are replaced. After each step the engine must hold nothing
-// without a slot, its memory must not be overcommitted, fencing numbers must have increased, no model version may have
+// without a slot, its memory must not be overcommitted, fencing tokens must have increased, no model version may have
 // two orders in flight, no request may be aborted by an unload, and no waiting request may be past its deadline without
 // an answer.
 func TestPropertyNoInterleavingBreaksTheRules(t *testing.T) {
--- a/internal/loading/refusal.go
+++ b/internal/loading/refusal.go
@@ -30,7 +30,8 @@
 const (
 	// defaultRetryAfter is the retry delay if the time of readiness is unknown.
 	defaultRetryAfter = time.Second
-	// returnGrace is how long after the expected end of a load the machine waits for callers that were told to retry.
+	// returnGrace is how long after the expected end of a load the machine waits for callers that were given a retry
+	// delay.
 	returnGrace = 5 * time.Second
 )
 
@@ -91,8 +92,8 @@
 }
 
 // refuseLate refuses a request whose deadline is before the expected end of the load. The load starts or continues
-// nevertheless, because the caller is told when to retry; otherwise a model whose load takes longer than any caller
-// waits would never be served.
+// nevertheless, because the caller gets a retry delay; otherwise a model whose load takes longer than any caller waits
+// would never be served.
 func (m *Machine) refuseLate(e RequestWaiting, target *holding, at time.Time) {
 	why := refusalDeadline
 	why.detail = fmt.Sprintf("ready in %v at the earliest", at.Sub(m.now).Round(time.Millisecond))
--- a/internal/loading/results.go
+++ b/internal/loading/results.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// accept records that the engine carried out an order, after which it rejects all with lower fencing numbers.
+// accept records that the engine carried out an order, after which it rejects all with lower fencing tokens.
 func (m *Machine) accept(o *order) {
 	if o.FencingToken <= m.accepted.fence {
 		return
--- a/internal/loading/simengine_test.go
+++ b/internal/loading/simengine_test.go
@@ -9,14 +9,15 @@
 	"balsamsail/internal/endpoint"
 )
 
-// fencing is how a simulated engine handles fencing numbers.
+// fencing is how a simulated engine handles fencing tokens.
 type fencing int
 
 const (
 	fencingIgnored fencing = iota
-	// fencingDurable: numbers are checked and survive a restart.
+	// fencingDurable: fencing tokens are checked and survive a restart.
 	fencingDurable
-	// fencingVolatile: numbers are checked and lost on restart, which also breaks the connections of orders in flight.
+	// fencingVolatile: fencing tokens are checked and lost on restart, which also breaks the connections of orders in
+	// flight.
 	fencingVolatile
 )
 
--- a/internal/loading/simworld_test.go
+++ b/internal/loading/simworld_test.go
@@ -156,7 +156,7 @@
 // give checks and sends an order.
 func (w *simWorld) give(o endpoint.Order) {
 	if o.FencingToken <= w.fence {
-		w.engine.violate("fencing number %d after %d", o.FencingToken, w.fence)
+		w.engine.violate("fencing token %d after %d", o.FencingToken, w.fence)
 	}
 	w.fence = o.FencingToken
 	for _, other := range w.engine.orders {
--- a/internal/loading/slots_test.go
+++ b/internal/loading/slots_test.go
@@ -133,9 +133,9 @@
 			),
 		},
 		{
-			// The engine checks fencing numbers and has accepted a later one, but then restarts, loses the numbers, and
+			// The engine checks fencing tokens and has accepted a later one, but then restarts, loses the tokens, and
 			// carries out the load that was still in flight.
-			name:    "a higher fencing number does not shorten the wait for the confirmation",
+			name:    "a higher fencing token does not shorten the wait for the confirmation",
 			options: func(o *Options) { o.ChecksFencing, o.StateInterval = true, time.Second },
 			lines: lines(started("x@1"),
 				line{event: demandOf("r", "x@1", "", time.Hour), want: "load x@1"},
--- a/internal/loading/start_test.go
+++ b/internal/loading/start_test.go
@@ -36,9 +36,9 @@
 			},
 		},
 		{
-			// The engine rejects stale fencing numbers, but carries out a load that reached it before this agent's
-			// first order.
-			name:    "if fencing numbers are checked, a barrier order is sent first",
+			// The engine rejects stale fencing tokens, but carries out a load that reached it before this agent's first
+			// order.
+			name:    "if fencing tokens are checked, a barrier order is sent first",
 			options: checks,
 			lines: lines(
 				line{event: Tick{}}, line{event: testSpecs}, line{event: engineReports()},
@@ -104,7 +104,7 @@
 	}
 }
 
-// A late order of an old agent must have a lower fencing number than the first of the new one, or the engine carries it
+// A late order of an old agent must have a lower fencing token than the first of the new one, or the engine carries it
 // out.
 func TestFencingNumbersRise(t *testing.T) {
 	runScripts(t, []scriptCase{
@@ -119,7 +119,7 @@
 			),
 			check: func(t *testing.T, s *script) {
 				if s.fences[0] != 9<<fenceCounterBits+8 || s.fences[1] != 12<<fenceCounterBits {
-					t.Errorf("fencing numbers %v", s.fences)
+					t.Errorf("fencing tokens %v", s.fences)
 				}
 			},
 		},
--- a/internal/loading/tend.go
+++ b/internal/loading/tend.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// reconcileSlot gives up a slot that was revoked: it stops new requests, unloads the model, then confirms the release.
+// reconcileSlot releases a slot that was revoked: it stops new requests, unloads the model, then confirms the release.
 func (m *Machine) reconcileSlot(r *replica) {
 	if m.slots.status(r.model) != slotLost {
 		return
@@ -98,7 +98,7 @@
 // confirmRelease confirms a release once it is certain that the engine does not hold the model version and that no load
 // order, of this agent or of a previous one, can still take effect.
 //
-// A fencing number is not sufficient here. An engine that restarts may lose the numbers it has seen and carry out an
+// A fencing token is not sufficient here. An engine that restarts may lose the tokens it has seen and carry out an
 // order that is still in flight; a confirmation cannot be undone, because the slot may be granted elsewhere. The
 // confirmation therefore waits until the orders have expired, and for a read of the state that began after that.
 func (m *Machine) confirmRelease(r *replica, g *grant) {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// leaving reports whether any source says that the endpoint is leaving. One is enough, so that the slowest source
+// leaving reports whether any source reports that the endpoint is leaving. One is enough, so that the slowest source
 // causes no delay.
 func leaving(e *Endpoint) bool {
 	if e.Gone || e.Listed == backing.HostLeaving {
--- a/internal/replicas/change.go
+++ b/internal/replicas/change.go
@@ -40,8 +40,8 @@
 	ReasonMismatch Reason = "mismatch"
 	// ReasonNoFit: the engine's memory is too small.
 	ReasonNoFit Reason = "no_fit"
-	// ReasonFailing: the engine has failed to serve the model version for at least FailingAfter, and the maximum leaves no
-	// room for another slot.
+	// ReasonFailing: the engine has failed to serve the model version for at least FailingAfter, and the maximum leaves
+	// no room for another slot.
 	ReasonFailing Reason = "failing"
 	// ReasonOverMaximum: there are more slots than the declared maximum.
 	ReasonOverMaximum Reason = "over_maximum"
--- a/internal/replicas/decider_test.go
+++ b/internal/replicas/decider_test.go
@@ -68,8 +68,8 @@
 		min, max int
 		stages   []stage
 	}{
-		// An operator changes a label while e0 serves. If its slot were released before another engine has the model, callers
-		// would wait for a load.
+		// An operator changes a label while e0 serves. If its slot were released before another engine has the model,
+		// callers would wait for a load.
 		{name: "label changed, room for a replacement", min: 2, max: 3, stages: []stage{
 			{"relabelled while loaded", all(reportLoaded("e0"), relabel("e0")), "e3 e0 e2"},
 			{"not loaded elsewhere yet", advance(second), "e3 e0 e2"},
@@ -90,15 +90,15 @@
 			{"first not confirmed", advance(second), "e0- e2"},
 			{"first frozen", func(s *site) { s.makeUnreachable("e0"); s.advance(time.Minute) }, "e0- e2-"},
 		}},
-		// A drained engine freezes before it unloads. With a maximum of one there must be no second replica until the engine
-		// confirms or its host is known to be gone, however long that takes.
+		// A drained engine freezes before it unloads. With a maximum of one there must be no second replica until the
+		// engine confirms or its host is known to be gone, however long that takes.
 		{name: "one replica, drained engine frozen", min: 1, max: 1, stages: []stage{
 			{"drained", drain("e0"), "e0-"},
 			{"unreachable for an hour", func(s *site) { s.makeUnreachable("e0"); s.advance(time.Hour) }, "e0-"},
 			{"host gone", setHostState("h0", backing.HostGone), "e2"},
 		}},
-		// The engine was granted a slot again after an earlier release. A late confirmation of that release does not cover
-		// what it has loaded since.
+		// The engine was granted a slot again after an earlier release. A late confirmation of that release does not
+		// cover what it has loaded since.
 		{name: "late confirmation of an earlier release", min: 1, max: 1, stages: []stage{
 			{"drained", drain("e0"), "e0-"},
 			{"confirmation of an older revision", confirmed("e0", "h0", 1), "e0-"},
@@ -147,8 +147,8 @@
 			{"no requests for ExtraHold", advance(second), "e0 e2 e1-"},
 			{"a part at a time", all((*site).confirmReleases, advance(hold)), "e0 e2-"},
 		}},
-		// Two busy models leave no memory for a third on its only engine. Without a new slot elsewhere its requests would be
-		// refused forever.
+		// Two busy models leave no memory for a third on its only engine. Without a new slot elsewhere its requests
+		// would be refused forever.
 		{name: "no memory, no room for another slot", min: 1, max: 1, stages: []stage{
 			{"refused", all(advance(10*second), requestSlot("e0", wirepb.RefusalReason_NO_MEMORY, 1, 0)), "e0"},
 			{"refused for FailingAfter", requestSlot("e0", wirepb.RefusalReason_NO_MEMORY, 1, 15*second), "e0-"},
@@ -166,7 +166,8 @@
 			{"one confirmed", confirmed("e2", "h2", 2), "e0-"},
 			{"both confirmed", (*site).confirmReleases, ""},
 		}},
-		// A new model is granted by an entry with the current declarations. An entry with older ones must not release it.
+		// A new model is granted by an entry with the current declarations. An entry with older ones must not release
+		// it.
 		{name: "process with older declarations", min: 2, max: 3, stages: []stage{
 			{"model not in its declarations", func(s *site) { s.Declared.Models, s.Declared.Revision = nil, 0 }, "e0 e2"},
 		}},
@@ -174,8 +175,8 @@
 			{"leaving", func(s *site) { s.edit("e0", func(e *EngineView) { e.Leaving = true }) }, "e0- e2"},
 			{"gone", setHostState("h0", backing.HostGone), "e2 e3"},
 		}},
-		// The list names a gone host only for a limited time. Processes that missed that time must still treat the host as
-		// gone, and a process that reads an older list must not take a new host for a gone one.
+		// The list names a gone host only for a limited time. Processes that missed that time must still treat the host
+		// as gone, and a process that reads an older list must not take a new host for a gone one.
 		{name: "host no longer listed", min: 2, max: 2, stages: []stage{
 			{"older list without it", func(s *site) { s.Hosts = HostsView{Version: 1, States: map[string]backing.HostState{}} }, "e0 e2"},
 			{"later list without it", func(s *site) {
--- a/internal/replicas/draft.go
+++ b/internal/replicas/draft.go
@@ -37,8 +37,8 @@
 	health   health
 	reason   Reason
 	loaded   bool
-	// unreachable is set if the engine has been unreachable for at least UnreachableAfter or is unknown, so that it is not
-	// expected to confirm a release soon.
+	// unreachable is set if the engine has been unreachable for at least UnreachableAfter or is unknown, so that it is
+	// not expected to confirm a release soon.
 	unreachable bool
 }
 
--- a/internal/replicas/helpers_test.go
+++ b/internal/replicas/helpers_test.go
@@ -30,8 +30,8 @@
 	rows     map[string]backing.Row
 	// gets, lists and commits are call counts.
 	gets, lists, commits int
-	// fault, if set, is called before each commit; its error is returned by Commit. If takeEffect is true the commit takes
-	// effect nevertheless.
+	// fault, if set, is called before each commit; its error is returned by Commit. If takeEffect is true the commit
+	// takes effect nevertheless.
 	fault func(backing.Txn) (err error, takeEffect bool)
 	// down makes all calls fail.
 	down bool
--- a/internal/replicas/inputs.go
+++ b/internal/replicas/inputs.go
@@ -8,8 +8,8 @@
 
 // EngineSource provides the current view of engines and hosts.
 type EngineSource interface {
-	// Engines returns all known engines and a version that changes whenever any field of any engine does. A returned slice
-	// is never modified. Engines is called often and should return the same slice while nothing has changed.
+	// Engines returns all known engines and a version that changes whenever any field of any engine does. A returned
+	// slice is never modified. Engines is called often and should return the same slice while nothing has changed.
 	Engines() ([]EngineView, uint64)
 	// Hosts returns the host list as last read.
 	Hosts() HostsView
@@ -24,8 +24,8 @@
 
 // UsageSource reports how replicas are used.
 type UsageSource interface {
-	// Usage returns how many requests run or wait at the replicas of a model version, and which engines report a loaded or
-	// loading replica of it.
+	// Usage returns how many requests run or wait at the replicas of a model version, and which engines report a loaded
+	// or loading replica of it.
 	Usage(model string) (running int, loaded []string)
 }
 
--- a/internal/replicas/manager_test.go
+++ b/internal/replicas/manager_test.go
@@ -141,7 +141,8 @@
 		all := []struct {
 			event string
 			do    func()
-			// commits returns the number of writes that the event must cause, including writes that fail because of a conflict.
+			// commits returns the number of writes that the event must cause, including writes that fail because of a
+			// conflict.
 			commits func() int
 		}{
 			{"start with an empty table", func() {}, func() int { return 105 }},
--- a/internal/replicas/memo.go
+++ b/internal/replicas/memo.go
@@ -60,8 +60,8 @@
 
 // scratch holds buffers that are reused by each decision.
 type scratch struct {
-	// load is the declared memory of the slots that each engine holds, and warm that of those which stay loaded. share is
-	// the load that the engine would have if all load were spread evenly.
+	// load is the declared memory of the slots that each engine holds, and warm that of those which stay loaded. share
+	// is the load that the engine would have if all load were spread evenly.
 	load, warm []int64
 	share      []float64
 	// held and loaded mark engines for one model version at a time: an engine is marked if its entry equals the current
--- a/internal/replicas/policy.go
+++ b/internal/replicas/policy.go
@@ -4,14 +4,14 @@
 
 // Policy holds the parameters of the decision.
 type Policy struct {
-	// DefaultBaseline is the baseline of a model version whose declaration names no minimum: the number of slots that it
-	// keeps while idle, limited by its maximum.
+	// DefaultBaseline is the baseline of a model version whose declaration names no minimum: the number of slots that
+	// it keeps while idle, limited by its maximum.
 	DefaultBaseline int
 	// DefaultMax is the maximum number of slots of a model version whose declaration names no maximum.
 	DefaultMax int
-	// PlaceBound and MoveBound limit an engine's load, the declared memory of the slots that it holds, as multiples of its
-	// fair share. Above PlaceBound the engine gets no further slot while others have room; above MoveBound an idle slot
-	// moves away.
+	// PlaceBound and MoveBound limit an engine's load, the declared memory of the slots that it holds, as multiples of
+	// its fair share. Above PlaceBound the engine gets no further slot while others have room; above MoveBound an idle
+	// slot moves away.
 	PlaceBound, MoveBound float64
 	// UnreachableAfter is how long an engine must be unreachable before another engine gets a slot to replace it.
 	UnreachableAfter time.Duration
@@ -20,8 +20,8 @@
 	GrowInterval time.Duration
 	// SlotRequestTTL is how long an engine's slot request remains valid after its last repetition.
 	SlotRequestTTL time.Duration
-	// FailingAfter is how long an engine must have failed to serve a model version before its slot is released in favor of
-	// another engine. AvoidFor is how long the engine is then avoided for new slots of that model version.
+	// FailingAfter is how long an engine must have failed to serve a model version before its slot is released in favor
+	// of another engine. AvoidFor is how long the engine is then avoided for new slots of that model version.
 	FailingAfter, AvoidFor time.Duration
 	// ExtraHold is how long slots above the baseline are kept after their demand has ended.
 	ExtraHold time.Duration
--- a/internal/replicas/snapshot.go
+++ b/internal/replicas/snapshot.go
@@ -34,8 +34,8 @@
 	// Revision is the revision of the declarations.
 	Revision uint64
 	// Head, if its key is not empty, is added to the conditions of each write: the table row that names the newest
-	// revision of the declarations, at the table revision read with this set. It prevents a grant decided under an older
-	// set from committing after an edit was accepted.
+	// revision of the declarations, at the table revision read with this set. It prevents a grant decided under an
+	// older set from committing after an edit was accepted.
 	Head   backing.Condition
 	Models []ModelSpec
 }
@@ -44,7 +44,8 @@
 type EngineView struct {
 	Name          string
 	FailureDomain string
-	// Host identifies the host that the engine runs on. Only an engine whose host the host list names as live gets slots.
+	// Host identifies the host that the engine runs on. Only an engine whose host the host list names as live gets
+	// slots.
 	Host   string
 	Labels map[string]string
 	// MemoryBytes is the engine's accelerator memory; 0 when not known.
@@ -83,7 +84,8 @@
 	// Engine is empty if an entry found no engine at all.
 	Engine string
 	Reason wirepb.RefusalReason
-	// Waiting is the number of requests that waited or were refused, summed over the last slotRequestWindow with a report.
+	// Waiting is the number of requests that waited or were refused, summed over the last slotRequestWindow with a
+	// report.
 	Waiting int
 	// First and Last are the times of the first and the last report with this reason, with no gap of SlotRequestTTL or
 	// more between reports.
--- a/internal/replicas/store.go
+++ b/internal/replicas/store.go
@@ -26,7 +26,8 @@
 
 type storedRow struct {
 	view RowView
-	// sequence is the store's sequence number at the row's last change. A deleted row is kept with a nil Row in its view.
+	// sequence is the store's sequence number at the row's last change. A deleted row is kept with a nil Row in its
+	// view.
 	sequence uint64
 }
 
