--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -13,7 +13,7 @@
 
 // loadReportInterval is the minimum interval between two batches that carry only load. At about ten requests a second,
 // every start and end would otherwise send a batch to every entry, many times the rest of the control traffic. The
-// routing package measures the effect of routing by load that is half a second old.
+// tests of package routing measure the effect of load reports that are half a second old.
 const loadReportInterval = 250 * time.Millisecond
 
 // statusChange classifies how a status differs from the one last sent to an entry.
@@ -36,17 +36,17 @@
 }
 
 // compare classifies the changes of a status since the last one sent.
-func (m *sentStatus) compare(status *wirepb.Status) statusChange {
+func (s *sentStatus) compare(status *wirepb.Status) statusChange {
 	switch {
-	case m.last == nil, !m.sameStatic(status), !sameState(m.last, status), len(status.Replicas) != len(m.replicas):
+	case s.last == nil, !s.sameStatic(status), !sameState(s.last, status), len(status.Replicas) != len(s.replicas):
 		return changeState
 	}
 	change := changeNone
-	if !proto.Equal(m.last.Load, status.Load) {
+	if !proto.Equal(s.last.Load, status.Load) {
 		change = changeLoad
 	}
 	for _, r := range status.Replicas {
-		change = max(change, compareReplica(m.replicas[r.Model], r))
+		change = max(change, compareReplica(s.replicas[r.Model], r))
 	}
 	return change
 }
@@ -60,8 +60,8 @@
 
 // sameStatic compares the fields that rarely change. All fields not compared here or in sameState, other than load and
 // replicas, are constant for the lifetime of an agent.
-func (m *sentStatus) sameStatic(status *wirepb.Status) bool {
-	return m.last.MemoryBytes == status.MemoryBytes && slices.Equal(m.last.Cached, status.Cached)
+func (s *sentStatus) sameStatic(status *wirepb.Status) bool {
+	return s.last.MemoryBytes == status.MemoryBytes && slices.Equal(s.last.Cached, status.Cached)
 }
 
 // compareReplica classifies the changes of a replica since it was last sent.
@@ -79,10 +79,10 @@
 
 // delta returns the status as it is sent. It is complete the first time and whenever a rarely changing field differs;
 // otherwise it omits the constant fields and unchanged replicas.
-func (m *sentStatus) delta(status *wirepb.Status) *wirepb.Status {
-	previous := m.replicas
-	whole := m.last == nil || !m.sameStatic(status)
-	m.store(status)
+func (s *sentStatus) delta(status *wirepb.Status) *wirepb.Status {
+	previous := s.replicas
+	whole := s.last == nil || !s.sameStatic(status)
+	s.store(status)
 	if whole {
 		status.Full = true
 		return status
@@ -93,7 +93,7 @@
 		MemoryReservedBytes:  status.MemoryReservedBytes,
 		DeclarationsRevision: status.DeclarationsRevision,
 		Load:                 status.Load,
-		Replicas:             changedReplicas(previous, m.replicas, status.Replicas),
+		Replicas:             changedReplicas(previous, s.replicas, status.Replicas),
 		LoadsInFlight:        status.LoadsInFlight,
 		AdaptersInFlight:     status.AdaptersInFlight,
 	}
@@ -116,11 +116,11 @@
 	return changed
 }
 
-func (m *sentStatus) store(status *wirepb.Status) {
-	m.last = status
-	m.replicas = make(map[string]*wirepb.Replica, len(status.Replicas))
+func (s *sentStatus) store(status *wirepb.Status) {
+	s.last = status
+	s.replicas = make(map[string]*wirepb.Replica, len(status.Replicas))
 	for _, r := range status.Replicas {
-		m.replicas[r.Model] = r
+		s.replicas[r.Model] = r
 	}
 }
 
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -46,60 +46,60 @@
 }
 
 // reset discards a response of which nothing has been sent, before the next attempt.
-func (a *response) reset() {
-	a.head = nil
-	a.held = a.held[:0]
-	a.length = 0
-	a.checksum.Reset()
+func (r *response) reset() {
+	r.head = nil
+	r.held = r.held[:0]
+	r.length = 0
+	r.checksum.Reset()
 }
 
 // setHead sets the head of the endpoint's response. A head with an invalid status is ignored, so that the frames after
 // it fail verification.
-func (a *response) setHead(head *wirepb.Head) {
+func (r *response) setHead(head *wirepb.Head) {
 	if head.Status < http.StatusOK || head.Status > maxStatus {
 		return
 	}
-	a.head = head
-	a.streamed = false
+	r.head = head
+	r.streamed = false
 	for _, h := range head.Headers {
 		if h.Name == "Content-Type" && strings.HasPrefix(h.Value, "text/event-stream") {
-			a.streamed = true
+			r.streamed = true
 		}
 	}
 }
 
 // addBody adds a part of the body.
-func (a *response) addBody(data []byte) error {
-	if a.head == nil {
+func (r *response) addBody(data []byte) error {
+	if r.head == nil {
 		return errResponseMismatch
 	}
-	a.length += uint64(len(data))
-	_, _ = a.checksum.Write(data)
-	if !a.headSent && !a.streamed && len(a.held)+len(data) <= maxHeldBytes {
-		a.held = append(a.held, data...)
+	r.length += uint64(len(data))
+	_, _ = r.checksum.Write(data)
+	if !r.headSent && !r.streamed && len(r.held)+len(data) <= maxHeldBytes {
+		r.held = append(r.held, data...)
 		return nil
 	}
-	if !a.headSent {
-		a.sendHead(-1)
+	if !r.headSent {
+		r.sendHead(-1)
 	}
-	return a.send(data)
+	return r.send(data)
 }
 
 // sendHead sends the status and headers. length is the body's length in bytes, -1 when it is not known.
-func (a *response) sendHead(length int) {
-	a.headSent = true
-	h := a.w.Header()
-	for _, header := range a.head.Headers {
+func (r *response) sendHead(length int) {
+	r.headSent = true
+	h := r.w.Header()
+	for _, header := range r.head.Headers {
 		if !hopByHop[http.CanonicalHeaderKey(header.Name)] {
 			h.Add(header.Name, header.Value)
 		}
 	}
-	h.Set(headerRequestID, a.requestID)
+	h.Set(headerRequestID, r.requestID)
 	h.Del("Content-Length")
 	if length >= 0 {
 		h.Set("Content-Length", strconv.Itoa(length))
 	}
-	a.w.WriteHeader(int(a.head.Status))
+	r.w.WriteHeader(int(r.head.Status))
 }
 
 // stallTimeout bounds each write to a caller that has stopped reading. Without it such a caller would occupy part of
@@ -107,40 +107,40 @@
 const stallTimeout = 30 * time.Second
 
 // send writes data to the caller, after any held bytes.
-func (a *response) send(data []byte) error {
-	_ = a.control.SetWriteDeadline(time.Now().Add(stallTimeout))
-	if len(a.held) > 0 {
-		held := a.held
-		a.held = nil
-		if _, err := a.w.Write(held); err != nil {
+func (r *response) send(data []byte) error {
+	_ = r.control.SetWriteDeadline(time.Now().Add(stallTimeout))
+	if len(r.held) > 0 {
+		held := r.held
+		r.held = nil
+		if _, err := r.w.Write(held); err != nil {
 			return errors.Wrap(errCallerGone, err.Error())
 		}
 	}
-	if _, err := a.w.Write(data); err != nil {
+	if _, err := r.w.Write(data); err != nil {
 		return errors.Wrap(errCallerGone, err.Error())
 	}
-	if err := a.control.Flush(); err != nil {
+	if err := r.control.Flush(); err != nil {
 		return errors.Wrap(errCallerGone, err.Error())
 	}
 	return nil
 }
 
 // verify checks the response against its trailer.
-func (a *response) verify(t *wirepb.Trailer) error {
-	if a.head == nil || a.length != t.Length || a.checksum.Sum64() != t.Checksum {
+func (r *response) verify(t *wirepb.Trailer) error {
+	if r.head == nil || r.length != t.Length || r.checksum.Sum64() != t.Checksum {
 		return errResponseMismatch
 	}
 	return nil
 }
 
 // finish sends a complete response that has been held back.
-func (a *response) finish() error {
-	if a.headSent {
+func (r *response) finish() error {
+	if r.headSent {
 		return nil
 	}
-	a.sendHead(len(a.held))
-	_ = a.control.SetWriteDeadline(time.Now().Add(stallTimeout))
-	if _, err := a.w.Write(a.held); err != nil {
+	r.sendHead(len(r.held))
+	_ = r.control.SetWriteDeadline(time.Now().Add(stallTimeout))
+	if _, err := r.w.Write(r.held); err != nil {
 		return errors.Wrap(errCallerGone, err.Error())
 	}
 	return nil
@@ -160,17 +160,17 @@
 }
 
 // recordedResponse returns the response to record in a claim; Dropped is set unless its whole body was held back.
-func (a *response) recordedResponse() atmostonce.Response {
-	if a.head == nil {
+func (r *response) recordedResponse() atmostonce.Response {
+	if r.head == nil {
 		return atmostonce.Response{}
 	}
-	recorded := atmostonce.Response{Status: int(a.head.Status)}
-	for _, h := range a.head.Headers {
+	recorded := atmostonce.Response{Status: int(r.head.Status)}
+	for _, h := range r.head.Headers {
 		if h.Name == "Content-Type" {
 			recorded.ContentType = h.Value
 		}
 	}
-	recorded.Dropped = uint64(len(a.held)) != a.length
-	recorded.Body = a.held
+	recorded.Dropped = uint64(len(r.held)) != r.length
+	recorded.Body = r.held
 	return recorded
 }
--- a/internal/entry/behind.go
+++ b/internal/entry/behind.go
@@ -25,22 +25,22 @@
 }
 
 // shouldRequest processes the revision that an agent reported and reports whether to request its declarations.
-func (b *revisionLag) shouldRequest(now time.Time, held, reported uint64) bool {
+func (l *revisionLag) shouldRequest(now time.Time, held, reported uint64) bool {
 	if reported <= held {
 		return false
 	}
-	if b.since.IsZero() {
-		b.since = now
+	if l.since.IsZero() {
+		l.since = now
 	}
-	if now.Sub(b.since) < lagTolerance || now.Sub(b.lastRequest) < lagRetryInterval {
+	if now.Sub(l.since) < lagTolerance || now.Sub(l.lastRequest) < lagRetryInterval {
 		return false
 	}
-	b.lastRequest = now
+	l.lastRequest = now
 	return true
 }
 
 // reset marks the entry as up to date.
-func (b *revisionLag) reset() { b.since = time.Time{} }
+func (l *revisionLag) reset() { l.since = time.Time{} }
 
 // requestNewerDeclarations requests the declarations from an agent that holds a higher revision when the table does not
 // show it in time.
--- a/internal/loading/permits/storm_test.go
+++ b/internal/loading/permits/storm_test.go
@@ -94,8 +94,8 @@
 				return play(st)
 			}
 			notExtended, extended := runWithTimeout(false), runWithTimeout(true)
-			notExtended.log(t, d.name+" permit timeout 5 s")
-			extended.log(t, d.name+" permit timeout 5 s from each answer")
+			notExtended.log(t, d.name+" patience 5 s")
+			extended.log(t, d.name+" patience 5 s from each answer")
 			change := play(s(replacedIssuer(d.options, 5*time.Second), 5*time.Second))
 			without.log(t, d.name+" no permits")
 			with.log(t, d.name+" permits")
--- a/internal/loading/slots.go
+++ b/internal/loading/slots.go
@@ -52,22 +52,22 @@
 	slotLost
 )
 
-func (b *slotTable) grant(model string) *grant {
-	g := b.grants[model]
+func (t *slotTable) grant(model string) *grant {
+	g := t.grants[model]
 	if g == nil {
 		g = &grant{}
-		b.grants[model] = g
+		t.grants[model] = g
 	}
 	return g
 }
 
 // status returns the status of the slot for a model version.
-func (b *slotTable) status(model string) slotStatus {
-	g := b.grants[model]
+func (t *slotTable) status(model string) slotStatus {
+	g := t.grants[model]
 	switch {
 	case g != nil && g.slot.GetState() == replicaspb.SlotState_GRANTED:
 		return slotGranted
-	case g != nil && g.revision > 0 || b.read:
+	case g != nil && g.revision > 0 || t.read:
 		return slotLost
 	default:
 		return slotUnknown
--- a/internal/loading/start_test.go
+++ b/internal/loading/start_test.go
@@ -124,7 +124,7 @@
 			},
 		},
 		{
-			// All numbers of a revision are used up; the next one would belong to the next revision, from which another
+			// All tokens of a revision are used up; the next one would belong to the next revision, from which another
 			// agent may start.
 			name:    "no order is sent until a higher revision is known",
 			options: func(o *Options) { o.ChecksFencing = true },
