--- a/internal/entry/behind.go
+++ b/internal/entry/behind.go
@@ -16,8 +16,8 @@
 // revisionLag decides when to request the declarations from an agent.
 //
 // It covers a table outage right after another entry had an edit accepted, or this entry losing its connection to the
-// table. The agents have the new revision from the other entry and the operator was told that it is accepted, but this
-// entry would use the older one until the outage ends. Agents hold only accepted revisions, so a revision that an agent
+// table. The agents have the new revision from the other entry and the operator got a confirmation, but this entry
+// would use the older one until the outage ends. Agents hold only accepted revisions, so a revision that an agent
 // reports may be adopted. Normally the table shows the revision within one poll; waiting for that first prevents every
 // entry from requesting a whole snapshot after every edit.
 type revisionLag struct {
@@ -25,22 +25,22 @@
 }
 
 // shouldRequest processes the revision that an agent reported and reports whether to request its declarations.
-func (b *revisionLag) shouldRequest(now time.Time, held, reported uint64) bool {
+func (l *revisionLag) shouldRequest(now time.Time, held, reported uint64) bool {
 	if reported <= held {
 		return false
 	}
-	if b.since.IsZero() {
-		b.since = now
+	if l.since.IsZero() {
+		l.since = now
 	}
-	if now.Sub(b.since) < lagTolerance || now.Sub(b.lastRequest) < lagRetryInterval {
+	if now.Sub(l.since) < lagTolerance || now.Sub(l.lastRequest) < lagRetryInterval {
 		return false
 	}
-	b.lastRequest = now
+	l.lastRequest = now
 	return true
 }
 
 // reset marks the entry as up to date.
-func (b *revisionLag) reset() { b.since = time.Time{} }
+func (l *revisionLag) reset() { l.since = time.Time{} }
 
 // requestNewerDeclarations requests the declarations from an agent that holds a higher revision when the table does not
 // show it in time.
