--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -45,7 +45,7 @@
 // endpointHost is the host of an endpoint and its agent.
 type endpointHost struct {
 	name, kind, domain, ip string
-	// checksFencing makes the engine refuse orders with old fencing numbers, requiresCredentials makes it check
+	// checksFencing makes the engine refuse orders with old fencing tokens, requiresCredentials makes it check
 	// credentials. keepsIdleModels makes the agent keep idle models loaded until their memory is needed.
 	checksFencing, requiresCredentials, keepsIdleModels bool
 	server, agent                                       *process
@@ -102,7 +102,7 @@
 
 func agentName(endpoint string) string { return "agent-" + endpoint }
 
-// newCluster starts three entries, four engines (two of them check fencing numbers) and two plain services in two
+// newCluster starts three entries, four engines (two of them check fencing tokens) and two plain services in two
 // failure domains. It waits until all of them are ready and the first declarations are in force.
 func newCluster(t *testing.T) *cluster {
 	t.Helper()
--- a/test/failure_table_test.go
+++ b/test/failure_table_test.go
@@ -24,13 +24,13 @@
 		newFailure("agent killed, its engine fences", `An agent is killed during loads and answers, while its engine keeps
 running and finishes the orders. The restarted agent must read the engine's state before it sends any order.`,
 			longFault, whileLoading("engine-1", killAgent("engine-1")), startAgent("engine-1")),
-		newFailure("agent killed, its engine does not fence", `As before, but the engine accepts orders with any fencing number, so
+		newFailure("agent killed, its engine does not fence", `As before, but the engine accepts orders with any fencing token, so
 an order of the killed agent may still take effect after the restarted one has read the engine's state.`,
 			shortFault, whileLoading("engine-3", killAgent("engine-3")), startAgent("engine-3")),
 		newFailure("agent frozen, its engine fences", `An agent is suspended during a load, its grants go to other engines
 meanwhile, and it resumes with stale decisions that it was about to carry out.`,
 			longFault, whileLoading("engine-2", freezeAgent("engine-2")), thawAgent("engine-2")),
-		newFailure("agent frozen, its engine does not fence", `As before, at an engine that accepts orders with any fencing number.`,
+		newFailure("agent frozen, its engine does not fence", `As before, at an engine that accepts orders with any fencing token.`,
 			longFault, whileLoading("engine-4", freezeAgent("engine-4")), thawAgent("engine-4")),
 		newFailure("engine frozen", `An engine is suspended: orders and requests get no answer, the connection stays open, and
 all of them are carried out after the engine resumes.`,
@@ -52,7 +52,7 @@
 	}
 }
 
-// restartsWithLateOrders repeatedly restarts the agent of an engine that accepts any fencing number, while its orders
+// restartsWithLateOrders repeatedly restarts the agent of an engine that accepts any fencing token, while its orders
 // are delayed.
 func restartsWithLateOrders() failure {
 	delayOrders, restoreOrders := withEngine("engine-3", engineFaults{DelayOrders: chance(1), DelayOrdersSeconds: 1.2})
@@ -164,9 +164,9 @@
 		return newFailure("services "+name, description, longFault, inject, heal).setsFaultsOn("ledger-1", "ledger-2")
 	}
 	return []failure{
-		engine("engine-1", "delays orders", "Orders arrive late at an engine that checks fencing numbers.",
+		engine("engine-1", "delays orders", "Orders arrive late at an engine that checks fencing tokens.",
 			engineFaults{DelayOrders: chance(0.5), DelayOrdersSeconds: 1.2}),
-		engine("engine-3", "delays orders", `Orders arrive late at an engine that accepts any fencing number: by the time the
+		engine("engine-3", "delays orders", `Orders arrive late at an engine that accepts any fencing token: by the time the
 model is loaded, the agent has timed out and may have decided otherwise.`,
 			engineFaults{DelayOrders: chance(0.5), DelayOrdersSeconds: 1.2}),
 		engine("engine-2", "loses answers to orders", "Orders are carried out but their answers are lost.",
--- a/test/planned_test.go
+++ b/test/planned_test.go
@@ -43,7 +43,7 @@
 	}},
 	{"agent of an engine stopped", "An operator restarts an agent; its engine keeps running with its models loaded.",
 		func(r *run) []departure { return r.restartAgent("engine-1") }},
-	{"agent stopped, its engine does not fence", "As before, at an engine that accepts orders with any fencing number.",
+	{"agent stopped, its engine does not fence", "As before, at an engine that accepts orders with any fencing token.",
 		func(r *run) []departure { return r.restartAgent("engine-3") }},
 	{"agent of a service stopped", "An operator restarts the agent of a plain service.",
 		func(r *run) []departure { return r.restartAgent("ledger-1") }},
